--- a/src/main/java/petrelplank/emulator/Scenario.java
+++ b/src/main/java/petrelplank/emulator/Scenario.java
@@ -6,6 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import petrelplank.yaml.Section;
 import petrelplank.yaml.Yaml;
 
@@ -66,29 +68,51 @@
     /** What can go wrong. */
     public enum Kind {
         /** A server takes work and answers nothing. */
-        SILENT,
+        SILENT("silent"),
         /** A server fails a share of its requests at once. */
-        FAST_FAILURES,
+        FAST_FAILURES("fast-failures"),
         /** A share of the groups is purged at once. */
-        PURGE,
+        PURGE("purge"),
         /** A new object draws a share of the bytes. */
-        HOT_OBJECT,
+        HOT_OBJECT("hot-object"),
         /** The central stock takes a multiple of its time. */
-        SLOW_STOCK,
+        SLOW_STOCK("slow-stock"),
         /** Fronts are killed, and start again after the trouble's length. */
-        RESTART,
+        RESTART("restart"),
         /** A cache drains, and is gone at the end. */
-        DRAIN,
+        DRAIN("drain"),
         /** Servers vanish without a word, and return cold at the end, told a while later. */
-        LOST,
+        LOST("lost"),
         /** Servers are replaced one by one over the trouble's length: a new one starts cold, the old one drains. */
-        REPLACE,
+        REPLACE("replace"),
         /** The coordinator tells nothing, and all at once at the end. */
-        LATE_LIST,
+        LATE_LIST("late-list"),
         /** Others call the central stock, at a multiple of what it can do. */
-        OUTSIDE_LOAD,
+        OUTSIDE_LOAD("outside-load"),
         /** The link into a branch has a share of its width. */
-        CROWDED_LINK
+        CROWDED_LINK("crowded-link");
+
+        private final String label;
+
+        Kind(String label) {
+            this.label = label;
+        }
+
+        /** The name in scenario files. */
+        String label() {
+            return label;
+        }
+
+        private static Set<String> labels() {
+            return Stream.of(values()).map(Kind::label).collect(Collectors.toSet());
+        }
+
+        private static Kind of(String label) {
+            return Stream.of(values())
+                    .filter(kind -> kind.label.equals(label))
+                    .findFirst()
+                    .orElseThrow();
+        }
     }
 
     /**
@@ -170,24 +194,7 @@
         int hubCaches = (int) s.whole("caches-per-hub", 1, 1, 16);
         List<Trouble> troubles = new ArrayList<>();
         for (Section t : s.sections("troubles")) {
-            Kind kind = Kind.valueOf(t.word(
-                            "kind",
-                            "silent",
-                            Set.of(
-                                    "silent",
-                                    "fast-failures",
-                                    "purge",
-                                    "hot-object",
-                                    "slow-stock",
-                                    "restart",
-                                    "drain",
-                                    "crowded-link",
-                                    "outside-load",
-                                    "lost",
-                                    "replace",
-                                    "late-list"))
-                    .toUpperCase(java.util.Locale.ROOT)
-                    .replace('-', '_'));
+            Kind kind = Kind.of(t.word("kind", "silent", Kind.labels()));
             long at = t.durationUs("at", length / 4, 0, length);
             long lasts = t.durationUs("for", length / 4, 0, HOUR_US);
             List<String> servers = t.texts("servers");
--- a/src/main/java/petrelplank/emulator/Truth.java
+++ b/src/main/java/petrelplank/emulator/Truth.java
@@ -35,7 +35,7 @@
             t.put("asked", asked);
             for (Answer.Kind k : Answer.Kind.values()) {
                 if (k != Answer.Kind.BAD_REQUEST) {
-                    t.put(k.name().toLowerCase(java.util.Locale.ROOT), kinds.getOrDefault(k, 0L));
+                    t.put(k.label(), kinds.getOrDefault(k, 0L));
                 }
             }
             t.put("inTime", inTime);
@@ -45,6 +45,19 @@
         }
     }
 
+    /** The key of a count of ends. */
+    private static String key(Status status) {
+        return switch (status) {
+            case OK -> "ok";
+            case ERROR -> "error";
+            case FULL -> "full";
+            case MISS -> "miss";
+            case RESET -> "reset";
+            case CONNECT_FAILED -> "connect_failed";
+            case TIMEOUT, CANCELLED, MOOT -> throw new IllegalArgumentException(status + " is not counted");
+        };
+    }
+
     /** Sums of one server. */
     private static final class Peer {
         private long sent;
@@ -58,7 +71,7 @@
             t.put("withdrawn", withdrawn);
             for (Status s :
                     List.of(Status.OK, Status.ERROR, Status.FULL, Status.MISS, Status.RESET, Status.CONNECT_FAILED)) {
-                t.put(s.name().toLowerCase(java.util.Locale.ROOT), ends.getOrDefault(s, 0L));
+                t.put(key(s), ends.getOrDefault(s, 0L));
             }
             t.put("p50Ms", answeredUs.getValueAtPercentile(50) / 1000.0);
             t.put("p99Ms", answeredUs.getValueAtPercentile(99) / 1000.0);
--- a/src/main/java/petrelplank/emulator/World.java
+++ b/src/main/java/petrelplank/emulator/World.java
@@ -431,11 +431,7 @@
         if (t.kind() != Scenario.Kind.DRAIN
                 && t.kind() != Scenario.Kind.REPLACE
                 && t.kind() != Scenario.Kind.OUTSIDE_LOAD) {
-            truth.trouble(
-                    t.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'),
-                    t.servers(),
-                    from,
-                    t.kind() == Scenario.Kind.PURGE ? from : to);
+            truth.trouble(t.kind().label(), t.servers(), from, t.kind() == Scenario.Kind.PURGE ? from : to);
         }
     }
 
--- a/src/main/java/petrelplank/front/Answer.java
+++ b/src/main/java/petrelplank/front/Answer.java
@@ -13,15 +13,30 @@
     /** What an answer says. */
     public enum Kind {
         /** The bytes of the part. */
-        SERVED,
+        SERVED("served"),
         /** The client's own copy is the one that would be served. */
-        STILL,
+        STILL("still"),
         /** Nothing may have run; trying again is harmless. */
-        REFUSED,
+        REFUSED("refused"),
         /** Not served, with no promise. */
-        FAILED,
+        FAILED("failed"),
         /** The request can't be understood; nothing ran, and trying again won't help. */
-        BAD_REQUEST
+        BAD_REQUEST("bad_request");
+
+        private final String label;
+
+        Kind(String label) {
+            this.label = label;
+        }
+
+        /**
+         * The name in counts.
+         *
+         * @return a word in lower case
+         */
+        public String label() {
+            return label;
+        }
     }
 
     static Answer served(byte[] body) {
--- a/src/main/java/petrelplank/front/Book.java
+++ b/src/main/java/petrelplank/front/Book.java
@@ -82,7 +82,7 @@
     String counts() {
         StringBuilder line = new StringBuilder();
         for (Answer.Kind kind : Answer.Kind.values()) {
-            line.append(kind.name().toLowerCase(java.util.Locale.ROOT))
+            line.append(kind.label())
                     .append(' ')
                     .append(answered[kind.ordinal()])
                     .append(", ");
--- a/src/main/java/petrelplank/incident/Finding.java
+++ b/src/main/java/petrelplank/incident/Finding.java
@@ -20,23 +20,38 @@
     /** Kinds of trouble. */
     public enum Kind {
         /** A cache is listed as up and answers nothing. */
-        SILENT_CACHE,
+        SILENT_CACHE("silent-cache"),
         /** A hub cache is listed as up and answers nothing. */
-        SILENT_HUB,
+        SILENT_HUB("silent-hub"),
         /** A server fails requests at once. */
-        FAST_FAILURES,
+        FAST_FAILURES("fast-failures"),
         /** A large part of the groups was purged at once. */
-        PURGE,
+        PURGE("purge"),
         /** One object draws a large part of the bytes. */
-        HOT_OBJECT,
+        HOT_OBJECT("hot-object"),
         /** The central stock takes a multiple of its usual time. */
-        SLOW_STOCK,
+        SLOW_STOCK("slow-stock"),
         /** The central stock answers no call well. */
-        STOCK_STOPPED,
+        STOCK_STOPPED("stock-stopped"),
         /** A front began a new life. */
-        RESTART,
+        RESTART("restart"),
         /** A branch's link has far more transfers than fit. */
-        CROWDED_LINK
+        CROWDED_LINK("crowded-link");
+
+        private final String label;
+
+        Kind(String label) {
+            this.label = label;
+        }
+
+        /**
+         * The name in JSON documents.
+         *
+         * @return words joined by hyphens
+         */
+        public String label() {
+            return label;
+        }
     }
 
     /**
@@ -46,7 +61,7 @@
      */
     public Map<String, Object> tree() {
         Map<String, Object> t = new LinkedHashMap<>();
-        t.put("kind", kind.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
+        t.put("kind", kind.label());
         t.put("servers", servers);
         t.put("fromUs", fromUs);
         t.put("toUs", toUs);
--- a/src/main/java/petrelplank/incident/Fleet.java
+++ b/src/main/java/petrelplank/incident/Fleet.java
@@ -8,6 +8,7 @@
 import java.util.TreeSet;
 import petrelplank.decision.Events.State;
 import petrelplank.record.Event;
+import petrelplank.record.StoredNames;
 
 /** The fleet at a time, as the fronts that lived then had been told and believed. */
 public final class Fleet {
@@ -36,15 +37,10 @@
         public Map<String, Object> tree() {
             Map<String, Object> t = new LinkedHashMap<>();
             t.put("zone", zone);
-            told.forEach((state, fronts) -> t.put(state.name().toLowerCase(java.util.Locale.ROOT), fronts));
+            told.forEach((state, fronts) -> t.put(StoredNames.jsonKey(StoredNames.of(state)), fronts));
             t.put("outAt", outAt);
             t.put("startedUs", startedUs);
-            t.put(
-                    "troubles",
-                    troubles.stream()
-                            .map(k ->
-                                    k.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'))
-                            .toList());
+            t.put("troubles", troubles.stream().map(Finding.Kind::label).toList());
             return t;
         }
     }
--- a/src/main/java/petrelplank/incident/Fold.java
+++ b/src/main/java/petrelplank/incident/Fold.java
@@ -6,6 +6,7 @@
 import petrelplank.decision.Events.Status;
 import petrelplank.record.Entry;
 import petrelplank.record.Event;
+import petrelplank.record.StoredNames;
 
 /**
  * Folds entries into the course of an incident. Whatever order they come in, and however often one comes, the state
@@ -60,12 +61,12 @@
             s.earnedMicro += Sums.micro(a.worth());
             life.owes(a.request(), -1);
             if (a.why() != null) {
-                life.givenUp.merge(a.why().name(), 1L, Long::sum);
+                life.givenUp.merge(StoredNames.of(a.why()), 1L, Long::sum);
             }
         } else if (event instanceof Event.Left l) {
             life.owes(l.request(), -1);
         } else if (event instanceof Event.TurnedAway t) {
-            life.turnedAway.merge(t.kind().name(), 1L, Long::sum);
+            life.turnedAway.merge(StoredNames.of(t.kind()), 1L, Long::sum);
         } else if (event instanceof Event.Started s) {
             life.started = s;
             life.startedUs = us;
--- a/src/main/java/petrelplank/incident/Peer.java
+++ b/src/main/java/petrelplank/incident/Peer.java
@@ -8,6 +8,7 @@
 import petrelplank.decision.Events.Note;
 import petrelplank.decision.Events.Status;
 import petrelplank.record.Event;
+import petrelplank.record.StoredNames;
 
 /** What all fronts together saw of one server. */
 public final class Peer {
@@ -153,7 +154,7 @@
         t.put("withdrawn", withdrawn);
         for (Status s :
                 new Status[] {Status.OK, Status.ERROR, Status.FULL, Status.MISS, Status.RESET, Status.CONNECT_FAILED}) {
-            t.put(s.name().toLowerCase(java.util.Locale.ROOT), ended(s));
+            t.put(StoredNames.jsonKey(StoredNames.of(s)), ended(s));
         }
         t.put("p50Ms", answeredMs(50));
         t.put("p99Ms", answeredMs(99));
--- a/src/main/java/petrelplank/record/Codec.java
+++ b/src/main/java/petrelplank/record/Codec.java
@@ -28,7 +28,7 @@
 
 /**
  * Between entries and Avro: the schema is made from the components of the types in {@link Event}, so that there is
- * one model. Java records become Avro records of the same name, nullable components a union with null.
+ * one model. Java records become Avro records by their {@link StoredName}, nullable components a union with null.
  */
 final class Codec {
     private static final String SPACE = "petrelplank.record";
@@ -61,7 +61,7 @@
             kinds = new Kind[components.length];
             Class<?>[] types = new Class<?>[components.length];
             List<Schema.Field> fields = new ArrayList<>();
-            schema = Schema.createRecord(type.getSimpleName(), null, SPACE, false);
+            schema = Schema.createRecord(StoredNames.ofType(type), null, SPACE, false);
             shapes.put(type, this);
             byName.put(schema.getFullName(), this);
             for (int i = 0; i < parts.length; i++) {
@@ -69,7 +69,7 @@
                 Kind kind = kind(components[i].getGenericType());
                 kinds[i] = components[i].isAnnotationPresent(Absent.class) ? absent(kind) : kind;
                 parts[i] = part(components[i].getAccessor(), kinds[i]);
-                fields.add(new Schema.Field(components[i].getName(), kinds[i].schema()));
+                fields.add(new Schema.Field(StoredNames.ofComponent(components[i]), kinds[i].schema()));
             }
             schema.setFields(fields);
             try {
@@ -252,10 +252,10 @@
         return enums.computeIfAbsent(type, t -> {
             Map<String, Object> values = new LinkedHashMap<>();
             for (Object constant : t.getEnumConstants()) {
-                values.put(((Enum<?>) constant).name(), constant);
+                values.put(StoredNames.ofConstant((Enum<?>) constant), constant);
             }
             return of(
-                    Schema.createEnum(t.getSimpleName(), null, SPACE, List.copyOf(values.keySet())),
+                    Schema.createEnum(StoredNames.ofType(t), null, SPACE, List.copyOf(values.keySet())),
                     (v, to) -> to.writeEnum(((Enum<?>) v).ordinal()),
                     v -> values.get(v.toString()));
         });
--- a/src/main/java/petrelplank/record/Entry.java
+++ b/src/main/java/petrelplank/record/Entry.java
@@ -9,4 +9,10 @@
  * @param unixUs when, by the front's clock
  * @param event what
  */
-public record Entry(String front, long life, long number, long unixUs, Event event) {}
+@StoredName("Entry")
+public record Entry(
+        @StoredName("front") String front,
+        @StoredName("life") long life,
+        @StoredName("number") long number,
+        @StoredName("unixUs") long unixUs,
+        @StoredName("event") Event event) {}
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -15,16 +15,22 @@
  */
 public sealed interface Event {
     /** How a request was answered in the end. */
+    @StoredName("Final")
     enum Final {
         /** The bytes. */
+        @StoredName("SERVED")
         SERVED,
         /** The client's own copy holds. */
+        @StoredName("STILL")
         STILL,
         /** Nothing may have run; it may come again. */
+        @StoredName("REFUSED")
         REFUSED,
         /** No promise. */
+        @StoredName("FAILED")
         FAILED,
         /** It could not be understood. */
+        @StoredName("BAD_REQUEST")
         BAD_REQUEST
     }
 
@@ -37,7 +43,13 @@
      * @param repeat how far it may be repeated
      * @param write runs at the origin
      */
-    record ClassOf(String name, double worth, long deadlineUs, Repeat repeat, boolean write) {}
+    @StoredName("ClassOf")
+    record ClassOf(
+            @StoredName("name") String name,
+            @StoredName("worth") double worth,
+            @StoredName("deadlineUs") long deadlineUs,
+            @StoredName("repeat") Repeat repeat,
+            @StoredName("write") boolean write) {}
 
     /**
      * A new life of a front began.
@@ -52,16 +64,17 @@
      * @param purgeGraceUs sends after this may not be answered from a copy older than the purge
      * @param connectUs a connection not made in this time failed
      */
+    @StoredName("Started")
     record Started(
-            String zone,
-            List<String> zones,
-            List<ClassOf> classes,
-            @Absent String parentKind,
-            @Absent String originKind,
-            List<String> reportFields,
-            long drainGraceUs,
-            long purgeGraceUs,
-            long connectUs)
+            @StoredName("zone") String zone,
+            @StoredName("zones") List<String> zones,
+            @StoredName("classes") List<ClassOf> classes,
+            @StoredName("parentKind") @Absent String parentKind,
+            @StoredName("originKind") @Absent String originKind,
+            @StoredName("reportFields") List<String> reportFields,
+            @StoredName("drainGraceUs") long drainGraceUs,
+            @StoredName("purgeGraceUs") long purgeGraceUs,
+            @StoredName("connectUs") long connectUs)
             implements Event {}
 
     /**
@@ -72,7 +85,13 @@
      * @param object the object
      * @param group the object's group
      */
-    record Taken(long request, String type, long object, int group) implements Event {}
+    @StoredName("Taken")
+    record Taken(
+            @StoredName("request") long request,
+            @StoredName("type") String type,
+            @StoredName("object") long object,
+            @StoredName("group") int group)
+            implements Event {}
 
     /**
      * An attempt was ordered.
@@ -85,14 +104,16 @@
      * @param object the object
      * @param group the object's group
      */
+    @StoredName("Sent")
     record Sent(
-            long request,
-            int attempt,
-            String type,
-            String server,
-            @Absent String source,
-            long object,
-            int group) implements Event {}
+            @StoredName("request") long request,
+            @StoredName("attempt") int attempt,
+            @StoredName("type") String type,
+            @StoredName("server") String server,
+            @StoredName("source") @Absent String source,
+            @StoredName("object") long object,
+            @StoredName("group") int group)
+            implements Event {}
 
     /**
      * An attempt ended.
@@ -112,21 +133,22 @@
      * @param bytes of the body
      * @param load the load report, in the order of the settings; empty where there is none
      */
+    @StoredName("Ended")
     record Ended(
-            long request,
-            int attempt,
-            String type,
-            String server,
-            @Absent String source,
-            long object,
-            int group,
-            Status status,
-            Note note,
-            long latencyUs,
-            long waitedUs,
-            long bornMs,
-            long bytes,
-            List<Double> load)
+            @StoredName("request") long request,
+            @StoredName("attempt") int attempt,
+            @StoredName("type") String type,
+            @StoredName("server") String server,
+            @StoredName("source") @Absent String source,
+            @StoredName("object") long object,
+            @StoredName("group") int group,
+            @StoredName("status") Status status,
+            @StoredName("note") Note note,
+            @StoredName("latencyUs") long latencyUs,
+            @StoredName("waitedUs") long waitedUs,
+            @StoredName("bornMs") long bornMs,
+            @StoredName("bytes") long bytes,
+            @StoredName("load") List<Double> load)
             implements Event {}
 
     /**
@@ -142,16 +164,17 @@
      * @param retryAfterMs advice to the client; 0 for none
      * @param why why it was refused or failed; absent where it was served or the front's own limits refused it
      */
+    @StoredName("Answered")
     record Answered(
-            long request,
-            String type,
-            Final kind,
-            long latencyUs,
-            long bytes,
-            double worth,
-            boolean inTime,
-            long retryAfterMs,
-            @Absent GivenUp why)
+            @StoredName("request") long request,
+            @StoredName("type") String type,
+            @StoredName("kind") Final kind,
+            @StoredName("latencyUs") long latencyUs,
+            @StoredName("bytes") long bytes,
+            @StoredName("worth") double worth,
+            @StoredName("inTime") boolean inTime,
+            @StoredName("retryAfterMs") long retryAfterMs,
+            @StoredName("why") @Absent GivenUp why)
             implements Event {}
 
     /**
@@ -159,7 +182,8 @@
      *
      * @param request the request's id, 16 hex digits as a number
      */
-    record Left(long request) implements Event {}
+    @StoredName("Left")
+    record Left(@StoredName("request") long request) implements Event {}
 
     /**
      * A request was turned away before the router saw it: nothing was taken.
@@ -168,7 +192,11 @@
      * @param type its class; empty where it was not understood
      * @param kind what it was told
      */
-    record TurnedAway(String request, String type, Final kind) implements Event {}
+    @StoredName("TurnedAway")
+    record TurnedAway(
+            @StoredName("request") String request,
+            @StoredName("type") String type,
+            @StoredName("kind") Final kind) implements Event {}
 
     /**
      * A listed server.
@@ -180,7 +208,14 @@
      * @param weight its link out, in transfers at full pace
      * @param startedUs its late start; 0 for long ago
      */
-    record Server(String id, String zone, String kind, State state, double weight, long startedUs) {}
+    @StoredName("Server")
+    record Server(
+            @StoredName("id") String id,
+            @StoredName("zone") String zone,
+            @StoredName("kind") String kind,
+            @StoredName("state") State state,
+            @StoredName("weight") double weight,
+            @StoredName("startedUs") long startedUs) {}
 
     /**
      * The coordinator told of a change of the list.
@@ -189,7 +224,12 @@
      * @param complete the servers are the whole list
      * @param servers the entries
      */
-    record Listed(long index, boolean complete, List<Server> servers) implements Event {}
+    @StoredName("Listed")
+    record Listed(
+            @StoredName("index") long index,
+            @StoredName("complete") boolean complete,
+            @StoredName("servers") List<Server> servers)
+            implements Event {}
 
     /**
      * The coordinator told of a purge.
@@ -199,7 +239,13 @@
      * @param group the group; -1 for a single object
      * @param unixMs when it was made
      */
-    record Purged(long index, @Absent Long object, int group, long unixMs) implements Event {}
+    @StoredName("Purged")
+    record Purged(
+            @StoredName("index") long index,
+            @StoredName("object") @Absent Long object,
+            @StoredName("group") int group,
+            @StoredName("unixMs") long unixMs)
+            implements Event {}
 
     /**
      * The router left a server out.
@@ -208,14 +254,20 @@
      * @param trial a trial failed, and the pause doubled
      * @param pauseUs until the next trial
      */
-    record Ejected(String server, boolean trial, long pauseUs) implements Event {}
+    @StoredName("Ejected")
+    record Ejected(
+            @StoredName("server") String server,
+            @StoredName("trial") boolean trial,
+            @StoredName("pauseUs") long pauseUs)
+            implements Event {}
 
     /**
      * The router took a server back.
      *
      * @param server which
      */
-    record Returned(String server) implements Event {}
+    @StoredName("Returned")
+    record Returned(@StoredName("server") String server) implements Event {}
 
     /**
      * How the front was in the last second.
@@ -225,16 +277,24 @@
      * @param heapBytes memory in use; 0 where it is not known
      * @param lateUs the longest that a due timer waited
      */
-    record Pulse(int open, int queued, long heapBytes, long lateUs) implements Event {}
+    @StoredName("Pulse")
+    record Pulse(
+            @StoredName("open") int open,
+            @StoredName("queued") int queued,
+            @StoredName("heapBytes") long heapBytes,
+            @StoredName("lateUs") long lateUs)
+            implements Event {}
 
     /**
      * A planned end began.
      *
      * @param answerAllUs when all will be answered
      */
-    record Draining(long answerAllUs) implements Event {}
+    @StoredName("Draining")
+    record Draining(@StoredName("answerAllUs") long answerAllUs) implements Event {}
 
     /** A planned end; the last event of a life. */
+    @StoredName("Finished")
     record Finished() implements Event {}
 
     /**
@@ -242,5 +302,6 @@
      *
      * @param events how many; their numbers are missing
      */
-    record Lost(long events) implements Event {}
+    @StoredName("Lost")
+    record Lost(@StoredName("events") long events) implements Event {}
 }
--- a/src/main/java/petrelplank/record/TraceLines.java
+++ b/src/main/java/petrelplank/record/TraceLines.java
@@ -33,8 +33,8 @@
                     e.type(),
                     e.server(),
                     e.source(),
-                    e.status(),
-                    e.note(),
+                    StoredNames.of(e.status()),
+                    StoredNames.of(e.note()),
                     e.latencyUs(),
                     e.waitedUs(),
                     e.bytes(),
@@ -45,16 +45,25 @@
                     "answered",
                     Long.toHexString(e.request()),
                     e.type(),
-                    e.kind(),
+                    StoredNames.of(e.kind()),
                     e.latencyUs(),
                     e.bytes(),
                     e.inTime(),
-                    e.why());
+                    e.why() == null ? null : StoredNames.of(e.why()));
         } else if (event instanceof Event.Taken e) {
             line(unixUs, "taken", Long.toHexString(e.request()), e.type(), Long.toHexString(e.object()), e.group());
         } else if (event instanceof Event.Listed e) {
             for (Event.Server s : e.servers()) {
-                line(unixUs, "listed", e.index(), s.id(), s.zone(), s.kind(), s.state(), s.weight(), s.startedUs());
+                line(
+                        unixUs,
+                        "listed",
+                        e.index(),
+                        s.id(),
+                        s.zone(),
+                        s.kind(),
+                        StoredNames.of(s.state()),
+                        s.weight(),
+                        s.startedUs());
             }
         } else if (event instanceof Event.Purged e) {
             line(
@@ -75,7 +84,7 @@
         } else if (event instanceof Event.Lost e) {
             line(unixUs, "lost", e.events());
         } else if (event instanceof Event.TurnedAway e) {
-            line(unixUs, "turned", e.request(), e.type(), e.kind());
+            line(unixUs, "turned", e.request(), e.type(), StoredNames.of(e.kind()));
         }
         if (lines.length() >= BATCH) {
             flush();
--- a/src/main/java/petrelplank/report/Summary.java
+++ b/src/main/java/petrelplank/report/Summary.java
@@ -79,7 +79,7 @@
     }
 
     static String kind(Finding.Kind kind) {
-        return kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        return kind.label().replace('-', ' ');
     }
 
     static String time(long us) {
