--- a/src/main/java/petrelplank/analysis/Course.java
+++ b/src/main/java/petrelplank/analysis/Course.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import petrelplank.decision.Events.State;
 import petrelplank.record.Event;
+import petrelplank.routing.Events.State;
 
 /** The figures of a fold, worked out once from all that is known. */
 public final class Course {
--- a/src/main/java/petrelplank/analysis/Diagnosis.java
+++ b/src/main/java/petrelplank/analysis/Diagnosis.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.time.Instant;
 import java.time.ZoneOffset;
--- a/src/main/java/petrelplank/analysis/Finding.java
+++ b/src/main/java/petrelplank/analysis/Finding.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/petrelplank/analysis/Fleet.java
+++ b/src/main/java/petrelplank/analysis/Fleet.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import petrelplank.decision.Events.State;
 import petrelplank.record.Event;
 import petrelplank.record.StoredNames;
+import petrelplank.routing.Events.State;
 
 /** The fleet at a time, as the fronts that lived then had been told and believed. */
 public final class Fleet {
--- a/src/main/java/petrelplank/analysis/Fold.java
+++ b/src/main/java/petrelplank/analysis/Fold.java
@@ -1,12 +1,12 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.util.Collection;
 import java.util.Map;
 import java.util.TreeMap;
-import petrelplank.decision.Events.Status;
 import petrelplank.record.Entry;
 import petrelplank.record.Event;
 import petrelplank.record.StoredNames;
+import petrelplank.routing.Events.Status;
 
 /**
  * Folds entries into the course of an incident. Whatever order they come in, and however often one comes, the state
--- a/src/main/java/petrelplank/analysis/Life.java
+++ b/src/main/java/petrelplank/analysis/Life.java
@@ -1,12 +1,12 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import petrelplank.decision.Events.State;
 import petrelplank.record.Event;
+import petrelplank.routing.Events.State;
 
 /** One life of a front: what its entries say, each counted once. */
 public final class Life {
--- a/src/main/java/petrelplank/analysis/Peer.java
+++ b/src/main/java/petrelplank/analysis/Peer.java
@@ -1,14 +1,14 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Status;
 import petrelplank.record.Event;
 import petrelplank.record.StoredNames;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Status;
 
 /** What all fronts together saw of one server. */
 public final class Peer {
--- a/src/main/java/petrelplank/analysis/Trace.java
+++ b/src/main/java/petrelplank/analysis/Trace.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/main/java/petrelplank/cli/DrillCommand.java
+++ b/src/main/java/petrelplank/cli/DrillCommand.java
@@ -1,7 +1,7 @@
 package petrelplank.cli;
 
 import java.io.IOException;
-import petrelplank.adapter.Drill;
+import petrelplank.simulator.Drill;
 
 /** {@code drill}: the same decisions on the simulator's wire. */
 public final class DrillCommand extends Helpful implements Command {
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -1,11 +1,11 @@
 package petrelplank.cli;
 
 import java.util.logging.Logger;
-import petrelplank.client.ClientAcceptor;
-import petrelplank.front.EventLoop;
-import petrelplank.front.Front;
-import petrelplank.socket.BoundedAcceptor;
-import petrelplank.socket.SharedProcessor;
+import petrelplank.fastcgi.ClientAcceptor;
+import petrelplank.proxy.EventLoop;
+import petrelplank.proxy.Front;
+import petrelplank.transport.BoundedAcceptor;
+import petrelplank.transport.SharedProcessor;
 
 /**
  * The planned end of a front, after SIGTERM: it listens and takes requests a while longer, answers all that is open,
--- a/src/main/java/petrelplank/discovery/EventDecoder.java
+++ b/src/main/java/petrelplank/discovery/EventDecoder.java
@@ -1,4 +1,4 @@
-package petrelplank.coordinator;
+package petrelplank.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -6,9 +6,9 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.State;
-import petrelplank.front.ListEvent;
+import petrelplank.proxy.ListEvent;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.State;
 import petrelplank.settings.Addresses;
 import petrelplank.settings.Fields;
 import petrelplank.settings.FormatException;
--- a/src/main/java/petrelplank/discovery/Follower.java
+++ b/src/main/java/petrelplank/discovery/Follower.java
@@ -1,4 +1,4 @@
-package petrelplank.coordinator;
+package petrelplank.discovery;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -9,10 +9,10 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import petrelplank.coldstart.ListCalls;
-import petrelplank.front.EventLoop;
-import petrelplank.front.Front;
-import petrelplank.front.ListEvent;
+import petrelplank.discovery.backoff.ListCalls;
+import petrelplank.proxy.EventLoop;
+import petrelplank.proxy.Front;
+import petrelplank.proxy.ListEvent;
 import petrelplank.settings.FormatException;
 
 /**
--- a/src/main/java/petrelplank/discovery/LineSplitter.java
+++ b/src/main/java/petrelplank/discovery/LineSplitter.java
@@ -1,4 +1,4 @@
-package petrelplank.coordinator;
+package petrelplank.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/petrelplank/discovery/backoff/ListCalls.java
+++ b/src/main/java/petrelplank/discovery/backoff/ListCalls.java
@@ -1,4 +1,4 @@
-package petrelplank.coldstart;
+package petrelplank.discovery.backoff;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/petrelplank/emulator/Catalogue.java
+++ b/src/main/java/petrelplank/emulator/Catalogue.java
@@ -9,10 +9,10 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
-import petrelplank.decision.Hash;
-import petrelplank.decision.Site.Repeat;
-import petrelplank.decision.Site.Scope;
-import petrelplank.decision.Site.ServiceClass;
+import petrelplank.routing.Hash;
+import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.Site.Scope;
+import petrelplank.routing.Site.ServiceClass;
 
 /** What is asked for: classes, objects, their sizes and popularity. */
 final class Catalogue {
--- a/src/main/java/petrelplank/emulator/EmulatedFront.java
+++ b/src/main/java/petrelplank/emulator/EmulatedFront.java
@@ -3,17 +3,17 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
-import petrelplank.decision.Settings;
-import petrelplank.front.Attempt;
-import petrelplank.front.ClientRequest;
-import petrelplank.front.EventLoop;
-import petrelplank.front.Front;
-import petrelplank.front.ListEvent;
-import petrelplank.front.Relay;
-import petrelplank.front.ResponseChannel;
-import petrelplank.front.ServerAnswer;
-import petrelplank.front.Servers;
+import petrelplank.proxy.Attempt;
+import petrelplank.proxy.ClientRequest;
+import petrelplank.proxy.EventLoop;
+import petrelplank.proxy.Front;
+import petrelplank.proxy.ListEvent;
+import petrelplank.proxy.Relay;
+import petrelplank.proxy.ResponseChannel;
+import petrelplank.proxy.ServerAnswer;
+import petrelplank.proxy.Servers;
 import petrelplank.record.EventSink;
+import petrelplank.routing.Settings;
 
 /** One life of a front: the real stages and the real decision module, on simulated time and messages. */
 final class EmulatedFront implements Servers {
--- a/src/main/java/petrelplank/emulator/Truth.java
+++ b/src/main/java/petrelplank/emulator/Truth.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 import java.util.function.LongToIntFunction;
 import org.HdrHistogram.Histogram;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Site.ServiceClass;
-import petrelplank.front.Answer;
-import petrelplank.front.Attempt;
-import petrelplank.front.ListEvent;
-import petrelplank.front.ServerAnswer;
+import petrelplank.proxy.Answer;
+import petrelplank.proxy.Attempt;
+import petrelplank.proxy.ListEvent;
+import petrelplank.proxy.ServerAnswer;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Site.ServiceClass;
 
 /**
  * What happened, as the emulator saw it at the clients' and the servers' ends of the sockets. It knows nothing of
--- a/src/main/java/petrelplank/fastcgi/ClientAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/ClientAcceptor.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,11 +9,11 @@
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
-import petrelplank.client.ClientConnection.State;
-import petrelplank.front.EventLoop;
-import petrelplank.front.Front;
-import petrelplank.socket.BoundedAcceptor;
-import petrelplank.socket.Share;
+import petrelplank.fastcgi.ClientConnection.State;
+import petrelplank.proxy.EventLoop;
+import petrelplank.proxy.Front;
+import petrelplank.transport.BoundedAcceptor;
+import petrelplank.transport.Share;
 
 /** The clients' side: FastCGI responder on MINA. Requests are posted to the event thread, answers come from it. */
 public final class ClientAcceptor {
--- a/src/main/java/petrelplank/fastcgi/ClientConnection.java
+++ b/src/main/java/petrelplank/fastcgi/ClientConnection.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.session.IoSession;
-import petrelplank.front.Answer;
-import petrelplank.front.ClientRequest;
-import petrelplank.front.EventLoop;
+import petrelplank.proxy.Answer;
+import petrelplank.proxy.ClientRequest;
+import petrelplank.proxy.EventLoop;
 
 /** One connection; records are read in its I/O thread, answers are written from the event thread. */
 final class ClientConnection implements Assembler.Listener {
--- a/src/main/java/petrelplank/fastcgi/ClientFaults.java
+++ b/src/main/java/petrelplank/fastcgi/ClientFaults.java
@@ -1,7 +1,7 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.util.logging.Logger;
-import petrelplank.socket.Share;
+import petrelplank.transport.Share;
 
 /** Counts what goes wrong on the clients' side, and tells of it in few lines. Event thread only. */
 final class ClientFaults {
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -1,7 +1,7 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
-import petrelplank.front.Answer;
-import petrelplank.front.ResponseChannel;
+import petrelplank.proxy.Answer;
+import petrelplank.proxy.ResponseChannel;
 
 /** The way back to a FastCGI client, for one request on its connection. */
 final class FastCgiResponseChannel implements ResponseChannel {
--- a/src/main/java/petrelplank/fastcgi/MalformedException.java
+++ b/src/main/java/petrelplank/fastcgi/MalformedException.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 /** A client's bytes that make no FastCGI; the connection can't be used further. */
 final class MalformedException extends RuntimeException {
--- a/src/main/java/petrelplank/fastcgi/Params.java
+++ b/src/main/java/petrelplank/fastcgi/Params.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
--- a/src/main/java/petrelplank/fastcgi/Record.java
+++ b/src/main/java/petrelplank/fastcgi/Record.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 /**
  * One FastCGI record.
--- a/src/main/java/petrelplank/fastcgi/RecordEncoder.java
+++ b/src/main/java/petrelplank/fastcgi/RecordEncoder.java
@@ -1,8 +1,8 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-import petrelplank.front.Answer;
+import petrelplank.proxy.Answer;
 
 /** Writes answers as FastCGI records. */
 final class RecordEncoder {
--- a/src/main/java/petrelplank/fastcgi/RecordParser.java
+++ b/src/main/java/petrelplank/fastcgi/RecordParser.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
--- a/src/main/java/petrelplank/fastcgi/RequestDecoder.java
+++ b/src/main/java/petrelplank/fastcgi/RequestDecoder.java
@@ -1,7 +1,7 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.util.Map;
-import petrelplank.front.ClientRequest;
+import petrelplank.proxy.ClientRequest;
 
 /** Makes requests of a web server's parameters. Any thread. */
 final class RequestDecoder {
--- a/src/main/java/petrelplank/fastcgi/WarmUp.java
+++ b/src/main/java/petrelplank/fastcgi/WarmUp.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/petrelplank/proxy/Admit.java
+++ b/src/main/java/petrelplank/proxy/Admit.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/petrelplank/proxy/Answer.java
+++ b/src/main/java/petrelplank/proxy/Answer.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 /**
  * A final answer to a client.
--- a/src/main/java/petrelplank/proxy/Attempt.java
+++ b/src/main/java/petrelplank/proxy/Attempt.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 /** One attempt of an exchange. */
 public final class Attempt {
--- a/src/main/java/petrelplank/proxy/Book.java
+++ b/src/main/java/petrelplank/proxy/Book.java
@@ -1,7 +1,7 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.logging.Logger;
-import petrelplank.decision.Router;
+import petrelplank.routing.Router;
 
 /** Stage 6: gives each exchange its one final answer, keeps the counts, and forgets what is over. */
 final class Book {
--- a/src/main/java/petrelplank/proxy/ClientRequest.java
+++ b/src/main/java/petrelplank/proxy/ClientRequest.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 /**
  * What a client asks, whatever protocol it came by.
--- a/src/main/java/petrelplank/proxy/Exchange.java
+++ b/src/main/java/petrelplank/proxy/Exchange.java
@@ -1,8 +1,8 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.ArrayList;
 import java.util.List;
-import petrelplank.decision.Events.Note;
+import petrelplank.routing.Events.Note;
 
 /** A request that was taken, with its attempts, until its answer is out and the last attempt has ended. */
 final class Exchange {
--- a/src/main/java/petrelplank/proxy/Fetch.java
+++ b/src/main/java/petrelplank/proxy/Fetch.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 /**
  * What is asked of a cache, a parent or the origin.
--- a/src/main/java/petrelplank/proxy/Front.java
+++ b/src/main/java/petrelplank/proxy/Front.java
@@ -1,15 +1,15 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.BiFunction;
-import petrelplank.decision.Brain;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Router;
-import petrelplank.decision.Settings;
 import petrelplank.record.EventSink;
+import petrelplank.routing.Brain;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Router;
+import petrelplank.routing.Settings;
 
 /** The front: the stages, the router and its actions, and the list of servers. Event thread only. */
 public final class Front {
--- a/src/main/java/petrelplank/proxy/ListEvent.java
+++ b/src/main/java/petrelplank/proxy/ListEvent.java
@@ -1,8 +1,8 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import petrelplank.decision.Events.Member;
+import petrelplank.routing.Events.Member;
 
 /** A numbered event of the coordinator. */
 public sealed interface ListEvent {
--- a/src/main/java/petrelplank/proxy/Rehearsal.java
+++ b/src/main/java/petrelplank/proxy/Rehearsal.java
@@ -1,16 +1,16 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.List;
-import petrelplank.decision.Brain;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Order;
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.Request;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Router;
-import petrelplank.decision.Settings;
-import petrelplank.decision.Site.ServiceClass;
+import petrelplank.routing.Brain;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Order;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.Request;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Router;
+import petrelplank.routing.Settings;
+import petrelplank.routing.Site.ServiceClass;
 
 /**
  * Lets a router of its own decide on made-up requests, whose orders go nowhere, so that the decisions are compiled
--- a/src/main/java/petrelplank/proxy/Relay.java
+++ b/src/main/java/petrelplank/proxy/Relay.java
@@ -1,8 +1,8 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Router;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Router;
 
 /**
  * Stage 5: the first served answer goes to the client; the router hears of every end.
--- a/src/main/java/petrelplank/proxy/ResponseChannel.java
+++ b/src/main/java/petrelplank/proxy/ResponseChannel.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 /** The way back to the client that sent a request: takes its one final answer. */
 public interface ResponseChannel {
--- a/src/main/java/petrelplank/proxy/Route.java
+++ b/src/main/java/petrelplank/proxy/Route.java
@@ -1,11 +1,11 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.Set;
 import java.util.stream.Collectors;
-import petrelplank.decision.Events.Request;
-import petrelplank.decision.Router;
-import petrelplank.decision.Settings;
-import petrelplank.decision.Site.ServiceClass;
+import petrelplank.routing.Events.Request;
+import petrelplank.routing.Router;
+import petrelplank.routing.Settings;
+import petrelplank.routing.Site.ServiceClass;
 
 /** Stage 3: asks the router, which answers by its actions before this returns. */
 final class Route {
--- a/src/main/java/petrelplank/proxy/RouterActions.java
+++ b/src/main/java/petrelplank/proxy/RouterActions.java
@@ -1,10 +1,10 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.logging.Logger;
-import petrelplank.decision.Events.GivenUp;
-import petrelplank.decision.Events.Order;
-import petrelplank.decision.Router;
-import petrelplank.decision.Router.Actions;
+import petrelplank.routing.Events.GivenUp;
+import petrelplank.routing.Events.Order;
+import petrelplank.routing.Router;
+import petrelplank.routing.Router.Actions;
 
 /** Carries the router's decisions out: attempts, final answers, timers. Event thread only. */
 final class RouterActions implements Actions {
--- a/src/main/java/petrelplank/proxy/Scribe.java
+++ b/src/main/java/petrelplank/proxy/Scribe.java
@@ -1,16 +1,16 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import petrelplank.decision.Events.GivenUp;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Settings;
-import petrelplank.decision.Site.ServiceClass;
 import petrelplank.record.Event;
 import petrelplank.record.EventSink;
+import petrelplank.routing.Events.GivenUp;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Settings;
+import petrelplank.routing.Site.ServiceClass;
 
 /** Makes events of what the stages do, where records are on; else does nothing. Event thread only. */
 final class Scribe {
--- a/src/main/java/petrelplank/proxy/Send.java
+++ b/src/main/java/petrelplank/proxy/Send.java
@@ -1,12 +1,12 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.Set;
 import java.util.stream.Collectors;
-import petrelplank.decision.Events.Order;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Settings;
-import petrelplank.decision.Site.Repeat;
-import petrelplank.decision.Site.ServiceClass;
+import petrelplank.routing.Events.Order;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Settings;
+import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.Site.ServiceClass;
 
 /** Stage 4: turns the router's orders into attempts, and watches their time. */
 final class Send {
--- a/src/main/java/petrelplank/proxy/ServerAnswer.java
+++ b/src/main/java/petrelplank/proxy/ServerAnswer.java
@@ -1,7 +1,7 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Status;
 
 /**
  * How a server answered.
--- a/src/main/java/petrelplank/proxy/Servers.java
+++ b/src/main/java/petrelplank/proxy/Servers.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.net.InetSocketAddress;
 
--- a/src/main/java/petrelplank/proxy/TakeIn.java
+++ b/src/main/java/petrelplank/proxy/TakeIn.java
@@ -1,11 +1,11 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import petrelplank.decision.Settings;
-import petrelplank.decision.Site.Repeat;
-import petrelplank.decision.Site.ServiceClass;
+import petrelplank.routing.Settings;
+import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.Site.ServiceClass;
 
 /**
  * Stage 1: makes an exchange of what a client asked. What can't be passed on as it is, is answered here, since
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -1,11 +1,11 @@
 package petrelplank.record;
 
 import java.util.List;
-import petrelplank.decision.Events.GivenUp;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Site.Repeat;
+import petrelplank.routing.Events.GivenUp;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Site.Repeat;
 
 /**
  * What a front writes down: one fact each, as the front knew it then. Every type here is a record of the file's
--- a/src/main/java/petrelplank/report/Page.java
+++ b/src/main/java/petrelplank/report/Page.java
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Function;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
-import petrelplank.incident.Course;
-import petrelplank.incident.Diagnosis;
-import petrelplank.incident.Finding;
-import petrelplank.incident.Fleet;
-import petrelplank.incident.Life;
-import petrelplank.incident.Peer;
-import petrelplank.incident.Sums;
+import petrelplank.analysis.Course;
+import petrelplank.analysis.Diagnosis;
+import petrelplank.analysis.Finding;
+import petrelplank.analysis.Fleet;
+import petrelplank.analysis.Life;
+import petrelplank.analysis.Peer;
+import petrelplank.analysis.Sums;
 import petrelplank.record.Event;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
 
 /** The report as one HTML page that needs nothing else. */
 public final class Page {
--- a/src/main/java/petrelplank/report/Summary.java
+++ b/src/main/java/petrelplank/report/Summary.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.Locale;
-import petrelplank.incident.Course;
-import petrelplank.incident.Diagnosis;
-import petrelplank.incident.Finding;
-import petrelplank.incident.Sums;
+import petrelplank.analysis.Course;
+import petrelplank.analysis.Diagnosis;
+import petrelplank.analysis.Finding;
+import petrelplank.analysis.Sums;
 import petrelplank.record.Event;
 
 /** The report in a terminal: some lines of text. */
--- a/src/main/java/petrelplank/routing/Brain.java
+++ b/src/main/java/petrelplank/routing/Brain.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.SplittableRandom;
-import petrelplank.decision.Live.Try;
-import petrelplank.decision.Node.Role;
+import petrelplank.routing.Live.Try;
+import petrelplank.routing.Node.Role;
 
 /**
  * The decision module; its interface is Router.java. {@link #request} and {@link #outcome} both end in {@link
--- a/src/main/java/petrelplank/routing/Checks.java
+++ b/src/main/java/petrelplank/routing/Checks.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 /** Checks of figures that settings tell. */
 final class Checks {
--- a/src/main/java/petrelplank/routing/Events.java
+++ b/src/main/java/petrelplank/routing/Events.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 /** What a router is told of servers, requests and attempts, and what it orders. */
 public interface Events {
--- a/src/main/java/petrelplank/routing/Hash.java
+++ b/src/main/java/petrelplank/routing/Hash.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 /** Hash functions, the same at every gateway. */
 public final class Hash {
--- a/src/main/java/petrelplank/routing/Node.java
+++ b/src/main/java/petrelplank/routing/Node.java
@@ -1,6 +1,6 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
-import petrelplank.decision.Events.State;
+import petrelplank.routing.Events.State;
 
 /** A listed server with what this gateway knows of it: notes of the decision module, no decisions. */
 final class Node {
--- a/src/main/java/petrelplank/routing/Rate.java
+++ b/src/main/java/petrelplank/routing/Rate.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 /** A rate that fades: work per microsecond over about the last {@code windowUs}. */
 final class Rate {
--- a/src/main/java/petrelplank/routing/Router.java
+++ b/src/main/java/petrelplank/routing/Router.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import java.util.List;
 
--- a/src/main/java/petrelplank/routing/Settings.java
+++ b/src/main/java/petrelplank/routing/Settings.java
@@ -1,12 +1,12 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import java.util.List;
-import petrelplank.decision.Site.Allowed;
-import petrelplank.decision.Site.Notes;
-import petrelplank.decision.Site.Rules;
-import petrelplank.decision.Site.ServiceClass;
-import petrelplank.decision.Site.Tenant;
-import petrelplank.decision.Site.Weights;
+import petrelplank.routing.Site.Allowed;
+import petrelplank.routing.Site.Notes;
+import petrelplank.routing.Site.Rules;
+import petrelplank.routing.Site.ServiceClass;
+import petrelplank.routing.Site.Tenant;
+import petrelplank.routing.Site.Weights;
 
 /**
  * What an instance is told at its start.
--- a/src/main/java/petrelplank/routing/Site.java
+++ b/src/main/java/petrelplank/routing/Site.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 /** What an instance of the router is told at its start. All durations are microseconds. */
 public interface Site {
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import petrelplank.decision.Settings;
+import petrelplank.routing.Settings;
 
 /**
  * What a front is told at its start.
--- a/src/main/java/petrelplank/settings/Setup.java
+++ b/src/main/java/petrelplank/settings/Setup.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import petrelplank.decision.Settings;
-import petrelplank.decision.Site.Allowed;
-import petrelplank.decision.Site.Notes;
-import petrelplank.decision.Site.Repeat;
-import petrelplank.decision.Site.Rules;
-import petrelplank.decision.Site.Scope;
-import petrelplank.decision.Site.ServiceClass;
-import petrelplank.decision.Site.Siblings;
-import petrelplank.decision.Site.Tenant;
-import petrelplank.decision.Site.Weights;
+import petrelplank.routing.Settings;
+import petrelplank.routing.Site.Allowed;
+import petrelplank.routing.Site.Notes;
+import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.Site.Rules;
+import petrelplank.routing.Site.Scope;
+import petrelplank.routing.Site.ServiceClass;
+import petrelplank.routing.Site.Siblings;
+import petrelplank.routing.Site.Tenant;
+import petrelplank.routing.Site.Weights;
 
 /**
  * Reads the settings that the wire's first message carries. What is absent has the most careful value or the one that
--- a/src/main/java/petrelplank/simulator/Drill.java
+++ b/src/main/java/petrelplank/simulator/Drill.java
@@ -1,4 +1,4 @@
-package petrelplank.adapter;
+package petrelplank.simulator;
 
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
--- a/src/main/java/petrelplank/simulator/EventFields.java
+++ b/src/main/java/petrelplank/simulator/EventFields.java
@@ -1,12 +1,12 @@
-package petrelplank.adapter;
+package petrelplank.simulator;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
 import petrelplank.settings.Fields;
 import petrelplank.settings.FormatException;
 
--- a/src/main/java/petrelplank/simulator/Reply.java
+++ b/src/main/java/petrelplank/simulator/Reply.java
@@ -1,12 +1,12 @@
-package petrelplank.adapter;
+package petrelplank.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.HexFormat;
 import java.util.function.Supplier;
-import petrelplank.decision.Events.Order;
-import petrelplank.decision.Router;
+import petrelplank.routing.Events.Order;
+import petrelplank.routing.Router;
 
 /** Writes one instance's actions into the reply. */
 final class Reply implements Router.Actions {
--- a/src/main/java/petrelplank/simulator/Wire.java
+++ b/src/main/java/petrelplank/simulator/Wire.java
@@ -1,4 +1,4 @@
-package petrelplank.adapter;
+package petrelplank.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import petrelplank.decision.Brain;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.Request;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Router;
+import petrelplank.routing.Brain;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.Request;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Router;
 import petrelplank.settings.Fields;
 import petrelplank.settings.FormatException;
 import petrelplank.settings.JsonValue;
--- a/src/main/java/petrelplank/transport/BoundedAcceptor.java
+++ b/src/main/java/petrelplank/transport/BoundedAcceptor.java
@@ -1,4 +1,4 @@
-package petrelplank.socket;
+package petrelplank.transport;
 
 import java.nio.channels.ServerSocketChannel;
 import java.util.function.BooleanSupplier;
--- a/src/main/java/petrelplank/transport/Share.java
+++ b/src/main/java/petrelplank/transport/Share.java
@@ -1,4 +1,4 @@
-package petrelplank.socket;
+package petrelplank.transport;
 
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/petrelplank/transport/SharedProcessor.java
+++ b/src/main/java/petrelplank/transport/SharedProcessor.java
@@ -1,4 +1,4 @@
-package petrelplank.socket;
+package petrelplank.transport;
 
 import java.io.IOException;
 import java.nio.channels.SelectionKey;
--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -1,8 +1,8 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.nio.charset.StandardCharsets;
 import java.util.StringJoiner;
-import petrelplank.front.Fetch;
+import petrelplank.proxy.Fetch;
 
 /** Writes commands to caches, parents and the origin. */
 final class CommandEncoder {
--- a/src/main/java/petrelplank/upstream/CommandQueue.java
+++ b/src/main/java/petrelplank/upstream/CommandQueue.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
--- a/src/main/java/petrelplank/upstream/ConnectionLimits.java
+++ b/src/main/java/petrelplank/upstream/ConnectionLimits.java
@@ -1,6 +1,6 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
-import petrelplank.socket.Share;
+import petrelplank.transport.Share;
 
 /**
  * Limits on the connections to servers.
--- a/src/main/java/petrelplank/upstream/LineParser.java
+++ b/src/main/java/petrelplank/upstream/LineParser.java
@@ -1,12 +1,12 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Status;
-import petrelplank.front.ServerAnswer;
+import petrelplank.proxy.ServerAnswer;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Status;
 
 /** Reads answers of caches, parents and the origin, cut anywhere; every length has a limit. */
 final class LineParser {
--- a/src/main/java/petrelplank/upstream/MalformedException.java
+++ b/src/main/java/petrelplank/upstream/MalformedException.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 /** A server's bytes that make no answer; the connection can't be used further. */
 final class MalformedException extends RuntimeException {
--- a/src/main/java/petrelplank/upstream/Server.java
+++ b/src/main/java/petrelplank/upstream/Server.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/petrelplank/upstream/ServerConnection.java
+++ b/src/main/java/petrelplank/upstream/ServerConnection.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.apache.mina.core.future.DefaultWriteFuture;
 import org.apache.mina.core.session.IoSession;
-import petrelplank.front.Attempt;
+import petrelplank.proxy.Attempt;
 
 /** One connection to a server, from its first use to its close, with what is open on it. Event thread only. */
 final class ServerConnection {
--- a/src/main/java/petrelplank/upstream/ServerHandler.java
+++ b/src/main/java/petrelplank/upstream/ServerHandler.java
@@ -1,12 +1,12 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
-import petrelplank.front.EventLoop;
-import petrelplank.front.ServerAnswer;
+import petrelplank.proxy.EventLoop;
+import petrelplank.proxy.ServerAnswer;
 
 /** MINA's side of the connections to servers: parses, and posts typed values to the event thread. */
 final class ServerHandler extends IoHandlerAdapter {
--- a/src/main/java/petrelplank/upstream/ServerPool.java
+++ b/src/main/java/petrelplank/upstream/ServerPool.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -10,13 +10,13 @@
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.future.IoFutureListener;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import petrelplank.decision.Events.Status;
-import petrelplank.front.Attempt;
-import petrelplank.front.EventLoop;
-import petrelplank.front.Fetch;
-import petrelplank.front.Relay;
-import petrelplank.front.ServerAnswer;
-import petrelplank.front.Servers;
+import petrelplank.proxy.Attempt;
+import petrelplank.proxy.EventLoop;
+import petrelplank.proxy.Fetch;
+import petrelplank.proxy.Relay;
+import petrelplank.proxy.ServerAnswer;
+import petrelplank.proxy.Servers;
+import petrelplank.routing.Events.Status;
 
 /**
  * The connections to servers, by server id: an address may pass from one that has gone to a new one. All state
--- a/src/main/java/petrelplank/upstream/StalledConnections.java
+++ b/src/main/java/petrelplank/upstream/StalledConnections.java
@@ -1,8 +1,8 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.util.List;
 import java.util.Set;
-import petrelplank.front.EventLoop;
+import petrelplank.proxy.EventLoop;
 
 /**
  * Closes connections on which nothing moves any more. An answer that stops short hides all that comes behind it, while
--- a/src/main/java/petrelplank/upstream/Withdrawals.java
+++ b/src/main/java/petrelplank/upstream/Withdrawals.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import petrelplank.front.Attempt;
+import petrelplank.proxy.Attempt;
 
 /**
  * Guards sites that allow no second copies: an attempt is out at its server until it is given up on the wire, so that
--- a/src/test/java/petrelplank/ArchitectureTest.java
+++ b/src/test/java/petrelplank/ArchitectureTest.java
@@ -23,15 +23,16 @@
     void decisionsDependOnNothingElse() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..decision..", "..coldstart..")
+                .resideInAnyPackage("..routing..", "..discovery.backoff..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "petrelplank.front..",
-                        "petrelplank.client..",
-                        "petrelplank.server..",
+                        "petrelplank.proxy..",
+                        "petrelplank.fastcgi..",
+                        "petrelplank.upstream..",
                         "petrelplank.record..",
                         "petrelplank.cli..",
+                        "petrelplank.discovery",
                         "java.io..",
                         "java.net..",
                         "java.nio..")
@@ -42,7 +43,7 @@
     void modulesThatDecideNeitherWaitNorReadNorLookAtTheClock() {
         noClasses()
                 .that()
-                .resideInAnyPackage("..decision..", "..coldstart..", "..incident..")
+                .resideInAnyPackage("..routing..", "..discovery.backoff..", "..analysis..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.io..", "java.net..", "java.nio..", "java.util.concurrent..")
@@ -50,7 +51,7 @@
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "..decision..", "..coldstart..", "..incident..", "..emulator..", "..front..", "..yaml..")
+                        "..routing..", "..discovery.backoff..", "..analysis..", "..emulator..", "..proxy..", "..yaml..")
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
@@ -60,7 +61,7 @@
                 .check(CLASSES);
         noClasses()
                 .that()
-                .resideInAnyPackage("..decision..", "..coldstart..", "..incident..", "..emulator..")
+                .resideInAnyPackage("..routing..", "..discovery.backoff..", "..analysis..", "..emulator..")
                 .should()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
@@ -73,11 +74,11 @@
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "..front..", "..client..", "..server..", "..coordinator..", "..settings..", "..socket..")
+                        "..proxy..", "..fastcgi..", "..upstream..", "..discovery..", "..settings..", "..transport..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "petrelplank.incident..",
+                        "petrelplank.analysis..",
                         "petrelplank.emulator..",
                         "petrelplank.report..",
                         "org.apache.avro..",
--- a/src/test/java/petrelplank/analysis/Emulated.java
+++ b/src/test/java/petrelplank/analysis/Emulated.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 /** An emulated incident with its entries kept in memory, and its truth. */
 record Emulated(List<Entry> entries, Map<String, Object> truth) {
     /** Kept, since the platform forgets loggers that nobody holds; lines of emulated fronts carry the wrong time. */
-    private static final Logger FRONTS = Logger.getLogger("petrelplank.front");
+    private static final Logger FRONTS = Logger.getLogger("petrelplank.proxy");
 
     static Emulated of(String scenario, long seed) throws IOException {
         return of(Scenario.of(scenario), seed);
--- a/src/test/java/petrelplank/analysis/FleetDays.java
+++ b/src/test/java/petrelplank/analysis/FleetDays.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.io.IOException;
 import java.util.List;
@@ -17,7 +17,7 @@
  */
 final class FleetDays {
     /** Kept, since the platform forgets loggers that nobody holds. */
-    private static final Logger FRONTS = Logger.getLogger("petrelplank.front");
+    private static final Logger FRONTS = Logger.getLogger("petrelplank.proxy");
 
     private FleetDays() {}
 
--- a/src/test/java/petrelplank/analysis/FoldTest.java
+++ b/src/test/java/petrelplank/analysis/FoldTest.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.State;
 import petrelplank.emulator.Scenario;
 import petrelplank.record.Entry;
 import petrelplank.record.Event;
+import petrelplank.routing.Events.State;
 import petrelplank.yaml.Yaml;
 
 class FoldTest {
@@ -108,8 +108,8 @@
                     null,
                     1,
                     7,
-                    petrelplank.decision.Events.Status.OK,
-                    petrelplank.decision.Events.Note.HIT,
+                    petrelplank.routing.Events.Status.OK,
+                    petrelplank.routing.Events.Note.HIT,
                     1_000,
                     0,
                     from / 1000,
--- a/src/test/java/petrelplank/analysis/StoredIncidentTest.java
+++ b/src/test/java/petrelplank/analysis/StoredIncidentTest.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/petrelplank/analysis/Volume.java
+++ b/src/test/java/petrelplank/analysis/Volume.java
@@ -1,4 +1,4 @@
-package petrelplank.incident;
+package petrelplank.analysis;
 
 import java.nio.file.Path;
 import petrelplank.emulator.Scenario;
--- a/src/test/java/petrelplank/cli/CloseUnderRequest.java
+++ b/src/test/java/petrelplank/cli/CloseUnderRequest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import petrelplank.client.FcgiClient;
+import petrelplank.fastcgi.FcgiClient;
 
 /**
  * How many requests end with their connection, at a real front whose processor is withheld: clients ask on
--- a/src/test/java/petrelplank/cli/ColdStartTest.java
+++ b/src/test/java/petrelplank/cli/ColdStartTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelplank.client.FcgiClient;
+import petrelplank.fastcgi.FcgiClient;
 
 /**
  * Fronts started at once as real processes, with the coordinator behind a relay that resets every stream: they serve
--- a/src/test/java/petrelplank/cli/FrontSignalsTest.java
+++ b/src/test/java/petrelplank/cli/FrontSignalsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelplank.client.FcgiClient;
-import petrelplank.server.FakeServer;
+import petrelplank.fastcgi.FcgiClient;
+import petrelplank.upstream.FakeServer;
 
 /** Signals to a real front process at odd moments. */
 @Tag("processes")
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -9,8 +9,8 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
-import petrelplank.client.FcgiClient;
-import petrelplank.server.FakeServer;
+import petrelplank.fastcgi.FcgiClient;
+import petrelplank.upstream.FakeServer;
 
 /** Connections of clients that the front closes: what is owed on them is answered whole, and read by the client. */
 class LoopbackCloseTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
@@ -13,8 +13,8 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import petrelplank.client.FcgiClient;
-import petrelplank.server.FakeServer;
+import petrelplank.fastcgi.FcgiClient;
+import petrelplank.upstream.FakeServer;
 
 /** Clients' connections and what they may take up, on loopback sockets. */
 class LoopbackConnectionsTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.client.FcgiClient;
-import petrelplank.server.FakeServer;
+import petrelplank.fastcgi.FcgiClient;
+import petrelplank.upstream.FakeServer;
 
 /** What the coordinator's stream and a new configuration tell, on loopback sockets. */
 class LoopbackDiscoveryTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Files;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import petrelplank.server.FakeServer;
 import petrelplank.settings.Configuration;
+import petrelplank.upstream.FakeServer;
 
 /** The planned end of a front, on loopback sockets. */
 class LoopbackDrainTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackFixture.java
+++ b/src/test/java/petrelplank/cli/LoopbackFixture.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
-import petrelplank.client.FcgiClient;
+import petrelplank.fastcgi.FcgiClient;
 import petrelplank.record.Event;
-import petrelplank.server.FakeServer;
 import petrelplank.settings.Configuration;
+import petrelplank.upstream.FakeServer;
 
 /** The whole front on loopback sockets, against scripted peers. Time-outs here only end a test that has failed. */
 abstract class LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackGoneClientsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackGoneClientsTest.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import petrelplank.client.FcgiClient;
+import petrelplank.fastcgi.FcgiClient;
 import petrelplank.record.Event;
-import petrelplank.server.FakeServer;
+import petrelplank.upstream.FakeServer;
 
 /** A client that closes its connection or cancels its request has gone: nothing is sent for it any more. */
 class LoopbackGoneClientsTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackListTest.java
@@ -8,9 +8,9 @@
 import java.nio.file.Files;
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
-import petrelplank.client.FcgiClient;
-import petrelplank.server.FakeServer;
+import petrelplank.fastcgi.FcgiClient;
 import petrelplank.settings.Configuration;
+import petrelplank.upstream.FakeServer;
 
 /** What a front does by what its coordinator says, on loopback sockets. */
 class LoopbackListTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
@@ -5,7 +5,7 @@
 
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
-import petrelplank.server.FakeServer;
+import petrelplank.upstream.FakeServer;
 
 /** Memory that open requests hold, on loopback sockets. */
 class LoopbackMemoryTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackServersTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackServersTest.java
@@ -7,7 +7,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
-import petrelplank.server.FakeServer;
+import petrelplank.upstream.FakeServer;
 
 /** Cache nodes that end in the middle of a connection or of an answer, on loopback sockets. */
 class LoopbackServersTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackTest.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import petrelplank.client.FcgiClient;
-import petrelplank.client.WarmUp;
-import petrelplank.server.FakeServer;
+import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.WarmUp;
 import petrelplank.settings.Configuration;
 import petrelplank.settings.FormatException;
+import petrelplank.upstream.FakeServer;
 
 /** Requests and their answers, on loopback sockets. */
 class LoopbackTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/LoopbackWritesTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackWritesTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.server.FakeServer;
+import petrelplank.upstream.FakeServer;
 
 /** Requests that may not simply be repeated, on loopback sockets. */
 class LoopbackWritesTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/OtherSiteTest.java
+++ b/src/test/java/petrelplank/cli/OtherSiteTest.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import petrelplank.record.Event;
-import petrelplank.server.FakeServer;
+import petrelplank.upstream.FakeServer;
 
 /** A site with other settings: no load reports, no probes, joined fills, copies with a short fresh time and long grace. */
 class OtherSiteTest extends LoopbackFixture {
--- a/src/test/java/petrelplank/cli/RecordingCost.java
+++ b/src/test/java/petrelplank/cli/RecordingCost.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import petrelplank.client.FcgiClient;
+import petrelplank.fastcgi.FcgiClient;
 
 /**
  * What recording costs: processor time of real fronts for each request, one with records and one without, as processes of
--- a/src/test/java/petrelplank/discovery/EventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/EventDecoderTest.java
@@ -1,4 +1,4 @@
-package petrelplank.coordinator;
+package petrelplank.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,8 +11,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.State;
-import petrelplank.front.ListEvent;
+import petrelplank.proxy.ListEvent;
+import petrelplank.routing.Events.State;
 import petrelplank.settings.FormatException;
 import petrelplank.wire.Cuts;
 
--- a/src/test/java/petrelplank/discovery/backoff/ListCallsTest.java
+++ b/src/test/java/petrelplank/discovery/backoff/ListCallsTest.java
@@ -1,4 +1,4 @@
-package petrelplank.coldstart;
+package petrelplank.discovery.backoff;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/src/test/java/petrelplank/fastcgi/RecordParserTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordParserTest.java
@@ -1,4 +1,4 @@
-package petrelplank.client;
+package petrelplank.fastcgi;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import petrelplank.front.Answer;
+import petrelplank.proxy.Answer;
 import petrelplank.wire.Cuts;
 
 class RecordParserTest implements Assembler.Listener {
--- a/src/test/java/petrelplank/proxy/Attempts.java
+++ b/src/test/java/petrelplank/proxy/Attempts.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 /** Attempts without a front, for tests of what carries them. */
 public final class Attempts {
--- a/src/test/java/petrelplank/proxy/EventLoopTest.java
+++ b/src/test/java/petrelplank/proxy/EventLoopTest.java
@@ -1,4 +1,4 @@
-package petrelplank.front;
+package petrelplank.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/petrelplank/routing/ColdBudgetTest.java
+++ b/src/test/java/petrelplank/routing/ColdBudgetTest.java
@@ -1,16 +1,16 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
-import static petrelplank.decision.Recorder.cache;
-import static petrelplank.decision.Recorder.parent;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.Recorder.cache;
+import static petrelplank.routing.Recorder.parent;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Order;
-import petrelplank.decision.Events.State;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Order;
+import petrelplank.routing.Events.State;
 
 /** Budgets of servers that have just started. */
 class ColdBudgetTest {
--- a/src/test/java/petrelplank/routing/ColdFleetTest.java
+++ b/src/test/java/petrelplank/routing/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Site.Notes;
-import petrelplank.decision.Site.Weights;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Site.Notes;
+import petrelplank.routing.Site.Weights;
 
 /**
  * A cold cache under the sum of what all gateways of its zone send, in simulated time. What it is sent is counted at
--- a/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
@@ -1,14 +1,14 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Status;
 
 /** How much is let out at once. */
 class ConcurrencyLimitTest {
--- a/src/test/java/petrelplank/routing/DecisionModuleTest.java
+++ b/src/test/java/petrelplank/routing/DecisionModuleTest.java
@@ -1,12 +1,12 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
-import static petrelplank.decision.Recorder.cache;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.Recorder.cache;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,11 +15,11 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
 
 /** The module as a whole: its size, odd input, and the same actions for the same events. */
 class DecisionModuleTest {
--- a/src/test/java/petrelplank/routing/EdgeChoiceTest.java
+++ b/src/test/java/petrelplank/routing/EdgeChoiceTest.java
@@ -1,18 +1,18 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
 
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
 
 /** Which cache is asked: rendezvous order, hot objects, reports of room. */
 class EdgeChoiceTest {
--- a/src/test/java/petrelplank/routing/MembershipTest.java
+++ b/src/test/java/petrelplank/routing/MembershipTest.java
@@ -1,24 +1,24 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
-import static petrelplank.decision.Recorder.cache;
-import static petrelplank.decision.Recorder.parent;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.Recorder.cache;
+import static petrelplank.routing.Recorder.parent;
 
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Order;
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Order;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
 
 /** Which servers are offered: lists, ejection and return. */
 class MembershipTest {
--- a/src/test/java/petrelplank/routing/OriginLinkTest.java
+++ b/src/test/java/petrelplank/routing/OriginLinkTest.java
@@ -1,16 +1,16 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Site.Notes;
-import petrelplank.decision.Site.Weights;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Site.Notes;
+import petrelplank.routing.Site.Weights;
 
 /**
  * The origin's link is thin: where too many fills share it, each crawls though its first byte came soon, and the fills
--- a/src/test/java/petrelplank/routing/OriginShareTest.java
+++ b/src/test/java/petrelplank/routing/OriginShareTest.java
@@ -1,17 +1,17 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
 
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
 
 /** How many misses may call an origin that is short, and what is done without a fill. */
 class OriginShareTest {
--- a/src/test/java/petrelplank/routing/PurgeTest.java
+++ b/src/test/java/petrelplank/routing/PurgeTest.java
@@ -1,14 +1,14 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
 
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Status;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Status;
 
 /** Ages of copies after a purge. */
 class PurgeTest {
--- a/src/test/java/petrelplank/routing/RecordedActions.java
+++ b/src/test/java/petrelplank/routing/RecordedActions.java
@@ -1,9 +1,9 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import petrelplank.decision.Events.Order;
+import petrelplank.routing.Events.Order;
 
 /** Writes down what a router does. */
 class RecordedActions implements Router.Actions {
--- a/src/test/java/petrelplank/routing/Recorder.java
+++ b/src/test/java/petrelplank/routing/Recorder.java
@@ -1,23 +1,23 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import petrelplank.decision.Events.Member;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Order;
-import petrelplank.decision.Events.Outcome;
-import petrelplank.decision.Events.Request;
-import petrelplank.decision.Events.State;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Site.Allowed;
-import petrelplank.decision.Site.Notes;
-import petrelplank.decision.Site.Repeat;
-import petrelplank.decision.Site.Rules;
-import petrelplank.decision.Site.Scope;
-import petrelplank.decision.Site.ServiceClass;
-import petrelplank.decision.Site.Siblings;
-import petrelplank.decision.Site.Weights;
+import petrelplank.routing.Events.Member;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Order;
+import petrelplank.routing.Events.Outcome;
+import petrelplank.routing.Events.Request;
+import petrelplank.routing.Events.State;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Site.Allowed;
+import petrelplank.routing.Site.Notes;
+import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.Site.Rules;
+import petrelplank.routing.Site.Scope;
+import petrelplank.routing.Site.ServiceClass;
+import petrelplank.routing.Site.Siblings;
+import petrelplank.routing.Site.Weights;
 
 /** A host that writes down what the router does, with short ways to script events. */
 final class Recorder extends RecordedActions {
--- a/src/test/java/petrelplank/routing/TenantsTest.java
+++ b/src/test/java/petrelplank/routing/TenantsTest.java
@@ -1,17 +1,17 @@
-package petrelplank.decision;
+package petrelplank.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static petrelplank.decision.Recorder.MS;
-import static petrelplank.decision.Recorder.S;
+import static petrelplank.routing.Recorder.MS;
+import static petrelplank.routing.Recorder.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Status;
-import petrelplank.decision.Site.Notes;
-import petrelplank.decision.Site.Tenant;
-import petrelplank.decision.Site.Weights;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Status;
+import petrelplank.routing.Site.Notes;
+import petrelplank.routing.Site.Tenant;
+import petrelplank.routing.Site.Weights;
 
 /** Where load must be shed, what lies over a tenant's allowance goes first; where there is room, all is served. */
 class TenantsTest {
--- a/src/test/java/petrelplank/settings/SettingsTest.java
+++ b/src/test/java/petrelplank/settings/SettingsTest.java
@@ -15,12 +15,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.decision.Settings;
-import petrelplank.decision.Site.Notes;
-import petrelplank.decision.Site.Repeat;
-import petrelplank.decision.Site.Scope;
-import petrelplank.decision.Site.Siblings;
-import petrelplank.decision.Site.Weights;
+import petrelplank.routing.Settings;
+import petrelplank.routing.Site.Notes;
+import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.Site.Scope;
+import petrelplank.routing.Site.Siblings;
+import petrelplank.routing.Site.Weights;
 
 /** Settings that are absent, of the wrong type or contradictory: the default that is documented, or place and rule. */
 class SettingsTest {
--- a/src/test/java/petrelplank/simulator/WireTest.java
+++ b/src/test/java/petrelplank/simulator/WireTest.java
@@ -1,4 +1,4 @@
-package petrelplank.adapter;
+package petrelplank.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/petrelplank/upstream/FakeServer.java
+++ b/src/test/java/petrelplank/upstream/FakeServer.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/test/java/petrelplank/upstream/LineParserTest.java
+++ b/src/test/java/petrelplank/upstream/LineParserTest.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import petrelplank.decision.Events.Note;
-import petrelplank.decision.Events.Status;
-import petrelplank.front.Fetch;
-import petrelplank.front.ServerAnswer;
+import petrelplank.proxy.Fetch;
+import petrelplank.proxy.ServerAnswer;
+import petrelplank.routing.Events.Note;
+import petrelplank.routing.Events.Status;
 import petrelplank.wire.Cuts;
 
 class LineParserTest {
--- a/src/test/java/petrelplank/upstream/ServerPoolTest.java
+++ b/src/test/java/petrelplank/upstream/ServerPoolTest.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/petrelplank/upstream/WithdrawnTest.java
+++ b/src/test/java/petrelplank/upstream/WithdrawnTest.java
@@ -1,4 +1,4 @@
-package petrelplank.server;
+package petrelplank.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,10 +14,10 @@
 import org.apache.mina.core.write.WriteRequest;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import petrelplank.front.Answer;
-import petrelplank.front.Attempt;
-import petrelplank.front.Attempts;
-import petrelplank.front.ResponseChannel;
+import petrelplank.proxy.Answer;
+import petrelplank.proxy.Attempt;
+import petrelplank.proxy.Attempts;
+import petrelplank.proxy.ResponseChannel;
 
 /** What is given up before it was written never is; what is given up half written goes with its connection. */
 class WithdrawnTest {
