--- a/src/main/java/petrelplank/analysis/Course.java
+++ b/src/main/java/petrelplank/analysis/Course.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import petrelplank.record.Event;
-import petrelplank.routing.Events.State;
+import petrelplank.routing.State;
 
 /** The figures of a fold, worked out once from all that is known. */
 public final class Course {
--- a/src/main/java/petrelplank/analysis/Fleet.java
+++ b/src/main/java/petrelplank/analysis/Fleet.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import petrelplank.record.Event;
 import petrelplank.record.StoredNames;
-import petrelplank.routing.Events.State;
+import petrelplank.routing.State;
 
 /** The fleet at a time, as the fronts that lived then had been told and believed. */
 public final class Fleet {
--- a/src/main/java/petrelplank/analysis/Fold.java
+++ b/src/main/java/petrelplank/analysis/Fold.java
@@ -6,7 +6,7 @@
 import petrelplank.record.Entry;
 import petrelplank.record.Event;
 import petrelplank.record.StoredNames;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Status;
 
 /**
  * Folds entries into the course of an incident. Whatever order they come in, and however often one comes, the state
--- a/src/main/java/petrelplank/analysis/Life.java
+++ b/src/main/java/petrelplank/analysis/Life.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import petrelplank.record.Event;
-import petrelplank.routing.Events.State;
+import petrelplank.routing.State;
 
 /** One life of a front: what its entries say, each counted once. */
 public final class Life {
--- a/src/main/java/petrelplank/analysis/Peer.java
+++ b/src/main/java/petrelplank/analysis/Peer.java
@@ -7,8 +7,8 @@
 import org.HdrHistogram.Histogram;
 import petrelplank.record.Event;
 import petrelplank.record.StoredNames;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Note;
+import petrelplank.routing.Status;
 
 /** What all fronts together saw of one server. */
 public final class Peer {
--- a/src/main/java/petrelplank/emulator/Box.java
+++ b/src/main/java/petrelplank/emulator/Box.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Note;
+import petrelplank.routing.Status;
 
 /** A cache of a branch or a hub: copies, a link out, fills that others join, and what may be wrong with it. */
 final class Box {
--- a/src/main/java/petrelplank/emulator/Catalogue.java
+++ b/src/main/java/petrelplank/emulator/Catalogue.java
@@ -10,9 +10,9 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 import petrelplank.routing.Hash;
-import petrelplank.routing.Site.Repeat;
-import petrelplank.routing.Site.Scope;
-import petrelplank.routing.Site.ServiceClass;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.Scope;
+import petrelplank.routing.ServiceClass;
 
 /** What is asked for: classes, objects, their sizes and popularity. */
 final class Catalogue {
--- a/src/main/java/petrelplank/emulator/Truth.java
+++ b/src/main/java/petrelplank/emulator/Truth.java
@@ -12,10 +12,10 @@
 import petrelplank.proxy.Attempt;
 import petrelplank.proxy.ListEvent;
 import petrelplank.proxy.ServerAnswer;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
-import petrelplank.routing.Site.ServiceClass;
+import petrelplank.routing.Note;
+import petrelplank.routing.ServiceClass;
+import petrelplank.routing.State;
+import petrelplank.routing.Status;
 
 /**
  * What happened, as the emulator saw it at the clients' and the servers' ends of the sockets. It knows nothing of
--- a/src/main/java/petrelplank/emulator/World.java
+++ b/src/main/java/petrelplank/emulator/World.java
@@ -20,18 +20,18 @@
 import petrelplank.proxy.ListEvent;
 import petrelplank.proxy.ServerAnswer;
 import petrelplank.record.EventSink;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Allowed;
 import petrelplank.routing.Hash;
+import petrelplank.routing.Member;
+import petrelplank.routing.Note;
+import petrelplank.routing.Notes;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.Rules;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.Allowed;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Repeat;
-import petrelplank.routing.Site.Rules;
-import petrelplank.routing.Site.Siblings;
-import petrelplank.routing.Site.Weights;
+import petrelplank.routing.Siblings;
+import petrelplank.routing.State;
+import petrelplank.routing.Status;
+import petrelplank.routing.Weights;
 
 /**
  * One emulation: clients, fronts, caches, hub caches, the central stock and the coordinator, in simulated time. The
--- a/src/main/java/petrelplank/proxy/Exchange.java
+++ b/src/main/java/petrelplank/proxy/Exchange.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import petrelplank.routing.Events.Note;
+import petrelplank.routing.Note;
 
 /** A request that was taken, with its attempts, until its answer is out and the last attempt has ended. */
 final class Exchange {
--- a/src/main/java/petrelplank/proxy/Front.java
+++ b/src/main/java/petrelplank/proxy/Front.java
@@ -6,10 +6,10 @@
 import java.util.function.BiFunction;
 import petrelplank.record.EventSink;
 import petrelplank.routing.Brain;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.State;
+import petrelplank.routing.Member;
 import petrelplank.routing.Router;
 import petrelplank.routing.Settings;
+import petrelplank.routing.State;
 
 /** The front: the stages, the router and its actions, and the list of servers. Event thread only. */
 public final class Front {
--- a/src/main/java/petrelplank/proxy/ListEvent.java
+++ b/src/main/java/petrelplank/proxy/ListEvent.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import petrelplank.routing.Events.Member;
+import petrelplank.routing.Member;
 
 /** A numbered event of the coordinator. */
 public sealed interface ListEvent {
--- a/src/main/java/petrelplank/proxy/Rehearsal.java
+++ b/src/main/java/petrelplank/proxy/Rehearsal.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 import petrelplank.routing.Brain;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Order;
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.Request;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Member;
+import petrelplank.routing.Note;
+import petrelplank.routing.Order;
+import petrelplank.routing.Outcome;
+import petrelplank.routing.Request;
 import petrelplank.routing.Router;
+import petrelplank.routing.ServiceClass;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.ServiceClass;
+import petrelplank.routing.Status;
 
 /**
  * Lets a router of its own decide on made-up requests, whose orders go nowhere, so that the decisions are compiled
--- a/src/main/java/petrelplank/proxy/Relay.java
+++ b/src/main/java/petrelplank/proxy/Relay.java
@@ -1,8 +1,8 @@
 package petrelplank.proxy;
 
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Outcome;
 import petrelplank.routing.Router;
+import petrelplank.routing.Status;
 
 /**
  * Stage 5: the first served answer goes to the client; the router hears of every end.
--- a/src/main/java/petrelplank/proxy/Route.java
+++ b/src/main/java/petrelplank/proxy/Route.java
@@ -2,10 +2,10 @@
 
 import java.util.Set;
 import java.util.stream.Collectors;
-import petrelplank.routing.Events.Request;
+import petrelplank.routing.Request;
 import petrelplank.routing.Router;
+import petrelplank.routing.ServiceClass;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.ServiceClass;
 
 /** Stage 3: asks the router, which answers by its actions before this returns. */
 final class Route {
--- a/src/main/java/petrelplank/proxy/RouterActions.java
+++ b/src/main/java/petrelplank/proxy/RouterActions.java
@@ -1,8 +1,8 @@
 package petrelplank.proxy;
 
 import java.util.logging.Logger;
-import petrelplank.routing.Events.GivenUp;
-import petrelplank.routing.Events.Order;
+import petrelplank.routing.GivenUp;
+import petrelplank.routing.Order;
 import petrelplank.routing.Router;
 import petrelplank.routing.Router.Actions;
 
--- a/src/main/java/petrelplank/proxy/Scribe.java
+++ b/src/main/java/petrelplank/proxy/Scribe.java
@@ -6,11 +6,11 @@
 import java.util.stream.Collectors;
 import petrelplank.record.Event;
 import petrelplank.record.EventSink;
-import petrelplank.routing.Events.GivenUp;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
+import petrelplank.routing.GivenUp;
+import petrelplank.routing.Member;
+import petrelplank.routing.Note;
+import petrelplank.routing.ServiceClass;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.ServiceClass;
 
 /** Makes events of what the stages do, where records are on; else does nothing. Event thread only. */
 final class Scribe {
--- a/src/main/java/petrelplank/proxy/Send.java
+++ b/src/main/java/petrelplank/proxy/Send.java
@@ -2,11 +2,11 @@
 
 import java.util.Set;
 import java.util.stream.Collectors;
-import petrelplank.routing.Events.Order;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Order;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.ServiceClass;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.Repeat;
-import petrelplank.routing.Site.ServiceClass;
+import petrelplank.routing.Status;
 
 /** Stage 4: turns the router's orders into attempts, and watches their time. */
 final class Send {
--- a/src/main/java/petrelplank/proxy/ServerAnswer.java
+++ b/src/main/java/petrelplank/proxy/ServerAnswer.java
@@ -1,7 +1,7 @@
 package petrelplank.proxy;
 
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Note;
+import petrelplank.routing.Status;
 
 /**
  * How a server answered.
--- a/src/main/java/petrelplank/proxy/TakeIn.java
+++ b/src/main/java/petrelplank/proxy/TakeIn.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.ServiceClass;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.Repeat;
-import petrelplank.routing.Site.ServiceClass;
 
 /**
  * Stage 1: makes an exchange of what a client asked. What can't be passed on as it is, is answered here, since
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -1,11 +1,11 @@
 package petrelplank.record;
 
 import java.util.List;
-import petrelplank.routing.Events.GivenUp;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
-import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.GivenUp;
+import petrelplank.routing.Note;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.State;
+import petrelplank.routing.Status;
 
 /**
  * What a front writes down: one fact each, as the front knew it then. Every type here is a record of the file's
--- a/src/main/java/petrelplank/record/StoredNames.java
+++ b/src/main/java/petrelplank/record/StoredNames.java
@@ -4,11 +4,11 @@
 import java.lang.reflect.RecordComponent;
 import java.util.Locale;
 import java.util.Map;
-import petrelplank.routing.Events.GivenUp;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
-import petrelplank.routing.Site.Repeat;
+import petrelplank.routing.GivenUp;
+import petrelplank.routing.Note;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.State;
+import petrelplank.routing.Status;
 
 /**
  * The names that record files and JSON documents use, kept apart from Java names. Types of this package carry them as
--- a/src/main/java/petrelplank/report/Page.java
+++ b/src/main/java/petrelplank/report/Page.java
@@ -18,8 +18,8 @@
 import petrelplank.analysis.Peer;
 import petrelplank.analysis.Sums;
 import petrelplank.record.Event;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.State;
+import petrelplank.routing.Status;
 
 /** The report as one HTML page that needs nothing else. */
 public final class Page {
--- a/src/main/java/petrelplank/routing/Live.java
+++ b/src/main/java/petrelplank/routing/Live.java
@@ -2,8 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import petrelplank.routing.Events.Request;
-import petrelplank.routing.Site.ServiceClass;
 
 /** A request that is not over, or has attempts out: what the decision module notes of it, no decisions. */
 final class Live {
--- a/src/main/java/petrelplank/routing/Node.java
+++ b/src/main/java/petrelplank/routing/Node.java
@@ -1,7 +1,5 @@
 package petrelplank.routing;
 
-import petrelplank.routing.Events.State;
-
 /** A listed server with what this gateway knows of it: notes of the decision module, no decisions. */
 final class Node {
     enum Role {
--- /dev/null
+++ b/src/main/java/petrelplank/routing/Order.java
@@ -0,0 +1,23 @@
+package petrelplank.routing;
+
+/**
+ * An attempt to send.
+ *
+ * @param server who is asked
+ * @param source who supplies a miss; the server itself for nobody
+ * @param rank rank of the copy, 1 to 3; 0 keeps nothing and changes nothing
+ * @param maxAgeUs oldest copy that will do; 0 for the class's own limit
+ * @param join join a fill under way
+ * @param heldOnly the source gives only what it holds
+ * @param renew an ageing copy is served and fetched anew behind
+ * @param timeoutUs the attempt's time-out, more than 0
+ */
+public record Order(
+        String server,
+        String source,
+        int rank,
+        long maxAgeUs,
+        boolean join,
+        boolean heldOnly,
+        boolean renew,
+        long timeoutUs) {}
--- a/src/main/java/petrelplank/routing/Router.java
+++ b/src/main/java/petrelplank/routing/Router.java
@@ -14,7 +14,7 @@
  * host's clock, all durations microseconds. Every request gets exactly one final answer: an {@link Outcome} with
  * {@code settled}, {@link Actions#refuse} or {@link Actions#fail}. Ids the router no longer holds are ignored.
  */
-public interface Router extends Site, Events {
+public interface Router {
 
     /**
      * The list of servers changed.
--- a/src/main/java/petrelplank/routing/Settings.java
+++ b/src/main/java/petrelplank/routing/Settings.java
@@ -1,12 +1,6 @@
 package petrelplank.routing;
 
 import java.util.List;
-import petrelplank.routing.Site.Allowed;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Rules;
-import petrelplank.routing.Site.ServiceClass;
-import petrelplank.routing.Site.Tenant;
-import petrelplank.routing.Site.Weights;
 
 /**
  * What an instance is told at its start.
--- a/src/main/java/petrelplank/settings/Setup.java
+++ b/src/main/java/petrelplank/settings/Setup.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import petrelplank.routing.Allowed;
+import petrelplank.routing.Notes;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.Rules;
+import petrelplank.routing.Scope;
+import petrelplank.routing.ServiceClass;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.Allowed;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Repeat;
-import petrelplank.routing.Site.Rules;
-import petrelplank.routing.Site.Scope;
-import petrelplank.routing.Site.ServiceClass;
-import petrelplank.routing.Site.Siblings;
-import petrelplank.routing.Site.Tenant;
-import petrelplank.routing.Site.Weights;
+import petrelplank.routing.Siblings;
+import petrelplank.routing.Tenant;
+import petrelplank.routing.Weights;
 
 /**
  * Reads the settings that the wire's first message carries. What is absent has the most careful value or the one that
--- a/src/main/java/petrelplank/simulator/EventFields.java
+++ b/src/main/java/petrelplank/simulator/EventFields.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Member;
+import petrelplank.routing.Note;
+import petrelplank.routing.State;
+import petrelplank.routing.Status;
 import petrelplank.settings.Fields;
 import petrelplank.settings.FormatException;
 
--- a/src/main/java/petrelplank/simulator/Reply.java
+++ b/src/main/java/petrelplank/simulator/Reply.java
@@ -5,7 +5,7 @@
 import java.io.UncheckedIOException;
 import java.util.HexFormat;
 import java.util.function.Supplier;
-import petrelplank.routing.Events.Order;
+import petrelplank.routing.Order;
 import petrelplank.routing.Router;
 
 /** Writes one instance's actions into the reply. */
--- a/src/main/java/petrelplank/upstream/LineParser.java
+++ b/src/main/java/petrelplank/upstream/LineParser.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.function.Consumer;
 import petrelplank.proxy.ServerAnswer;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Note;
+import petrelplank.routing.Status;
 
 /** Reads answers of caches, parents and the origin, cut anywhere; every length has a limit. */
 final class LineParser {
--- a/src/main/java/petrelplank/upstream/ServerPool.java
+++ b/src/main/java/petrelplank/upstream/ServerPool.java
@@ -16,7 +16,7 @@
 import petrelplank.proxy.Relay;
 import petrelplank.proxy.ServerAnswer;
 import petrelplank.proxy.Servers;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Status;
 
 /**
  * The connections to servers, by server id: an address may pass from one that has gone to a new one. All state
--- a/src/test/java/petrelplank/analysis/FoldTest.java
+++ b/src/test/java/petrelplank/analysis/FoldTest.java
@@ -14,7 +14,7 @@
 import petrelplank.emulator.Scenario;
 import petrelplank.record.Entry;
 import petrelplank.record.Event;
-import petrelplank.routing.Events.State;
+import petrelplank.routing.State;
 import petrelplank.yaml.Yaml;
 
 class FoldTest {
@@ -108,8 +108,8 @@
                     null,
                     1,
                     7,
-                    petrelplank.routing.Events.Status.OK,
-                    petrelplank.routing.Events.Note.HIT,
+                    petrelplank.routing.Status.OK,
+                    petrelplank.routing.Note.HIT,
                     1_000,
                     0,
                     from / 1000,
--- a/src/test/java/petrelplank/discovery/EventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/EventDecoderTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import petrelplank.proxy.ListEvent;
-import petrelplank.routing.Events.State;
+import petrelplank.routing.State;
 import petrelplank.settings.FormatException;
 import petrelplank.wire.Cuts;
 
--- a/src/test/java/petrelplank/record/TraceLinesTest.java
+++ b/src/test/java/petrelplank/record/TraceLinesTest.java
@@ -7,9 +7,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Note;
+import petrelplank.routing.State;
+import petrelplank.routing.Status;
 
 class TraceLinesTest {
     private static void entry(TraceLines lines, long unixUs, Event event) {
--- a/src/test/java/petrelplank/routing/AttemptsTest.java
+++ b/src/test/java/petrelplank/routing/AttemptsTest.java
@@ -8,9 +8,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.Status;
 
 /** Retries, hedged requests and final answers. */
 class AttemptsTest {
@@ -65,9 +62,9 @@
     @Test
     void answerThatNeverComesIsAskedForTwiceWhereSecondCopiesAreAllowedAndTheLoserIsCalledOff() {
         Recorder two = new Recorder(Recorder.settings(
-                        Router.Weights.NOMINAL,
-                        Router.Notes.ALL,
-                        new Router.Allowed(8, true, true, false, false, true, S, true, true, Router.Siblings.ANY)))
+                        Weights.NOMINAL,
+                        Notes.ALL,
+                        new Allowed(8, true, true, false, false, true, S, true, true, Siblings.ANY)))
                 .usual();
         two.fills(0, 100);
         String id = two.ask(1000);
--- a/src/test/java/petrelplank/routing/ColdBudgetTest.java
+++ b/src/test/java/petrelplank/routing/ColdBudgetTest.java
@@ -8,9 +8,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Order;
-import petrelplank.routing.Events.State;
 
 /** Budgets of servers that have just started. */
 class ColdBudgetTest {
--- a/src/test/java/petrelplank/routing/ColdFleetTest.java
+++ b/src/test/java/petrelplank/routing/ColdFleetTest.java
@@ -9,10 +9,6 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Weights;
 
 /**
  * A cold cache under the sum of what all gateways of its zone send, in simulated time. What it is sent is counted at
@@ -51,7 +47,7 @@
     }
 
     private double allowed(long nowUs) {
-        Site.Rules rules = Recorder.rules();
+        Rules rules = Recorder.rules();
         double ramp = rules.coldFrom() + (1 - rules.coldFrom()) * (nowUs - startedUs) / rules.warmUs();
         return rules.fallMultiple() * Math.min(1, ramp) * WEIGHT * rules.fallUs() / WORK_US;
     }
--- a/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
@@ -7,8 +7,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
 
 /** How much is let out at once. */
 class ConcurrencyLimitTest {
@@ -71,7 +69,7 @@
             boolean big = i % 2 == 0;
             host.router.request(
                     host.now,
-                    new Router.Request(id, i, 0, 0, "video", host.now + 4 * S, big ? 1600 : 800, false, false));
+                    new Request(id, i, 0, 0, "video", host.now + 4 * S, big ? 1600 : 800, false, false));
             large += big && host.refused.contains(id) ? 1 : 0;
             usual += !big && host.refused.contains(id) ? 1 : 0;
         }
@@ -97,7 +95,7 @@
     @Test
     void manyGatewaysOfALocationShareItsLimits() {
         Recorder many = new Recorder(
-                        Recorder.settings(Router.Weights.NOMINAL, Router.Notes.ALL, Recorder.allowed(), 40))
+                        Recorder.settings(Weights.NOMINAL, Notes.ALL, Recorder.allowed(), 40))
                 .usual();
         int sent = 0;
         for (int i = 0; i < 100; i++) {
@@ -108,7 +106,7 @@
 
     @Test
     void locationWithoutGatewayCountsStillDecides() {
-        Recorder none = new Recorder(Recorder.settings(Router.Weights.NOMINAL, Router.Notes.ALL, Recorder.allowed(), 0))
+        Recorder none = new Recorder(Recorder.settings(Weights.NOMINAL, Notes.ALL, Recorder.allowed(), 0))
                 .usual();
         assertEquals(1, none.attempts(none.ask(1)));
     }
@@ -129,8 +127,8 @@
 
     private static long looksAfterLateFills(double linkUse) {
         Recorder told = new Recorder(Recorder.settings(
-                        Router.Weights.ROUGH,
-                        Router.Notes.ALL,
+                        Weights.ROUGH,
+                        Notes.ALL,
                         Recorder.allowed(),
                         2,
                         List.of("concurrent", "x0", "x1")))
@@ -173,8 +171,8 @@
 
     private static Recorder reporting() {
         return new Recorder(Recorder.settings(
-                        Router.Weights.ROUGH,
-                        Router.Notes.ALL,
+                        Weights.ROUGH,
+                        Notes.ALL,
                         Recorder.allowed(),
                         6,
                         List.of("concurrent", "x0", "x1")))
--- a/src/test/java/petrelplank/routing/DecisionModuleTest.java
+++ b/src/test/java/petrelplank/routing/DecisionModuleTest.java
@@ -15,11 +15,6 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
 
 /** The module as a whole: its size, odd input, and the same actions for the same events. */
 class DecisionModuleTest {
@@ -55,14 +50,14 @@
                 null,
                 null,
                 0,
-                Router.Weights.NONE,
-                Router.Notes.NONE,
+                Weights.NONE,
+                Notes.NONE,
                 null,
                 false,
                 0,
                 List.of(Recorder.VIDEO),
-                new Router.Allowed(2, false, false, false, false, false, 0, false, false, Router.Siblings.NONE),
-                new Router.Rules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)));
+                new Allowed(2, false, false, false, false, false, 0, false, false, Siblings.NONE),
+                new Rules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)));
         bare.router.roster(
                 bare.now,
                 true,
@@ -109,7 +104,7 @@
     @Test
     void badSettingIsNamed() {
         IllegalArgumentException e = assertThrows(
-                IllegalArgumentException.class, () -> new Router.Rules(-1, 0.2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0));
+                IllegalArgumentException.class, () -> new Rules(-1, 0.2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0));
         assertTrue(e.getMessage().contains("drainGraceUs") && e.getMessage().contains("-1"), e.getMessage());
     }
 
--- a/src/test/java/petrelplank/routing/EdgeChoiceTest.java
+++ b/src/test/java/petrelplank/routing/EdgeChoiceTest.java
@@ -9,10 +9,6 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
 
 /** Which cache is asked: rendezvous order, hot objects, reports of room. */
 class EdgeChoiceTest {
@@ -61,8 +57,8 @@
     @Test
     void limitSinksNoFurtherThanWhatTheCacheFits() {
         Recorder told = new Recorder(Recorder.settings(
-                        Router.Weights.ROUGH,
-                        Router.Notes.ALL,
+                        Weights.ROUGH,
+                        Notes.ALL,
                         Recorder.allowed(),
                         2,
                         List.of("concurrent", "x0", "x1")))
@@ -79,8 +75,8 @@
 
     private static Set<String> serversOfACrowdedCachesObjects(double[] report) {
         Recorder told = new Recorder(Recorder.settings(
-                        Router.Weights.ROUGH,
-                        Router.Notes.ALL,
+                        Weights.ROUGH,
+                        Notes.ALL,
                         Recorder.allowed(),
                         2,
                         List.of("concurrent", "x0", "x1")))
@@ -104,7 +100,7 @@
 
     private static long looksAfterLateFills(String field, double used) {
         Recorder told = new Recorder(Recorder.settings(
-                        Router.Weights.ROUGH, Router.Notes.ALL, Recorder.allowed(), 2, List.of(field, "x0")))
+                        Weights.ROUGH, Notes.ALL, Recorder.allowed(), 2, List.of(field, "x0")))
                 .usual();
         for (int i = 0; i < 30; i++) {
             told.end(told.ask(i), Status.OK, Note.FILLED, 2 * S, new double[] {used, 0.5});
@@ -124,7 +120,7 @@
 
     private static int sentAtOnceAfterAReportOf(double inHand, String field) {
         Recorder told = new Recorder(Recorder.settings(
-                Router.Weights.ROUGH, Router.Notes.ALL, Recorder.allowed(), 2, List.of(field, "x0", "x1")));
+                Weights.ROUGH, Notes.ALL, Recorder.allowed(), 2, List.of(field, "x0", "x1")));
         told.router.roster(told.now, true, List.of(new Member("a", "office", "box", 0, State.UP, 60, 0)));
         told.end(told.ask(1), Status.OK, Note.HIT, 100 * MS, new double[] {inHand, 0.5, 0.5});
         int before = told.sent.size();
--- a/src/test/java/petrelplank/routing/FillSourceTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceTest.java
@@ -11,10 +11,6 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
 
 /** From where a miss is filled. */
 class FillSourceTest {
--- a/src/test/java/petrelplank/routing/MembershipTest.java
+++ b/src/test/java/petrelplank/routing/MembershipTest.java
@@ -13,12 +13,6 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Order;
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
 
 /** Which servers are offered: lists, ejection and return. */
 class MembershipTest {
--- a/src/test/java/petrelplank/routing/OriginLinkTest.java
+++ b/src/test/java/petrelplank/routing/OriginLinkTest.java
@@ -6,11 +6,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.Status;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Weights;
 
 /**
  * The origin's link is thin: where too many fills share it, each crawls though its first byte came soon, and the fills
--- a/src/test/java/petrelplank/routing/OriginShareTest.java
+++ b/src/test/java/petrelplank/routing/OriginShareTest.java
@@ -7,11 +7,6 @@
 import static petrelplank.routing.Recorder.S;
 
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
 
 /** How many misses may call an origin that is short, and what is done without a fill. */
 class OriginShareTest {
@@ -41,7 +36,7 @@
     @Test
     void failingOriginIsSparedParentsAreAskedWhatTheyHoldAndWritesStayLongest() {
         Recorder hits =
-                new Recorder(Recorder.settings(Router.Weights.NOMINAL, Router.Notes.HITS, Recorder.allowed())).usual();
+                new Recorder(Recorder.settings(Weights.NOMINAL, Notes.HITS, Recorder.allowed())).usual();
         for (int i = 100; i < 103; i++) {
             hits.end(hits.ask(i), Status.ERROR, Note.NONE, 100 * MS);
         }
--- a/src/test/java/petrelplank/routing/PurgeTest.java
+++ b/src/test/java/petrelplank/routing/PurgeTest.java
@@ -7,8 +7,6 @@
 import static petrelplank.routing.Recorder.S;
 
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
 
 /** Ages of copies after a purge. */
 class PurgeTest {
--- a/src/test/java/petrelplank/routing/RecordedActions.java
+++ b/src/test/java/petrelplank/routing/RecordedActions.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import petrelplank.routing.Events.Order;
 
 /** Writes down what a router does. */
 class RecordedActions implements Router.Actions {
--- a/src/test/java/petrelplank/routing/Recorder.java
+++ b/src/test/java/petrelplank/routing/Recorder.java
@@ -3,21 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import petrelplank.routing.Events.Member;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Order;
-import petrelplank.routing.Events.Outcome;
-import petrelplank.routing.Events.Request;
-import petrelplank.routing.Events.State;
-import petrelplank.routing.Events.Status;
-import petrelplank.routing.Site.Allowed;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Repeat;
-import petrelplank.routing.Site.Rules;
-import petrelplank.routing.Site.Scope;
-import petrelplank.routing.Site.ServiceClass;
-import petrelplank.routing.Site.Siblings;
-import petrelplank.routing.Site.Weights;
 
 /** A host that writes down what the router does, with short ways to script events. */
 final class Recorder extends RecordedActions {
--- a/src/test/java/petrelplank/routing/TenantsTest.java
+++ b/src/test/java/petrelplank/routing/TenantsTest.java
@@ -7,11 +7,6 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Tenant;
-import petrelplank.routing.Site.Weights;
 
 /** Where load must be shed, what lies over a tenant's allowance goes first; where there is room, all is served. */
 class TenantsTest {
--- a/src/test/java/petrelplank/settings/SettingsTest.java
+++ b/src/test/java/petrelplank/settings/SettingsTest.java
@@ -15,12 +15,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
+import petrelplank.routing.Notes;
+import petrelplank.routing.Repeat;
+import petrelplank.routing.Scope;
 import petrelplank.routing.Settings;
-import petrelplank.routing.Site.Notes;
-import petrelplank.routing.Site.Repeat;
-import petrelplank.routing.Site.Scope;
-import petrelplank.routing.Site.Siblings;
-import petrelplank.routing.Site.Weights;
+import petrelplank.routing.Siblings;
+import petrelplank.routing.Weights;
 
 /** Settings that are absent, of the wrong type or contradictory: the default that is documented, or place and rule. */
 class SettingsTest {
--- a/src/test/java/petrelplank/upstream/LineParserTest.java
+++ b/src/test/java/petrelplank/upstream/LineParserTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import petrelplank.proxy.Fetch;
 import petrelplank.proxy.ServerAnswer;
-import petrelplank.routing.Events.Note;
-import petrelplank.routing.Events.Status;
+import petrelplank.routing.Note;
+import petrelplank.routing.Status;
 import petrelplank.wire.Cuts;
 
 class LineParserTest {
