--- a/src/main/java/petrelplank/routing/Rate.java
+++ b/src/main/java/petrelplank/routing/DecayingRate.java
@@ -1,7 +1,7 @@
 package petrelplank.routing;
 
 /** A rate that fades: work per microsecond over about the last {@code windowUs}. */
-final class Rate {
+final class DecayingRate {
     private double sum;
     private long atUs;
 
--- a/src/main/java/petrelplank/routing/Node.java
+++ b/src/main/java/petrelplank/routing/Endpoint.java
@@ -1,7 +1,7 @@
 package petrelplank.routing;
 
 /** A listed server with what this gateway knows of it: notes of the decision module, no decisions. */
-final class Node {
+final class Endpoint {
     enum Role {
         EDGE,
         PARENT,
@@ -51,11 +51,11 @@
     /** When it was last filled; 0 before its first use. */
     long tokensAtUs;
 
-    final Rate sent = new Rate();
+    final DecayingRate sent = new DecayingRate();
     /** Rendezvous score for the request in hand; the least comes first. */
     double score;
 
-    Node(String id, RequestRouter.Limit limit, int groups) {
+    Endpoint(String id, RequestRouter.Limit limit, int groups) {
         this.id = id;
         this.hash = Hash.mix(Hash.fnv(id));
         this.limit = limit;
--- a/src/main/java/petrelplank/routing/RequestRouter.java
+++ b/src/main/java/petrelplank/routing/RequestRouter.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.SplittableRandom;
-import petrelplank.routing.Live.Try;
-import petrelplank.routing.Node.Role;
+import petrelplank.routing.Endpoint.Role;
+import petrelplank.routing.RequestState.AttemptState;
 
 /**
  * The decision module; its interface is Router.java. {@link #request} and {@link #outcome} both end in {@link
@@ -68,7 +68,7 @@
         }
 
         /** The draw rounds what is no whole number; a deviation more where many share, lest chance sheds. */
-        boolean free(Live r) {
+        boolean free(RequestState r) {
             double others = 1 - 1 / sharers;
             return out + r.draw < most * r.share + others * others * Math.sqrt(most * r.share);
         }
@@ -89,18 +89,18 @@
     private final SplittableRandom random;
     private final Map<String, Integer> classIndex = new HashMap<>();
     private final double[] classWorkUs;
-    private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private final List<Node> edges = new ArrayList<>();
-    private final List<Node> parents = new ArrayList<>();
-    private Node origin;
-    private final Map<String, Live> live = new HashMap<>();
+    private final Map<String, Endpoint> nodes = new LinkedHashMap<>();
+    private final List<Endpoint> edges = new ArrayList<>();
+    private final List<Endpoint> parents = new ArrayList<>();
+    private Endpoint origin;
+    private final Map<String, RequestState> live = new HashMap<>();
     private final float[] counts = new float[COUNT_CELLS];
     private double countTotal;
     private long countsHalvedUs;
-    private final Map<Long, Node> holders = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<Long, Endpoint> holders = new LinkedHashMap<>(16, 0.75f, true);
     private final Map<Long, Long> purges = new LinkedHashMap<>(16, 0.75f, true);
     private final Map<Long, Long> groupPurges = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<Long, Live> waiting = new HashMap<>();
+    private final Map<Long, RequestState> waiting = new HashMap<>();
     private long timers;
     /** Places in a load report: requests in hand, else the share used, and the link's use; -1: not told. */
     private final int inHandAt;
@@ -113,19 +113,19 @@
     private double delay = 0.25;
     private double delayDeviation = 0.25;
     private final double windowUs;
-    private final Rate filled = new Rate();
+    private final DecayingRate filled = new DecayingRate();
     private final double sharers;
     private final double link;
     private final Limit fills;
-    private final Rate asked = new Rate();
-    private final Rate served = new Rate();
+    private final DecayingRate asked = new DecayingRate();
+    private final DecayingRate served = new DecayingRate();
     private double share = 1;
     private long shareAtUs;
     private double edgeRate;
     private double parentRate;
     private double retryTokens = RETRY_CAP;
     private final Map<String, Tenant> tenants = new HashMap<>();
-    private final Map<String, Rate> tenantRates = new HashMap<>();
+    private final Map<String, DecayingRate> tenantRates = new HashMap<>();
     private long beganUs = Long.MAX_VALUE;
     private double quickestUs = Double.MAX_VALUE;
     private long loggedUs = Long.MIN_VALUE / 2;
@@ -170,7 +170,7 @@
             nodes.values().forEach(n -> n.state = EndpointState.REMOVED);
         }
         for (EndpointInfo m : members) {
-            Node n = nodes.computeIfAbsent(m.id(), id -> new Node(id, new Limit(sharers), GROUPS));
+            Endpoint n = nodes.computeIfAbsent(m.id(), id -> new Endpoint(id, new Limit(sharers), GROUPS));
             if (m.startedUs() != n.startedUs) {
                 n.startedUs = m.startedUs();
                 holders.values().removeIf(n::equals);
@@ -191,7 +191,7 @@
         edges.clear();
         parents.clear();
         origin = null;
-        for (Node n : nodes.values()) {
+        for (Endpoint n : nodes.values()) {
             switch (n.role) {
                 case EDGE -> edges.add(n);
                 case PARENT -> parents.add(n);
@@ -216,7 +216,7 @@
 
     @Override
     public void timerFired(long now, long token) {
-        Live r = waiting.remove(token);
+        RequestState r = waiting.remove(token);
         if (r != null) {
             silence(r, now);
         } else if (token == 0 && settings.watchEndpoints()) {
@@ -238,12 +238,12 @@
     }
 
     /** Up and not ejected; an ejected server whose pause is over is ready for one trial at a time. */
-    private boolean ready(Node n, long now) {
+    private boolean ready(Endpoint n, long now) {
         return n.state == EndpointState.UP && (!n.ejected || (now >= n.trialAtUs && !n.trialOut));
     }
 
     /** Outlier ejection: one failed connect, or several other failures in a row, until a trial succeeds. */
-    private void failed(Node n, long now, boolean sure, boolean trial) {
+    private void failed(Endpoint n, long now, boolean sure, boolean trial) {
         n.failures++;
         n.unreached = false;
         if (n.ejected ? trial : sure || n.failures >= FAILURES) {
@@ -256,14 +256,14 @@
         }
     }
 
-    private void takeBackFailure(Node n, long now) {
+    private void takeBackFailure(Endpoint n, long now) {
         n.failures = Math.max(0, n.failures - 1);
         if (n.ejected && n.failures < FAILURES) {
             worked(n, now);
         }
     }
 
-    private void worked(Node n, long now) {
+    private void worked(Endpoint n, long now) {
         n.failures = 0;
         if (n.ejected) {
             n.ejected = false;
@@ -277,12 +277,12 @@
      * they share the fault, and all that are up are offered; not so parents where notes tell the origin's
      * failures from theirs, nor caches that were not reached, where requests may pass them by.
      */
-    private List<Node> usable(List<Node> list, Live r, long now) {
-        List<Node> up = new ArrayList<>(list);
+    private List<Endpoint> usable(List<Endpoint> list, RequestState r, long now) {
+        List<Endpoint> up = new ArrayList<>(list);
         boolean direct = list == edges && settings.permissions().directToParents();
         up.removeIf(n -> n.state != EndpointState.UP || r.failed.contains(n));
         up.removeIf(n -> direct && n.unreached && !ready(n, now));
-        List<Node> ready = new ArrayList<>(up);
+        List<Endpoint> ready = new ArrayList<>(up);
         ready.removeIf(n -> !ready(n, now));
         boolean told = list == parents && notesTold;
         return !told && ready.size() * 2 < up.size() ? up : ready;
@@ -293,17 +293,17 @@
      * of which the least loaded takes it. The share of one just started rises in a line; one with no cold
      * budget left passes to the next, a crowded one to those with room.
      */
-    private Node edge(Live r, long now) {
-        List<Node> usable = usable(edges, r, now);
-        for (Node n : usable) {
+    private Endpoint edge(RequestState r, long now) {
+        List<Endpoint> usable = usable(edges, r, now);
+        for (Endpoint n : usable) {
             n.score = n.weight * ramp(n, now) / Math.log(Hash.unit(Hash.mix(r.key ^ n.hash)));
         }
         usable.sort(Comparator.comparingDouble(n -> n.score));
         r.crowded = false;
         int width = Math.min(3, 1 + (int) (heat(r.key) * usable.size() / HOT));
-        Node best = null;
+        Endpoint best = null;
         for (int i = 0; i < usable.size() && (i < width || best == null); i++) {
-            Node node = usable.get(i);
+            Endpoint node = usable.get(i);
             if (i >= width && r.crowded && (node.inHand < 0 || node.inHand > node.weight)) {
                 continue;
             }
@@ -321,12 +321,12 @@
     }
 
     /** Whether the last report, and what was sent since, show room: limits lag, and gateways come and go. */
-    private boolean hasRoom(Node n) {
+    private boolean hasRoom(Endpoint n) {
         return n.inHand >= 0 && n.inHand + Math.max(0, n.limit.out - n.outAtReport) < n.weight;
     }
 
     /** Whether one more fill fits: under the limit, or the location's link was last reported to have room. */
-    private boolean mayFill(Live r) {
+    private boolean mayFill(RequestState r) {
         return fills.free(r) || linkUse >= 0 && linkUse < 1;
     }
 
@@ -356,9 +356,9 @@
      * The ready parent with the group's highest Q, or any, at a small exploring share; the origin only where
      * none is ready or all are below zero. Ties go to the nearest hub, then by rendezvous hash.
      */
-    private Node source(Live r, long now) {
+    private Endpoint source(RequestState r, long now) {
         int group = (int) Long.remainderUnsigned(Hash.mix(r.request.object()), GROUPS);
-        List<Node> usable = usable(parents, r, now);
+        List<Endpoint> usable = usable(parents, r, now);
         usable.removeIf(n -> Hash.unit(Hash.mix(r.request.object() + n.hash)) > ramp(n, now));
         usable.removeIf(n -> !affords(n, r.workUs, now));
         boolean free = origin != null && !r.onlyIfCached && ready(origin, now) && !r.failed.contains(origin);
@@ -372,16 +372,16 @@
         }
         return usable.stream()
                 .filter(n -> q(n, group, mean) >= top - TIE)
-                .min(Comparator.<Node>comparingInt(n -> n.hubDistance)
+                .min(Comparator.<Endpoint>comparingInt(n -> n.hubDistance)
                         .thenComparing(n -> Hash.mix(n.hash + group), Comparator.reverseOrder()))
                 .get();
     }
 
-    private static double q(Node n, int group, double untold) {
+    private static double q(Endpoint n, int group, double untold) {
         return n.heard[group] ? n.q[group] : untold;
     }
 
-    private static double meanQ(List<Node> nodes, int group) {
+    private static double meanQ(List<Endpoint> nodes, int group) {
         return nodes.stream()
                 .filter(n -> n.heard[group])
                 .mapToDouble(n -> n.q[group])
@@ -390,7 +390,7 @@
     }
 
     /** Q moves by a tenth towards the payoff; parents pass nothing back, so there is no value to come. */
-    private void learn(Node n, Live r, double payoff) {
+    private void learn(Endpoint n, RequestState r, double payoff) {
         if (n.role != Role.PARENT) {
             return;
         }
@@ -401,7 +401,7 @@
     }
 
     /** Learns from an attempt that named a source; size is not load, so sending time comes off. */
-    private void learnFrom(Live r, Try t, AttemptOutcome o, long now) {
+    private void learnFrom(RequestState r, AttemptState t, AttemptOutcome o, long now) {
         if (t.source == t.node && t.node.role == Role.EDGE) {
             return;
         }
@@ -440,7 +440,7 @@
      * late ones may and twice as long as the best ready peer's; if all are slow the fault is another's. Not
      * asked where sizes are not told, nor of fills by way of the origin, whose link may be the slow one.
      */
-    private boolean slow(Node n, double stretch, double workUs) {
+    private boolean slow(Endpoint n, double stretch, double workUs) {
         n.stretch += PACE_SMOOTH * Math.min(1, workUs / PACE_US) * (stretch - n.stretch);
         double best = parents.stream()
                 .filter(p -> p != n && p.state == EndpointState.UP && !p.ejected)
@@ -451,7 +451,7 @@
     }
 
     /** How much longer than at a client's pace the bytes took to come. */
-    private static double stretch(Live r, AttemptOutcome o) {
+    private static double stretch(RequestState r, AttemptOutcome o) {
         return (o.latencyUs() - o.sourceWaitUs()) / r.workUs;
     }
 
@@ -473,7 +473,7 @@
     }
 
     /** Part of its capacity that a server can be trusted with: the stated least, rising in a line to all. */
-    private double ramp(Node n, long now) {
+    private double ramp(Endpoint n, long now) {
         boolean parent = n.role == Role.PARENT;
         long slowStartUs = parent ? rules.parentSlowStartUs() : rules.slowStartUs();
         double from = parent ? rules.parentSlowStartFrom() : rules.slowStartFrom();
@@ -488,7 +488,7 @@
      * multiple of the server's least capacity. All that is sent to it or names it counts. Without weights,
      * capacity is what warm servers bear from us. Gateways that restart together must not bring a burst each.
      */
-    private boolean affords(Node n, double workUs, long now) {
+    private boolean affords(Endpoint n, double workUs, long now) {
         double limit = coldLimit(n, now);
         if (limit == Double.MAX_VALUE) {
             return true;
@@ -500,13 +500,13 @@
         return n.tokensUs >= workUs;
     }
 
-    private void charge(Node n, double workUs, long now) {
+    private void charge(Endpoint n, double workUs, long now) {
         if (!affords(n, Double.MAX_VALUE, now)) {
             n.tokensUs -= workUs;
         }
     }
 
-    private double coldLimit(Node n, long now) {
+    private double coldLimit(Endpoint n, long now) {
         double ramp = ramp(n, now);
         boolean parent = n.role == Role.PARENT;
         double multiple = parent ? rules.parentOverloadMultiple() : rules.overloadMultiple();
@@ -557,7 +557,7 @@
     }
 
     /** Oldest copy that will do: the class's limit, less what a purge forbids; never 0 (the default). */
-    private long maxAge(Live r, long now) {
+    private long maxAge(RequestState r, long now) {
         long own = r.type.freshnessUs() + (r.oldCopyWillDo ? r.type.staleIfErrorUs() : 0);
         long purged = purgedAt(r.request);
         if (purged == Long.MIN_VALUE) {
@@ -576,7 +576,7 @@
         }
         double work = workUs(request.sizeKb(), classWorkUs[index]);
         classWorkUs[index] += SMOOTH * (work - classWorkUs[index]);
-        Live r = new Live(request, settings.classes().get(index), index, work, random.nextDouble());
+        RequestState r = new RequestState(request, settings.classes().get(index), index, work, random.nextDouble());
         r.share = Math.max(LEAST_SHARE, Math.min(1, classWorkUs[index] / work));
         if (overAllowance(request.tenant(), now)) {
             r.share *= Math.max(LEAST_SHARE, settings.overQuotaWeightFactor());
@@ -594,17 +594,17 @@
         if (tenant == null) {
             return false;
         }
-        double seen =
-                windowUs * tenantRates.computeIfAbsent(name, n -> new Rate()).add(now, 1, windowUs);
+        double seen = windowUs
+                * tenantRates.computeIfAbsent(name, n -> new DecayingRate()).add(now, 1, windowUs);
         double fair = tenant.quotaPerSecond() * windowUs / 1e6 / settings.gateways();
         return seen > fair + Math.sqrt(fair) + 1;
     }
 
     @Override
     public void attemptEnded(long now, AttemptOutcome o) {
-        Live r = live.get(o.request());
+        RequestState r = live.get(o.request());
         boolean known = r != null && o.attempt() >= 0 && o.attempt() < r.tries.size();
-        Try t = known ? end(r, o.attempt()) : null;
+        AttemptState t = known ? end(r, o.attempt()) : null;
         if (t == null) {
             if (known && o.completed()) {
                 clientDisconnected(now, o.request());
@@ -639,8 +639,8 @@
     }
 
     /** Takes an attempt off the books; null when that was done before. */
-    private Try end(Live r, int attempt) {
-        Try t = r.tries.set(attempt, null);
+    private AttemptState end(RequestState r, int attempt) {
+        AttemptState t = r.tries.set(attempt, null);
         if (t != null) {
             r.out--;
             t.node.outWorkUs = Math.max(0, t.node.outWorkUs - t.workUs);
@@ -654,7 +654,7 @@
         return t;
     }
 
-    private void cancelAll(Live r) {
+    private void cancelAll(RequestState r) {
         for (int i = 0;
                 i < r.tries.size() && r.out > 0 && settings.permissions().cancel();
                 i++) {
@@ -665,7 +665,7 @@
     }
 
     /** How long silence has a usual cause; longer for what would come late anyway, or was silent before. */
-    private double patienceUs(Live r) {
+    private double patienceUs(RequestState r) {
         double more = PATIENCE * Math.max(SMOOTH, delayDeviation) * aim(r);
         double first = r.workUs + delay * aim(r) + more;
         return r.tries.size() < 2 && first + r.workUs <= aim(r) ? first : first + more;
@@ -676,8 +676,8 @@
      * allowed, else the first is cancelled. The cache is passed by unless it answered others since, then the
      * source. Under the retry budget; in a jam the usual delay rises, and hedging stops by itself.
      */
-    private void silence(Live r, long now) {
-        Try t = r.tries.get(r.tries.size() - 1);
+    private void silence(RequestState r, long now) {
+        AttemptState t = r.tries.get(r.tries.size() - 1);
         if (r.over || r.out != 1 || t == null || t == r.lost) {
             return;
         }
@@ -707,13 +707,13 @@
         }
     }
 
-    private boolean again(Live r) {
+    private boolean again(RequestState r) {
         return (settings.permissions().hedging() || settings.permissions().cancel())
                 && r.type.idempotency() == Idempotency.IDEMPOTENT
                 && r.tries.size() < settings.permissions().maxAttempts();
     }
 
-    private void listen(Live r, Try t, long now) {
+    private void listen(RequestState r, AttemptState t, long now) {
         // Guards against a due time past all numbers, which wraps into the past and fires on and on.
         double aim = now > t.sentUs + aim(r) ? r.request.deadlineUs() : aim(r);
         long due = t.sentUs + (long) Math.min(aim, again(r) ? patienceUs(r) : aim) + 1;
@@ -728,7 +728,7 @@
      * copy, into the location where it was a fill. Silence is not load, nor is what is late while reports
      * show room.
      */
-    private void adapt(Live r, Try t, AttemptOutcome o, long now) {
+    private void adapt(RequestState r, AttemptState t, AttemptOutcome o, long now) {
         boolean ok = o.status() == AttemptStatus.OK;
         if (ok && t.node.role == Role.EDGE) {
             double part = (o.latencyUs() - t.workUs) / aim(r);
@@ -777,7 +777,7 @@
     }
 
     /** Learns sending times by class where sizes are not told, from what came or hits at caches with room. */
-    private void learnWork(Live r, Try t, AttemptOutcome o) {
+    private void learnWork(RequestState r, AttemptState t, AttemptOutcome o) {
         boolean room = t.node.inHand >= 0 && t.node.inHand < BUSY * t.node.weight;
         boolean tells = o.sizeKb() > 0 || room && o.cacheStatus() == CacheStatus.HIT;
         r.workUs = workUs(o.sizeKb(), r.workUs);
@@ -787,7 +787,7 @@
         }
     }
 
-    private void report(Node n, double[] load) {
+    private void report(Endpoint n, double[] load) {
         if (load == null || n.role != Role.EDGE) {
             return;
         }
@@ -803,7 +803,7 @@
     }
 
     /** Whether an attempt calls the origin as far as one knows; where notes tell, fills wait for the note. */
-    private boolean mayCall(Live r, Try t) {
+    private boolean mayCall(RequestState r, AttemptState t) {
         return r.type.write() || t.fill && (t.source == origin || !notesTold);
     }
 
@@ -814,12 +814,12 @@
                 : filled.add(now, 0, windowUs) * sharers < LINK_ROOM * link;
     }
 
-    private static double aim(Live r) {
+    private static double aim(RequestState r) {
         return Math.min(r.type.deadlineUs(), r.type.latencyObjectiveUs() + r.type.objectiveSizeFactor() * r.workUs);
     }
 
     /** What an outcome says of the server that was asked, and whom this request shall pass by. */
-    private void judge(Live r, Try t, AttemptOutcome o, long now) {
+    private void judge(RequestState r, AttemptState t, AttemptOutcome o, long now) {
         boolean source = t.source != t.node && sourceToBlame(o) && (o.status() != AttemptStatus.TIMEOUT || t.fill);
         switch (o.status()) {
             case OK -> {
@@ -881,7 +881,7 @@
         over(live.get(request), true);
     }
 
-    private void over(Live r, boolean cancel) {
+    private void over(RequestState r, boolean cancel) {
         if (r != null) {
             r.over = true;
             if (cancel) {
@@ -891,14 +891,14 @@
         }
     }
 
-    private void forget(Live r) {
+    private void forget(RequestState r) {
         if (r.over && r.out == 0) {
             live.remove(r.request.id());
         }
     }
 
     /** Sends the next attempt, or gives the final answer at once. */
-    private void attempt(Live r, long now) {
+    private void attempt(RequestState r, long now) {
         TerminationReason why = r.request.deadlineUs() - now <= r.workUs / 2
                 ? TerminationReason.DEADLINE_TOO_CLOSE
                 : r.tries.size() >= settings.permissions().maxAttempts()
@@ -911,8 +911,8 @@
         boolean direct = settings.permissions().directToParents();
         boolean originUp = origin != null && origin.state == EndpointState.UP;
         r.onlyIfCached = originShare(now) < 1 && !r.asking && !r.type.write();
-        Node source = r.type.write() ? (originUp ? origin : null) : source(r, now);
-        Node node = !r.type.write() || !direct
+        Endpoint source = r.type.write() ? (originUp ? origin : null) : source(r, now);
+        Endpoint node = !r.type.write() || !direct
                 ? edge(r, now)
                 : originUp && !r.failed.contains(origin) ? origin : source(r, now);
         boolean past = direct && !r.onlyIfCached && !r.type.write() && !r.crowded;
@@ -966,7 +966,7 @@
         return share >= 1 ? 1 : Math.min(1, share * Math.pow(2, 2 * (now - shareAtUs) / windowUs));
     }
 
-    private void send(Live r, Node node, Node source, boolean held, boolean fill, long now) {
+    private void send(RequestState r, Endpoint node, Endpoint source, boolean held, boolean fill, long now) {
         boolean trial = node.ejected || source.ejected;
         if (!settings.permissions().hedging()) {
             cancelAll(r);
@@ -976,7 +976,7 @@
         int rank = r.type.write() || node.role != Role.EDGE ? 0 : counts[cell(r.key)] > 1.5 ? 2 : 1;
         // Fills of older copies may be under way: twice the stated time, for clocks and late messages.
         boolean purged = now - 2 * rules.purgeDoneUs() <= purgedAt(r.request);
-        Try t = new Try(node, source, now, r.workUs, trial, fill);
+        AttemptState t = new AttemptState(node, source, now, r.workUs, trial, fill);
         r.tries.add(t);
         r.out++;
         node.outWorkUs += r.workUs;
@@ -996,7 +996,7 @@
     }
 
     /** Whether the class allows a retry; a keyed one has to arrive inside its window, connecting included. */
-    private boolean mayResend(Live r, long now) {
+    private boolean mayResend(RequestState r, long now) {
         return !r.mayHaveRun
                 || r.type.idempotency() == Idempotency.IDEMPOTENT
                 || r.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
@@ -1005,7 +1005,7 @@
     }
 
     /** The final answer, at once: a refusal with advice where a further try is harmless, else a failure. */
-    private void giveUp(Live r, TerminationReason why) {
+    private void giveUp(RequestState r, TerminationReason why) {
         if (r.out > 0) {
             return;
         }
--- a/src/main/java/petrelplank/routing/Live.java
+++ b/src/main/java/petrelplank/routing/RequestState.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /** A request that is not over, or has attempts out: what the decision module notes of it, no decisions. */
-final class Live {
+final class RequestState {
     /** One attempt that is out. */
-    static final class Try {
-        final Node node;
-        final Node source;
+    static final class AttemptState {
+        final Endpoint node;
+        final Endpoint source;
         final long sentUs;
         final double workUs;
         final boolean trial;
         final boolean fill;
 
-        Try(Node node, Node source, long sentUs, double workUs, boolean trial, boolean fill) {
+        AttemptState(Endpoint node, Endpoint source, long sentUs, double workUs, boolean trial, boolean fill) {
             this.node = node;
             this.source = source;
             this.sentUs = sentUs;
@@ -36,11 +36,11 @@
     /** Part of the limits that it may use. */
     double share = 1;
     /** By attempt number; null once an attempt has ended. */
-    final List<Try> tries = new ArrayList<>(2);
+    final List<AttemptState> tries = new ArrayList<>(2);
     /** Servers that it shall pass by. */
-    final List<Node> failed = new ArrayList<>(2);
+    final List<Endpoint> failed = new ArrayList<>(2);
     /** Servers that answered with an error and no note. */
-    final List<Node> errors = new ArrayList<>(0);
+    final List<Endpoint> errors = new ArrayList<>(0);
 
     int out;
     boolean over;
@@ -50,7 +50,7 @@
     /** A cache was passed by since it is at its limit. */
     boolean crowded;
     /** The attempt whose silence was not explained; it holds no place under the limits. */
-    Try lost;
+    AttemptState lost;
     /** A second attempt was made after a silence. */
     boolean silent;
     /** Its attempt's lateness was held against the origin already. */
@@ -63,7 +63,7 @@
     boolean mayHaveRun;
     long firstRunUs;
 
-    Live(RoutingRequest request, ServiceClass type, int typeIndex, double workUs, double draw) {
+    RequestState(RoutingRequest request, ServiceClass type, int typeIndex, double workUs, double draw) {
         this.request = request;
         this.type = type;
         this.typeIndex = typeIndex;
