--- a/src/main/java/petrelplank/cli/RunningFront.java
+++ b/src/main/java/petrelplank/cli/RunningFront.java
@@ -14,10 +14,10 @@
 import petrelplank.discovery.Follower;
 import petrelplank.fastcgi.ClientAcceptor;
 import petrelplank.fastcgi.WarmUp;
+import petrelplank.proxy.DiscoveryEvent;
+import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.Front;
-import petrelplank.proxy.ListEvent;
-import petrelplank.proxy.Rehearsal;
+import petrelplank.proxy.RouterWarmup;
 import petrelplank.record.EventSink;
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.RouterSettings;
@@ -61,7 +61,7 @@
     private final RouterSettings settings;
     private final List<EndpointInfo> list = new ArrayList<>();
     private final Shutdown shutdown;
-    private final Front front;
+    private final EdgeProxy front;
     private final Follower follower;
     /** Told to end (SIGTERM); ready never again. Event thread. */
     private boolean ending;
@@ -107,15 +107,15 @@
                 c.idleUs(),
                 ConnectionLimits.perServer(c.settings().zoneGatewayCount()),
                 c.settings().permissions().hedging());
-        front = new Front(loop, c.settings(), c.seed(), OPEN_PER_MB * c.memoryMb(), sink, (l, relay) -> {
+        front = new EdgeProxy(loop, c.settings(), c.seed(), OPEN_PER_MB * c.memoryMb(), sink, (l, relay) -> {
             pool = new ServerPool(l, relay, toServers, limits, c.settings().reportFields());
             return pool;
         });
         settings = c.settings();
         for (Fields known : c.known()) {
-            ListEvent event = EventDecoder.decode(known);
+            DiscoveryEvent event = EventDecoder.decode(known);
             front.told(event);
-            if (event instanceof ListEvent.Change change && change.complete()) {
+            if (event instanceof DiscoveryEvent.Change change && change.complete()) {
                 change.entries().forEach(e -> list.add(e.member()));
             }
         }
@@ -157,7 +157,7 @@
      */
     private void warmUp() {
         try {
-            Rehearsal.run(settings, list, DECISIONS);
+            RouterWarmup.run(settings, list, DECISIONS);
             WarmUp.ask(acceptor.getLocalAddress(), ASK_ROUNDS);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "warm-up broke off, ready without it", e);
@@ -193,7 +193,7 @@
      * @param known events of a new configuration; those already heard are passed over
      */
     void follow(InetSocketAddress coordinator, List<Fields> known) {
-        List<ListEvent> events = known.stream().map(EventDecoder::decode).toList();
+        List<DiscoveryEvent> events = known.stream().map(EventDecoder::decode).toList();
         loop.postUrgent(() -> {
             events.forEach(front::told);
             LOG.info("SIGHUP: following the coordinator at " + coordinator + " from " + front.listIndex());
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -2,8 +2,8 @@
 
 import java.util.logging.Logger;
 import petrelplank.fastcgi.ClientAcceptor;
+import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.Front;
 import petrelplank.transport.BoundedAcceptor;
 import petrelplank.transport.SharedProcessor;
 
@@ -28,7 +28,7 @@
     private static final long FLUSH_US = 50 * MS;
 
     private final EventLoop loop;
-    private final Front front;
+    private final EdgeProxy front;
     private final ClientAcceptor clients;
     private final BoundedAcceptor acceptor;
     private final SharedProcessor io;
@@ -41,7 +41,7 @@
      */
     Shutdown(
             EventLoop loop,
-            Front front,
+            EdgeProxy front,
             ClientAcceptor clients,
             BoundedAcceptor acceptor,
             SharedProcessor io,
--- a/src/main/java/petrelplank/discovery/EventDecoder.java
+++ b/src/main/java/petrelplank/discovery/EventDecoder.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import petrelplank.proxy.ListEvent;
+import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.EndpointState;
 import petrelplank.settings.Addresses;
@@ -20,12 +20,12 @@
 
     private EventDecoder() {}
 
-    static ListEvent decode(String line) {
+    static DiscoveryEvent decode(String line) {
         try (JsonParser in = JSON.createParser(line)) {
             in.nextToken();
             Object value = JsonValue.read(in);
             return value instanceof Long last
-                    ? new ListEvent.Beat(last)
+                    ? new DiscoveryEvent.Beat(last)
                     : decode(new Fields(JsonValue.object(value, "the event"), "the event"));
         } catch (IOException e) {
             throw new FormatException("not JSON: " + e.getMessage());
@@ -38,19 +38,19 @@
      * @param f the object
      * @return the event
      */
-    public static ListEvent decode(Fields f) {
+    public static DiscoveryEvent decode(Fields f) {
         long index = f.whole("index");
         if (f.has("evict")) {
             Fields purge = new Fields(f.object("evict"), f.where() + " evict");
             Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
-            return new ListEvent.Purge(index, object, (int) purge.whole("shard", -1), purge.whole("unix_ms"));
+            return new DiscoveryEvent.Purge(index, object, (int) purge.whole("shard", -1), purge.whole("unix_ms"));
         }
         if (!f.has("endpoints")) {
             // Guards against a kind of event not known here: it is passed over, and its number counts as heard.
-            return f.only("index") ? new ListEvent.Beat(index) : new ListEvent.Other(index);
+            return f.only("index") ? new DiscoveryEvent.Beat(index) : new DiscoveryEvent.Other(index);
         }
         Fields list = new Fields(f.object("endpoints"), f.where() + " endpoints");
-        List<ListEvent.Entry> entries = new ArrayList<>();
+        List<DiscoveryEvent.Entry> entries = new ArrayList<>();
         for (var entry : list.objects("instances")) {
             Fields e = new Fields(entry, list.where() + " instance");
             EndpointState state = switch (e.text("lifecycle")) {
@@ -68,8 +68,8 @@
                     e.number("weight", 1),
                     1000 * e.whole("startedAtMs", 0));
             InetSocketAddress address = Addresses.parse(e.text("hostPort"));
-            entries.add(new ListEvent.Entry(member, address));
+            entries.add(new DiscoveryEvent.Entry(member, address));
         }
-        return new ListEvent.Change(index, index == 1 || list.flag("reset"), entries);
+        return new DiscoveryEvent.Change(index, index == 1 || list.flag("reset"), entries);
     }
 }
--- a/src/main/java/petrelplank/discovery/Follower.java
+++ b/src/main/java/petrelplank/discovery/Follower.java
@@ -10,9 +10,9 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import petrelplank.discovery.backoff.ListCalls;
+import petrelplank.proxy.DiscoveryEvent;
+import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.Front;
-import petrelplank.proxy.ListEvent;
 import petrelplank.settings.FormatException;
 
 /**
@@ -27,7 +27,7 @@
     private static final int LOGGED_ONE_IN = 25;
 
     private final EventLoop loop;
-    private final Front front;
+    private final EdgeProxy front;
     private final NioSocketConnector connector;
     private InetSocketAddress address;
     /** The connection in use; what an older one still says is passed over. */
@@ -60,7 +60,8 @@
      * @param address the coordinator's
      * @param seed of the jitter of calls after a break; the configuration's, so that fronts differ
      */
-    public Follower(EventLoop loop, Front front, NioSocketConnector connector, InetSocketAddress address, long seed) {
+    public Follower(
+            EventLoop loop, EdgeProxy front, NioSocketConnector connector, InetSocketAddress address, long seed) {
         this.calls = new ListCalls(seed);
         this.loop = loop;
         this.front = front;
@@ -164,7 +165,7 @@
         again = loop.at(loop.now() + calls.broken(loop.now()), this::start);
     }
 
-    private void told(Object mine, ListEvent event) {
+    private void told(Object mine, DiscoveryEvent event) {
         if (current != mine) {
             return;
         }
@@ -172,18 +173,18 @@
         breaksInRow = 0;
         calls.heard(heardUs, madeUs);
         long last = front.listIndex();
-        if (event instanceof ListEvent.Beat
+        if (event instanceof DiscoveryEvent.Beat
                 ? event.index() > last
                 : event.index() > last + 1 && askedAgainFrom != last) {
             // Guards against a drain or a purge that was left out. A gap that stays when asked again is no loss.
             askedAgainFrom = last;
             broken(mine, "left out events between " + last + " and " + event.index());
-        } else if (event instanceof ListEvent.Change list
+        } else if (event instanceof DiscoveryEvent.Change list
                 && list.complete()
                 && list.entries().isEmpty()) {
             // Guards the service against a list that fails without an error: the last good one stays.
             broken(mine, "sent an empty list");
-        } else if (!(event instanceof ListEvent.Beat)) {
+        } else if (!(event instanceof DiscoveryEvent.Beat)) {
             heard = true;
             front.told(event);
         } else {
@@ -212,7 +213,7 @@
 
         private void line(Object mine, String line) {
             if (!line.isEmpty()) {
-                ListEvent event = EventDecoder.decode(line);
+                DiscoveryEvent event = EventDecoder.decode(line);
                 loop.postUrgent(() -> told(mine, event));
             }
         }
--- a/src/main/java/petrelplank/emulator/EmulatedFront.java
+++ b/src/main/java/petrelplank/emulator/EmulatedFront.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import petrelplank.proxy.Attempt;
 import petrelplank.proxy.ClientRequest;
+import petrelplank.proxy.DiscoveryEvent;
+import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.Front;
-import petrelplank.proxy.ListEvent;
-import petrelplank.proxy.Relay;
 import petrelplank.proxy.ResponseChannel;
-import petrelplank.proxy.ServerAnswer;
-import petrelplank.proxy.Servers;
+import petrelplank.proxy.ResponseForwarder;
+import petrelplank.proxy.UpstreamClient;
+import petrelplank.proxy.UpstreamResponse;
 import petrelplank.record.EventSink;
 import petrelplank.routing.RouterSettings;
 
 /** One life of a front: the real stages and the real decision module, on simulated time and messages. */
-final class EmulatedFront implements Servers {
+final class EmulatedFront implements UpstreamClient {
     /** Carries a command to a server. */
     interface Network {
         void fetch(EmulatedFront from, Attempt attempt);
@@ -31,9 +31,9 @@
     private final Network network;
     private final Truth truth;
     private final EventLoop loop;
-    private final Front front;
+    private final EdgeProxy front;
     private final EventSink sink;
-    private Relay relay;
+    private ResponseForwarder relay;
     private boolean alive = true;
     private long planned = Long.MAX_VALUE;
     /** When each attempt that is out was sent. */
@@ -57,7 +57,7 @@
         this.truth = truth;
         this.sink = sink;
         this.loop = new EventLoop(() -> clock.now() + offsetUs);
-        this.front = new Front(loop, settings, seed, MOST_OPEN, sink, (l, r) -> {
+        this.front = new EdgeProxy(loop, settings, seed, MOST_OPEN, sink, (l, r) -> {
             relay = r;
             return this;
         });
@@ -77,7 +77,7 @@
         return front.listIndex();
     }
 
-    void told(ListEvent event) {
+    void told(DiscoveryEvent event) {
         if (alive) {
             loop.postUrgent(() -> front.told(event));
             run();
@@ -90,7 +90,7 @@
     }
 
     /** An answer came from a server; passed over where the front has given the attempt up, or has been killed. */
-    void answered(Attempt attempt, ServerAnswer answer) {
+    void answered(Attempt attempt, UpstreamResponse answer) {
         Long sentUs = alive ? out.remove(attempt) : null;
         if (sentUs != null) {
             truth.ended(this, attempt, answer, clock.now() - sentUs);
--- a/src/main/java/petrelplank/emulator/Truth.java
+++ b/src/main/java/petrelplank/emulator/Truth.java
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 import java.util.function.LongToIntFunction;
 import org.HdrHistogram.Histogram;
-import petrelplank.proxy.Answer;
 import petrelplank.proxy.Attempt;
-import petrelplank.proxy.ListEvent;
-import petrelplank.proxy.ServerAnswer;
+import petrelplank.proxy.ClientResponse;
+import petrelplank.proxy.DiscoveryEvent;
+import petrelplank.proxy.UpstreamResponse;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 import petrelplank.routing.EndpointState;
@@ -25,7 +25,7 @@
     /** Sums of requests. */
     private static final class Sums {
         private long asked;
-        private final Map<Answer.Kind, Long> kinds = new HashMap<>();
+        private final Map<ClientResponse.Kind, Long> kinds = new HashMap<>();
         private long inTime;
         private double worthAsked;
         private double worthEarned;
@@ -33,8 +33,8 @@
         Map<String, Object> tree() {
             Map<String, Object> t = new LinkedHashMap<>();
             t.put("asked", asked);
-            for (Answer.Kind k : Answer.Kind.values()) {
-                if (k != Answer.Kind.BAD_REQUEST) {
+            for (ClientResponse.Kind k : ClientResponse.Kind.values()) {
+                if (k != ClientResponse.Kind.BAD_REQUEST) {
                     t.put(k.label(), kinds.getOrDefault(k, 0L));
                 }
             }
@@ -98,7 +98,7 @@
     private final Map<EmulatedFront, Map<String, Long>> drainTold = new HashMap<>();
     private final Map<EmulatedFront, Long> open = new HashMap<>();
     private final Map<String, Integer> runs = new HashMap<>();
-    private final Map<EmulatedFront, Map<ListEvent.Purge, Long>> purgeTold = new HashMap<>();
+    private final Map<EmulatedFront, Map<DiscoveryEvent.Purge, Long>> purgeTold = new HashMap<>();
     private LongToIntFunction groupOf = object -> -1;
     private long lateSends;
     private long latePurge;
@@ -137,10 +137,10 @@
         }
     }
 
-    void answered(EmulatedFront front, Catalogue.Item item, long bytes, Answer answer, long tookUs) {
+    void answered(EmulatedFront front, Catalogue.Item item, long bytes, ClientResponse answer, long tookUs) {
         open.merge(front, -1L, Long::sum);
         ServiceClass c = item.type();
-        boolean good = answer.kind() == Answer.Kind.SERVED || answer.kind() == Answer.Kind.NOT_MODIFIED;
+        boolean good = answer.kind() == ClientResponse.Kind.SERVED || answer.kind() == ClientResponse.Kind.NOT_MODIFIED;
         double sending = bytes / (Catalogue.FLOW_KB_PER_S * 1024) * 1e6;
         boolean inTime =
                 good && tookUs <= Math.min(c.deadlineUs(), c.latencyObjectiveUs() + c.objectiveSizeFactor() * sending);
@@ -169,13 +169,13 @@
         groupOf = of;
     }
 
-    void ended(EmulatedFront front, Attempt attempt, ServerAnswer answer, long tookUs) {
+    void ended(EmulatedFront front, Attempt attempt, UpstreamResponse answer, long tookUs) {
         String server = attempt.server();
         if (answer.status() == AttemptStatus.OK && answer.bornMs() > 0) {
             long object = Long.parseUnsignedLong(attempt.fetch().object(), 16);
             long sentUs = front.clockUs() - tookUs;
             boolean late = false;
-            for (Map.Entry<ListEvent.Purge, Long> p : purgeTold.get(front).entrySet()) {
+            for (Map.Entry<DiscoveryEvent.Purge, Long> p : purgeTold.get(front).entrySet()) {
                 boolean meant = p.getKey().object() != null
                         ? p.getKey().object() == object
                         : p.getKey().group() == groupOf.applyAsInt(object);
@@ -200,12 +200,12 @@
         peer(server).withdrawn++;
     }
 
-    void told(EmulatedFront front, ListEvent event) {
-        if (event instanceof ListEvent.Purge p) {
+    void told(EmulatedFront front, DiscoveryEvent event) {
+        if (event instanceof DiscoveryEvent.Purge p) {
             purgeTold.get(front).put(p, front.clockUs());
             purges.computeIfAbsent(p.index(), i -> new ArrayList<>()).add(front.clockUs());
-        } else if (event instanceof ListEvent.Change c) {
-            for (ListEvent.Entry e : c.entries()) {
+        } else if (event instanceof DiscoveryEvent.Change c) {
+            for (DiscoveryEvent.Entry e : c.entries()) {
                 if (e.member().state() == EndpointState.UP) {
                     drainTold.get(front).remove(e.member().id());
                 } else if (drainTold.get(front).putIfAbsent(e.member().id(), front.clockUs()) == null) {
--- a/src/main/java/petrelplank/emulator/World.java
+++ b/src/main/java/petrelplank/emulator/World.java
@@ -13,12 +13,12 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 import petrelplank.emulator.Scenario.Trouble;
-import petrelplank.proxy.Answer;
 import petrelplank.proxy.Attempt;
 import petrelplank.proxy.ClientRequest;
-import petrelplank.proxy.Fetch;
-import petrelplank.proxy.ListEvent;
-import petrelplank.proxy.ServerAnswer;
+import petrelplank.proxy.ClientResponse;
+import petrelplank.proxy.DiscoveryEvent;
+import petrelplank.proxy.UpstreamRequest;
+import petrelplank.proxy.UpstreamResponse;
 import petrelplank.record.EventSink;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
@@ -66,7 +66,7 @@
     private final Map<String, Box> boxes = new LinkedHashMap<>();
     private final Map<String, Link> links = new HashMap<>();
     private final Map<String, EmulatedFront> fronts = new LinkedHashMap<>();
-    private final List<ListEvent> told = new ArrayList<>();
+    private final List<DiscoveryEvent> told = new ArrayList<>();
     private final Map<Integer, byte[]> bodies = new HashMap<>();
     private final Map<String, Catalogue.Item> items = new HashMap<>();
     private long requests;
@@ -108,7 +108,7 @@
             }
         }
         warm();
-        told.add(new ListEvent.Change(1, true, list(EndpointState.UP, boxes.keySet())));
+        told.add(new DiscoveryEvent.Change(1, true, list(EndpointState.UP, boxes.keySet())));
         for (int b = 1; b <= scenario.branches(); b++) {
             for (int i = 1; i <= scenario.frontsPerBranch(); i++) {
                 start(ServerNames.front(b, i), ServerNames.branch(b));
@@ -139,16 +139,16 @@
         return (catalogue.bytes(item) + KIB - 1) / KIB * KIB;
     }
 
-    private List<ListEvent.Entry> list(EndpointState state, Iterable<String> ids) {
-        List<ListEvent.Entry> all = new ArrayList<>();
+    private List<DiscoveryEvent.Entry> list(EndpointState state, Iterable<String> ids) {
+        List<DiscoveryEvent.Entry> all = new ArrayList<>();
         for (String id : ids) {
             Box box = boxes.get(id);
-            all.add(new ListEvent.Entry(
+            all.add(new DiscoveryEvent.Entry(
                     new EndpointInfo(id, box.zone, box.kind, 0, state, box.weight, box.startedUs()),
                     InetSocketAddress.createUnresolved(id, 1)));
         }
         if (told.isEmpty()) {
-            all.add(new ListEvent.Entry(
+            all.add(new DiscoveryEvent.Entry(
                     new EndpointInfo(CENTRAL, ServerNames.hub(1), "central", 0, EndpointState.UP, 1, 0),
                     InetSocketAddress.createUnresolved(CENTRAL, 1)));
         }
@@ -216,14 +216,14 @@
         told.forEach(e -> tell(front, e));
     }
 
-    private void tell(EmulatedFront front, ListEvent event) {
+    private void tell(EmulatedFront front, DiscoveryEvent event) {
         if (front.alive()) {
             truth.told(front, event);
             front.told(event);
         }
     }
 
-    private void announce(ListEvent event) {
+    private void announce(DiscoveryEvent event) {
         told.add(event);
         for (EmulatedFront front : List.copyOf(fronts.values())) {
             long late = Math.max(0, heldUntilUs - clock.now());
@@ -241,7 +241,7 @@
 
     private void purge(Long object, int group) {
         long at = clock.now() / 1000 * 1000;
-        announce(new ListEvent.Purge(told.size() + 1, object, group, at / 1000));
+        announce(new DiscoveryEvent.Purge(told.size() + 1, object, group, at / 1000));
         for (Box box : boxes.values()) {
             clock.after(50_000 + random.nextInt(2_000_000), () -> box.store.drop(object, group, at));
         }
@@ -287,7 +287,11 @@
                 answer -> {
                     items.remove(id);
                     truth.answered(
-                            front, item, answer.kind() == Answer.Kind.SERVED ? bytes : 0, answer, clock.now() - from);
+                            front,
+                            item,
+                            answer.kind() == ClientResponse.Kind.SERVED ? bytes : 0,
+                            answer,
+                            clock.now() - from);
                 });
     }
 
@@ -298,7 +302,7 @@
     }
 
     private void fetch(EmulatedFront front, Attempt attempt) {
-        Fetch f = attempt.fetch();
+        UpstreamRequest f = attempt.fetch();
         Catalogue.Item item = items.get(f.id());
         long object = Long.parseUnsignedLong(f.object(), 16);
         boolean write = f.serviceClass().equals("stock-move");
@@ -349,7 +353,7 @@
         });
     }
 
-    private ServerAnswer answer(String id, long bytes, Box.Reply reply, Box box) {
+    private UpstreamResponse answer(String id, long bytes, Box.Reply reply, Box box) {
         byte[] body = reply.status() == AttemptStatus.OK
                 ? bodies.computeIfAbsent((int) bytes, byte[]::new)
                 : bodies.computeIfAbsent(0, byte[]::new);
@@ -359,7 +363,7 @@
                     box.load()[0],
                     links.containsKey(box.zone) ? links.get(box.zone).use() : 0
                 };
-        return new ServerAnswer(
+        return new UpstreamResponse(
                 id,
                 reply.status(),
                 false,
@@ -413,11 +417,11 @@
             case DRAIN -> {
                 clock.at(
                         from,
-                        () -> announce(new ListEvent.Change(
+                        () -> announce(new DiscoveryEvent.Change(
                                 told.size() + 1, false, list(EndpointState.DRAINING, t.servers()))));
                 clock.at(
                         to,
-                        () -> announce(new ListEvent.Change(
+                        () -> announce(new DiscoveryEvent.Change(
                                 told.size() + 1, false, list(EndpointState.REMOVED, t.servers()))));
             }
             case LOST ->
@@ -426,7 +430,7 @@
                     box.start();
                     clock.after(
                             LISTED_US,
-                            () -> announce(new ListEvent.Change(
+                            () -> announce(new DiscoveryEvent.Change(
                                     told.size() + 1, false, list(EndpointState.UP, List.of(box.id)))));
                 });
             case REPLACE -> {
@@ -451,11 +455,11 @@
         add(box);
         box.start();
         clock.after(LISTED_US, () -> {
-            announce(new ListEvent.Change(told.size() + 1, false, list(EndpointState.UP, List.of(box.id))));
-            announce(new ListEvent.Change(told.size() + 1, false, list(EndpointState.DRAINING, List.of(old.id))));
+            announce(new DiscoveryEvent.Change(told.size() + 1, false, list(EndpointState.UP, List.of(box.id))));
+            announce(new DiscoveryEvent.Change(told.size() + 1, false, list(EndpointState.DRAINING, List.of(old.id))));
         });
         clock.after(LISTED_US + LEAVES_US, () -> {
-            announce(new ListEvent.Change(told.size() + 1, false, list(EndpointState.REMOVED, List.of(old.id))));
+            announce(new DiscoveryEvent.Change(told.size() + 1, false, list(EndpointState.REMOVED, List.of(old.id))));
             old.silent(true);
         });
     }
--- a/src/main/java/petrelplank/fastcgi/ClientAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/ClientAcceptor.java
@@ -10,8 +10,8 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import petrelplank.fastcgi.ClientConnection.State;
+import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.Front;
 import petrelplank.transport.BoundedAcceptor;
 import petrelplank.transport.Share;
 
@@ -20,7 +20,7 @@
     private static final long SWEEP_US = 250_000;
 
     final EventLoop loop;
-    final Front front;
+    final EdgeProxy front;
     final BoundedAcceptor acceptor;
     final Share share;
     final RequestDecoder decoder;
@@ -46,7 +46,7 @@
      * @param sizeScale bytes on the sockets over those in which clients tell sizes, above 0
      */
     public ClientAcceptor(
-            EventLoop loop, Front front, BoundedAcceptor acceptor, Share share, long memory, double sizeScale) {
+            EventLoop loop, EdgeProxy front, BoundedAcceptor acceptor, Share share, long memory, double sizeScale) {
         this.loop = loop;
         this.faults = new ClientFaults(share);
         this.decoder = new RequestDecoder(sizeScale);
--- a/src/main/java/petrelplank/fastcgi/ClientConnection.java
+++ b/src/main/java/petrelplank/fastcgi/ClientConnection.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.session.IoSession;
-import petrelplank.proxy.Answer;
 import petrelplank.proxy.ClientRequest;
+import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.EventLoop;
 
 /** One connection; records are read in its I/O thread, answers are written from the event thread. */
@@ -182,12 +182,12 @@
         quietUs = loop.clock();
         String script = params.getOrDefault("SCRIPT_NAME", "");
         if (script.equals(HEALTH)) {
-            channel.answer(owner.ready ? Answer.of(Answer.Kind.SERVED) : Answer.refused(0));
+            channel.answer(owner.ready ? ClientResponse.of(ClientResponse.Kind.SERVED) : ClientResponse.refused(0));
             return;
         }
         ClientRequest asked = owner.decoder.decode(params, body);
         if (asked == null) {
-            channel.answer(Answer.of(Answer.Kind.BAD_REQUEST));
+            channel.answer(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
             return;
         }
         long arrivedUs = owner.acceptor.unreadSinceUs();
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -1,6 +1,6 @@
 package petrelplank.fastcgi;
 
-import petrelplank.proxy.Answer;
+import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.ResponseChannel;
 
 /** The way back to a FastCGI client, for one request on its connection. */
@@ -21,7 +21,7 @@
 
     /** Whoever takes the id off the connection first, an answer or an abort, has the last word. */
     @Override
-    public void answer(Answer answer) {
+    public void answer(ClientResponse answer) {
         connection.writing.incrementAndGet();
         boolean owed = connection.open.remove(id, this);
         if (owed) {
--- a/src/main/java/petrelplank/fastcgi/RecordEncoder.java
+++ b/src/main/java/petrelplank/fastcgi/RecordEncoder.java
@@ -2,7 +2,7 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-import petrelplank.proxy.Answer;
+import petrelplank.proxy.ClientResponse;
 
 /** Writes answers as FastCGI records. */
 final class RecordEncoder {
@@ -10,7 +10,7 @@
 
     private RecordEncoder() {}
 
-    static byte[] answer(int id, Answer answer) {
+    static byte[] answer(int id, ClientResponse answer) {
         StringBuilder head = new StringBuilder(128)
                 .append(
                         switch (answer.kind()) {
@@ -19,7 +19,7 @@
                             case FAILED -> "Status: 504 Gateway Timeout\r\n";
                             case BAD_REQUEST -> "Status: 400 Bad Request\r\n";
                         });
-        if (answer.kind() == Answer.Kind.NOT_MODIFIED) {
+        if (answer.kind() == ClientResponse.Kind.NOT_MODIFIED) {
             head.append("X-Still: 1\r\n");
         }
         if (answer.retryAfterMs() > 0) {
--- a/src/main/java/petrelplank/proxy/Admit.java
+++ b/src/main/java/petrelplank/proxy/AdmissionController.java
@@ -9,7 +9,7 @@
  * Stage 2: holds the open exchanges, no more than memory allows, and gives each a guard at its deadline. What is
  * turned away here has not been sent anywhere.
  */
-final class Admit {
+final class AdmissionController {
     /** The guard goes off this long after the router's own time is up. */
     private static final long GUARD_US = 10_000;
 
@@ -18,14 +18,14 @@
     private final EventLoop loop;
     private final Map<String, Exchange> open = new HashMap<>();
     private final int most;
-    private final Route route;
-    private final Book book;
-    private final Scribe scribe;
+    private final RoutingStage route;
+    private final RequestCompletion book;
+    private final EventRecorder scribe;
     private long closeAtUs = Long.MAX_VALUE;
     /** What was taken and may not be routed yet; null where nothing has to wait. */
     private Set<Exchange> waiting;
 
-    Admit(EventLoop loop, int most, Route route, Book book, Scribe scribe) {
+    AdmissionController(EventLoop loop, int most, RoutingStage route, RequestCompletion book, EventRecorder scribe) {
         this.loop = loop;
         this.most = most;
         this.route = route;
@@ -37,8 +37,8 @@
         String id = exchange.asked.id();
         if (open.size() >= most || open.containsKey(id) || loop.now() >= closeAtUs) {
             book.turnedAway();
-            scribe.turnedAway(exchange.asked, Answer.Kind.REJECTED);
-            exchange.channel.answer(Answer.refused(FULL_RETRY_MS));
+            scribe.turnedAway(exchange.asked, ClientResponse.Kind.REJECTED);
+            exchange.channel.answer(ClientResponse.refused(FULL_RETRY_MS));
             return null;
         }
         open.put(id, exchange);
--- a/src/main/java/petrelplank/proxy/Attempt.java
+++ b/src/main/java/petrelplank/proxy/Attempt.java
@@ -7,11 +7,11 @@
     private final long sentUs;
     private final long untilUs;
     private final String server;
-    private final Fetch fetch;
+    private final UpstreamRequest fetch;
     boolean ended;
     EventLoop.Timer timer;
 
-    Attempt(Exchange exchange, int number, String server, Fetch fetch, long sentUs, long untilUs) {
+    Attempt(Exchange exchange, int number, String server, UpstreamRequest fetch, long sentUs, long untilUs) {
         this.exchange = exchange;
         this.number = number;
         this.server = server;
@@ -34,7 +34,7 @@
      *
      * @return the command
      */
-    public Fetch fetch() {
+    public UpstreamRequest fetch() {
         return fetch;
     }
 
--- a/src/main/java/petrelplank/proxy/Send.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -9,15 +9,20 @@
 import petrelplank.routing.ServiceClass;
 
 /** Stage 4: turns the router's orders into attempts, and watches their time. */
-final class Send {
+final class AttemptDispatcher {
     private final EventLoop loop;
-    private final Servers servers;
-    private final Relay relay;
-    private final Scribe scribe;
+    private final UpstreamClient servers;
+    private final ResponseForwarder relay;
+    private final EventRecorder scribe;
     /** The classes that may not be sent again at will. */
     private final Set<String> guarded;
 
-    Send(EventLoop loop, RouterSettings settings, Servers servers, Relay relay, Scribe scribe) {
+    AttemptDispatcher(
+            EventLoop loop,
+            RouterSettings settings,
+            UpstreamClient servers,
+            ResponseForwarder relay,
+            EventRecorder scribe) {
         this.loop = loop;
         this.servers = servers;
         this.relay = relay;
@@ -32,7 +37,7 @@
         ClientRequest asked = exchange.asked;
         long now = loop.now();
         long untilUs = now + order.timeoutUs();
-        Fetch fetch = new Fetch(
+        UpstreamRequest fetch = new UpstreamRequest(
                 asked.id(),
                 asked.serviceClass(),
                 asked.object(),
@@ -73,6 +78,7 @@
 
     private void withdraw(Attempt attempt, AttemptStatus status) {
         servers.abort(attempt);
-        loop.post(() -> relay.ended(attempt, ServerAnswer.ended(attempt.fetch().id(), status)));
+        loop.post(() ->
+                relay.ended(attempt, UpstreamResponse.ended(attempt.fetch().id(), status)));
     }
 }
--- a/src/main/java/petrelplank/proxy/Answer.java
+++ b/src/main/java/petrelplank/proxy/ClientResponse.java
@@ -7,7 +7,7 @@
  * @param body the bytes of the part; empty where there are none
  * @param retryAfterMs for refusals: how long to stay away; 0 for no advice
  */
-public record Answer(Kind kind, byte[] body, long retryAfterMs) {
+public record ClientResponse(Kind kind, byte[] body, long retryAfterMs) {
     private static final byte[] NOTHING = new byte[0];
 
     /** What an answer says. */
@@ -39,8 +39,8 @@
         }
     }
 
-    static Answer served(byte[] body) {
-        return new Answer(Kind.SERVED, body, 0);
+    static ClientResponse served(byte[] body) {
+        return new ClientResponse(Kind.SERVED, body, 0);
     }
 
     /**
@@ -49,8 +49,8 @@
      * @param kind what it says
      * @return the answer
      */
-    public static Answer of(Kind kind) {
-        return new Answer(kind, NOTHING, 0);
+    public static ClientResponse of(Kind kind) {
+        return new ClientResponse(kind, NOTHING, 0);
     }
 
     /**
@@ -59,7 +59,7 @@
      * @param retryAfterMs how long the client shall stay away; 0 for no advice
      * @return the answer
      */
-    public static Answer refused(long retryAfterMs) {
-        return new Answer(Kind.REJECTED, NOTHING, retryAfterMs);
+    public static ClientResponse refused(long retryAfterMs) {
+        return new ClientResponse(Kind.REJECTED, NOTHING, retryAfterMs);
     }
 }
--- a/src/main/java/petrelplank/proxy/ListEvent.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEvent.java
@@ -5,7 +5,7 @@
 import petrelplank.routing.EndpointInfo;
 
 /** A numbered event of the coordinator. */
-public sealed interface ListEvent {
+public sealed interface DiscoveryEvent {
     /**
      * The event's number.
      *
@@ -28,7 +28,7 @@
      * @param complete the entries are the whole list
      * @param entries the entries
      */
-    record Change(long index, boolean complete, List<Entry> entries) implements ListEvent {}
+    record Change(long index, boolean complete, List<Entry> entries) implements DiscoveryEvent {}
 
     /**
      * An object, or a group of them, was purged.
@@ -38,19 +38,19 @@
      * @param group the group, where no object is named
      * @param unixMs when
      */
-    record Purge(long index, Long object, int group, long unixMs) implements ListEvent {}
+    record Purge(long index, Long object, int group, long unixMs) implements DiscoveryEvent {}
 
     /**
      * Nothing new: the number of the last event there is.
      *
      * @param index that number
      */
-    record Beat(long index) implements ListEvent {}
+    record Beat(long index) implements DiscoveryEvent {}
 
     /**
      * An event of a kind not known here.
      *
      * @param index the event's number
      */
-    record Other(long index) implements ListEvent {}
+    record Other(long index) implements DiscoveryEvent {}
 }
--- a/src/main/java/petrelplank/proxy/Front.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -12,14 +12,14 @@
 import petrelplank.routing.RouterSettings;
 
 /** The front: the stages, the router and its actions, and the list of servers. Event thread only. */
-public final class Front {
+public final class EdgeProxy {
     private final EventLoop loop;
-    private final Servers servers;
+    private final UpstreamClient servers;
     private final Router router;
-    private final Scribe scribe;
-    private final Book book;
-    private final Admit admit;
-    private final TakeIn takeIn;
+    private final EventRecorder scribe;
+    private final RequestCompletion book;
+    private final AdmissionController admit;
+    private final RequestValidator takeIn;
     private final Set<String> listed = new HashSet<>();
     private long listIndex;
 
@@ -33,24 +33,24 @@
      * @param sink takes the front's records; null for none
      * @param connect makes the connections, given the loop and the stage that hears of ends
      */
-    public Front(
+    public EdgeProxy(
             EventLoop loop,
             RouterSettings settings,
             long seed,
             int mostOpen,
             EventSink sink,
-            BiFunction<EventLoop, Relay, Servers> connect) {
+            BiFunction<EventLoop, ResponseForwarder, UpstreamClient> connect) {
         this.loop = loop;
-        this.scribe = new Scribe(loop, settings, sink);
-        this.book = new Book(loop, scribe);
-        Relay relay = new Relay(loop, book, scribe);
-        Route route = new Route(loop, settings);
+        this.scribe = new EventRecorder(loop, settings, sink);
+        this.book = new RequestCompletion(loop, scribe);
+        ResponseForwarder relay = new ResponseForwarder(loop, book, scribe);
+        RoutingStage route = new RoutingStage(loop, settings);
         this.servers = connect.apply(loop, relay);
-        Send send = new Send(loop, settings, servers, relay, scribe);
-        this.admit = new Admit(loop, mostOpen, route, book, scribe);
-        this.takeIn = new TakeIn(admit, settings, scribe);
+        AttemptDispatcher send = new AttemptDispatcher(loop, settings, servers, relay, scribe);
+        this.admit = new AdmissionController(loop, mostOpen, route, book, scribe);
+        this.takeIn = new RequestValidator(admit, settings, scribe);
         book.admit(admit);
-        RouterActions actions = new RouterActions(loop, admit, send, book, scribe);
+        ProxyRouterActions actions = new ProxyRouterActions(loop, admit, send, book, scribe);
         this.router = new RequestRouter(settings, seed, actions);
         actions.router(router);
         route.router(router);
@@ -101,13 +101,13 @@
      *
      * @param event what; numbers already known are passed over
      */
-    public void told(ListEvent event) {
+    public void told(DiscoveryEvent event) {
         if (event.index() <= listIndex) {
             return;
         }
         listIndex = event.index();
         scribe.told(event);
-        if (event instanceof ListEvent.Purge purge) {
+        if (event instanceof DiscoveryEvent.Purge purge) {
             long now = loop.now();
             long ageUs = Math.max(0, now - purge.unixMs() * 1000);
             if (purge.object() != null) {
@@ -115,17 +115,17 @@
             } else {
                 router.groupPurged(now, purge.group(), ageUs);
             }
-        } else if (event instanceof ListEvent.Change change) {
+        } else if (event instanceof DiscoveryEvent.Change change) {
             List<EndpointInfo> members =
-                    change.entries().stream().map(ListEvent.Entry::member).toList();
+                    change.entries().stream().map(DiscoveryEvent.Entry::member).toList();
             router.endpointsChanged(loop.now(), change.complete(), members);
             connections(change);
         }
     }
 
-    private void connections(ListEvent.Change change) {
+    private void connections(DiscoveryEvent.Change change) {
         Set<String> left = change.complete() ? new HashSet<>(listed) : new HashSet<>();
-        for (ListEvent.Entry entry : change.entries()) {
+        for (DiscoveryEvent.Entry entry : change.entries()) {
             if (entry.member().state() == EndpointState.REMOVED) {
                 left.add(entry.member().id());
             } else {
@@ -134,7 +134,7 @@
         }
         left.forEach(servers::gone);
         listed.removeAll(left);
-        for (ListEvent.Entry entry : change.entries()) {
+        for (DiscoveryEvent.Entry entry : change.entries()) {
             if (entry.member().state() != EndpointState.REMOVED) {
                 listed.add(entry.member().id());
                 servers.listed(
--- a/src/main/java/petrelplank/proxy/Scribe.java
+++ b/src/main/java/petrelplank/proxy/EventRecorder.java
@@ -13,7 +13,7 @@
 import petrelplank.routing.TerminationReason;
 
 /** Makes events of what the stages do, where records are on; else does nothing. Event thread only. */
-final class Scribe {
+final class EventRecorder {
     private static final long PULSE_US = 1_000_000;
 
     private final EventLoop loop;
@@ -25,7 +25,7 @@
     private String givenUp;
     private TerminationReason why;
 
-    Scribe(EventLoop loop, RouterSettings settings, EventSink sink) {
+    EventRecorder(EventLoop loop, RouterSettings settings, EventSink sink) {
         this.loop = loop;
         this.sink = sink;
         this.classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
@@ -51,7 +51,7 @@
         sink.record(loop.now(), event);
     }
 
-    private static Event.Final kind(Answer.Kind kind) {
+    private static Event.Final kind(ClientResponse.Kind kind) {
         return switch (kind) {
             case SERVED -> Event.Final.SERVED;
             case NOT_MODIFIED -> Event.Final.NOT_MODIFIED;
@@ -68,7 +68,7 @@
         }
     }
 
-    void turnedAway(ClientRequest asked, Answer.Kind told) {
+    void turnedAway(ClientRequest asked, ClientResponse.Kind told) {
         if (sink != null) {
             record(new Event.TurnedAway(
                     asked.id(), classes.containsKey(asked.serviceClass()) ? asked.serviceClass() : "", kind(told)));
@@ -77,7 +77,7 @@
 
     void sent(Attempt a) {
         if (sink != null) {
-            Fetch f = a.fetch();
+            UpstreamRequest f = a.fetch();
             record(new Event.Sent(
                     a.exchange.id,
                     a.number,
@@ -89,9 +89,9 @@
         }
     }
 
-    void ended(Attempt a, ServerAnswer answer, long latencyUs) {
+    void ended(Attempt a, UpstreamResponse answer, long latencyUs) {
         if (sink != null) {
-            Fetch f = a.fetch();
+            UpstreamRequest f = a.fetch();
             record(new Event.Ended(
                     a.exchange.id,
                     a.number,
@@ -127,11 +127,12 @@
         why = reason;
     }
 
-    void answered(Exchange e, Answer answer) {
+    void answered(Exchange e, ClientResponse answer) {
         if (sink != null) {
             ServiceClass type = classes.get(e.asked.serviceClass());
             long latencyUs = loop.now() - e.arrivedUs;
-            boolean served = answer.kind() == Answer.Kind.SERVED || answer.kind() == Answer.Kind.NOT_MODIFIED;
+            boolean served =
+                    answer.kind() == ClientResponse.Kind.SERVED || answer.kind() == ClientResponse.Kind.NOT_MODIFIED;
             boolean inTime = served && latencyUs <= latencyObjectiveUs(type, answer.body().length);
             double worth = !served
                     ? 0
@@ -163,13 +164,13 @@
         }
     }
 
-    void told(ListEvent event) {
+    void told(DiscoveryEvent event) {
         if (sink == null) {
             return;
         }
-        if (event instanceof ListEvent.Purge p) {
+        if (event instanceof DiscoveryEvent.Purge p) {
             record(new Event.Purged(p.index(), p.object(), p.object() != null ? -1 : p.group(), p.unixMs()));
-        } else if (event instanceof ListEvent.Change c) {
+        } else if (event instanceof DiscoveryEvent.Change c) {
             record(new Event.Listed(
                     c.index(),
                     c.complete(),
@@ -196,7 +197,7 @@
     }
 
     /** Writes down how the front is, once a second from now on. */
-    void pulse(Admit admit) {
+    void pulse(AdmissionController admit) {
         if (sink != null) {
             record(new Event.Pulse(admit.size(), loop.size(), sink.heapBytes(), loop.latestLateUs()));
             loop.at(loop.now() + PULSE_US, () -> pulse(admit));
--- a/src/main/java/petrelplank/proxy/RouterActions.java
+++ b/src/main/java/petrelplank/proxy/ProxyRouterActions.java
@@ -7,18 +7,23 @@
 import petrelplank.routing.TerminationReason;
 
 /** Carries the router's decisions out: attempts, final answers, timers. Event thread only. */
-final class RouterActions implements Actions {
-    private static final Logger LOG = Logger.getLogger(Front.class.getName());
+final class ProxyRouterActions implements Actions {
+    private static final Logger LOG = Logger.getLogger(EdgeProxy.class.getName());
     private static final long LEAST_TIMER_US = 1000;
 
     private final EventLoop loop;
-    private final Admit admit;
-    private final Send send;
-    private final Book book;
-    private final Scribe scribe;
+    private final AdmissionController admit;
+    private final AttemptDispatcher send;
+    private final RequestCompletion book;
+    private final EventRecorder scribe;
     private Router router;
 
-    RouterActions(EventLoop loop, Admit admit, Send send, Book book, Scribe scribe) {
+    ProxyRouterActions(
+            EventLoop loop,
+            AdmissionController admit,
+            AttemptDispatcher send,
+            RequestCompletion book,
+            EventRecorder scribe) {
         this.loop = loop;
         this.admit = admit;
         this.send = send;
@@ -38,12 +43,12 @@
 
     @Override
     public void reject(String request, long retryAfterUs) {
-        book.answer(admit.find(request), Answer.refused((retryAfterUs + 999) / 1000));
+        book.answer(admit.find(request), ClientResponse.refused((retryAfterUs + 999) / 1000));
     }
 
     @Override
     public void fail(String request) {
-        book.answer(admit.find(request), Answer.of(Answer.Kind.FAILED));
+        book.answer(admit.find(request), ClientResponse.of(ClientResponse.Kind.FAILED));
     }
 
     @Override
--- a/src/main/java/petrelplank/proxy/Book.java
+++ b/src/main/java/petrelplank/proxy/RequestCompletion.java
@@ -4,21 +4,21 @@
 import petrelplank.routing.Router;
 
 /** Stage 6: gives each exchange its one final answer, keeps the counts, and forgets what is over. */
-final class Book {
-    private static final Logger LOG = Logger.getLogger(Book.class.getName());
+final class RequestCompletion {
+    private static final Logger LOG = Logger.getLogger(RequestCompletion.class.getName());
 
     private static final int LOGGED_ONE_IN = 25;
 
-    private final long[] answered = new long[Answer.Kind.values().length];
+    private final long[] answered = new long[ClientResponse.Kind.values().length];
     private long turnedAway;
     private long overdue;
     private long left;
     private final EventLoop loop;
-    private final Scribe scribe;
-    private Admit admit;
+    private final EventRecorder scribe;
+    private AdmissionController admit;
     private Router router;
 
-    Book(EventLoop loop, Scribe scribe) {
+    RequestCompletion(EventLoop loop, EventRecorder scribe) {
         this.loop = loop;
         this.scribe = scribe;
     }
@@ -27,12 +27,12 @@
         router = chosen;
     }
 
-    void admit(Admit stage) {
+    void admit(AdmissionController stage) {
         admit = stage;
     }
 
     /** The final answer; anything after the first is passed over, since a second one loses the request. */
-    void answer(Exchange exchange, Answer answer) {
+    void answer(Exchange exchange, ClientResponse answer) {
         if (exchange.over) {
             return;
         }
@@ -69,7 +69,7 @@
             try {
                 router.clientDisconnected(loop.now(), exchange.asked.id());
             } finally {
-                answer(exchange, Answer.of(Answer.Kind.FAILED));
+                answer(exchange, ClientResponse.of(ClientResponse.Kind.FAILED));
             }
         }
     }
@@ -81,7 +81,7 @@
     /** One line of counts. */
     String counts() {
         StringBuilder line = new StringBuilder();
-        for (Answer.Kind kind : Answer.Kind.values()) {
+        for (ClientResponse.Kind kind : ClientResponse.Kind.values()) {
             line.append(kind.label())
                     .append(' ')
                     .append(answered[kind.ordinal()])
--- a/src/main/java/petrelplank/proxy/TakeIn.java
+++ b/src/main/java/petrelplank/proxy/RequestValidator.java
@@ -11,7 +11,7 @@
  * Stage 1: makes an exchange of what a client asked. What can't be passed on as it is, is answered here, since
  * a command with unusable fields would void more than the one request.
  */
-final class TakeIn {
+final class RequestValidator {
     /** Taken off a client's patience, so that the answer given at the deadline still reaches it. */
     static final long MARGIN_US = 25_000;
 
@@ -19,14 +19,14 @@
     private static final int HEX_DIGITS = 16;
     private static final int LAST_GROUP = 255;
 
-    private final Admit admit;
-    private final Scribe scribe;
+    private final AdmissionController admit;
+    private final EventRecorder scribe;
     /** How long clients wait at most, by class. */
     private final Map<String, Long> longest;
     /** The classes whose requests carry a key, by which the origin drops repeats. */
     private final Set<String> keyed;
 
-    TakeIn(Admit admit, RouterSettings settings, Scribe scribe) {
+    RequestValidator(AdmissionController admit, RouterSettings settings, EventRecorder scribe) {
         this.admit = admit;
         this.scribe = scribe;
         this.longest =
@@ -40,8 +40,8 @@
     /** Takes a request that arrived whole at {@code arrivedUs}; null where it was answered at once. */
     Exchange take(ClientRequest asked, ResponseChannel channel, long arrivedUs) {
         if (!usable(asked)) {
-            scribe.turnedAway(asked, Answer.Kind.BAD_REQUEST);
-            channel.answer(Answer.of(Answer.Kind.BAD_REQUEST));
+            scribe.turnedAway(asked, ClientResponse.Kind.BAD_REQUEST);
+            channel.answer(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
             return null;
         }
         // Guards against a wait beyond all clients', which would hold its place and memory for as long.
--- a/src/main/java/petrelplank/proxy/ResponseChannel.java
+++ b/src/main/java/petrelplank/proxy/ResponseChannel.java
@@ -7,7 +7,7 @@
      *
      * @param answer the answer
      */
-    void answer(Answer answer);
+    void answer(ClientResponse answer);
 
     /**
      * Whether the client still waits for its answer. The I/O thread knows of a close or a cancellation before the
--- a/src/main/java/petrelplank/proxy/Relay.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -7,13 +7,13 @@
 /**
  * Stage 5: the first served answer goes to the client; the router hears of every end.
  */
-public final class Relay {
+public final class ResponseForwarder {
     private final EventLoop loop;
-    private final Book book;
-    private final Scribe scribe;
+    private final RequestCompletion book;
+    private final EventRecorder scribe;
     private Router router;
 
-    Relay(EventLoop loop, Book book, Scribe scribe) {
+    ResponseForwarder(EventLoop loop, RequestCompletion book, EventRecorder scribe) {
         this.loop = loop;
         this.book = book;
         this.scribe = scribe;
@@ -29,14 +29,14 @@
      * @param attempt which
      * @param answered how
      */
-    public void ended(Attempt attempt, ServerAnswer answered) {
+    public void ended(Attempt attempt, UpstreamResponse answered) {
         if (attempt.ended) {
             return;
         }
         // Guards the client against "your copy holds" of another copy than its own, or of none.
         boolean named = answered.tag() != null && answered.tag().equals(attempt.exchange.asked.tag());
-        ServerAnswer answer =
-                answered.still() && !named ? ServerAnswer.ended(answered.id(), AttemptStatus.ERROR) : answered;
+        UpstreamResponse answer =
+                answered.still() && !named ? UpstreamResponse.ended(answered.id(), AttemptStatus.ERROR) : answered;
         attempt.ended = true;
         if (attempt.timer != null) {
             attempt.timer.cancel();
@@ -63,7 +63,10 @@
             if (serves) {
                 exchange.served = answer.cacheStatus();
                 book.answer(
-                        exchange, answer.still() ? Answer.of(Answer.Kind.NOT_MODIFIED) : Answer.served(answer.body()));
+                        exchange,
+                        answer.still()
+                                ? ClientResponse.of(ClientResponse.Kind.NOT_MODIFIED)
+                                : ClientResponse.served(answer.body()));
             }
             book.release(exchange);
         }
--- a/src/main/java/petrelplank/proxy/Rehearsal.java
+++ b/src/main/java/petrelplank/proxy/RouterWarmup.java
@@ -16,7 +16,7 @@
  * Lets a router of its own decide on made-up requests, whose orders go nowhere, so that the decisions are compiled
  * when the first clients come. It shares nothing with the router in service.
  */
-public final class Rehearsal implements Router.Actions {
+public final class RouterWarmup implements Router.Actions {
     private static final long STEP_US = 2_000;
 
     private AttemptPlan order;
@@ -29,7 +29,7 @@
      * @param requests how many
      */
     public static void run(RouterSettings settings, List<EndpointInfo> list, int requests) {
-        Rehearsal host = new Rehearsal();
+        RouterWarmup host = new RouterWarmup();
         Router router = new RequestRouter(settings, 1, host);
         long now = STEP_US;
         router.endpointsChanged(now, true, list);
--- a/src/main/java/petrelplank/proxy/Route.java
+++ b/src/main/java/petrelplank/proxy/RoutingStage.java
@@ -8,12 +8,12 @@
 import petrelplank.routing.ServiceClass;
 
 /** Stage 3: asks the router, which answers by its actions before this returns. */
-final class Route {
+final class RoutingStage {
     private final EventLoop loop;
     private final Set<String> writes;
     private Router router;
 
-    Route(EventLoop loop, RouterSettings settings) {
+    RoutingStage(EventLoop loop, RouterSettings settings) {
         this.loop = loop;
         this.writes = settings.classes().stream()
                 .filter(ServiceClass::write)
--- a/src/main/java/petrelplank/proxy/Servers.java
+++ b/src/main/java/petrelplank/proxy/UpstreamClient.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 
 /** The connections to caches, parents and the origin, as the front uses them; all calls from the event thread. */
-public interface Servers {
+public interface UpstreamClient {
     /**
-     * Sends an attempt; its end is reported by {@link Relay#ended}, never before this returns.
+     * Sends an attempt; its end is reported by {@link ResponseForwarder#ended}, never before this returns.
      *
      * @param attempt the attempt
      */
--- a/src/main/java/petrelplank/proxy/Fetch.java
+++ b/src/main/java/petrelplank/proxy/UpstreamRequest.java
@@ -18,7 +18,7 @@
  * @param body bytes passed on
  * @param alone it can't be sent again at will, and goes out alone on a connection of its own
  */
-public record Fetch(
+public record UpstreamRequest(
         String id,
         String serviceClass,
         String object,
--- a/src/main/java/petrelplank/proxy/ServerAnswer.java
+++ b/src/main/java/petrelplank/proxy/UpstreamResponse.java
@@ -16,7 +16,7 @@
  * @param load the load report, in the order of the settings; null where there is none
  * @param body the bytes
  */
-public record ServerAnswer(
+public record UpstreamResponse(
         String id,
         AttemptStatus status,
         boolean still,
@@ -35,7 +35,7 @@
      * @param status how the attempt ended
      * @return the answer
      */
-    public static ServerAnswer ended(String id, AttemptStatus status) {
-        return new ServerAnswer(id, status, false, null, CacheStatus.NONE, 0, 0, null, NOTHING);
+    public static UpstreamResponse ended(String id, AttemptStatus status) {
+        return new UpstreamResponse(id, status, false, null, CacheStatus.NONE, 0, 0, null, NOTHING);
     }
 }
--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -2,13 +2,13 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.StringJoiner;
-import petrelplank.proxy.Fetch;
+import petrelplank.proxy.UpstreamRequest;
 
 /** Writes commands to caches, parents and the origin. */
 final class CommandEncoder {
     private CommandEncoder() {}
 
-    static byte[] fetch(Fetch f, long limitMs) {
+    static byte[] fetch(UpstreamRequest f, long limitMs) {
         StringBuilder head = new StringBuilder(160)
                 .append("fetch ")
                 .append(f.id())
--- a/src/main/java/petrelplank/upstream/LineParser.java
+++ b/src/main/java/petrelplank/upstream/LineParser.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
-import petrelplank.proxy.ServerAnswer;
+import petrelplank.proxy.UpstreamResponse;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 
@@ -29,7 +29,7 @@
     private final List<String> loadFields;
     private final byte[] line = new byte[LONGEST_LINE];
     private int lineLength;
-    private ServerAnswer head;
+    private UpstreamResponse head;
     private byte[] body;
     private int bodyLength;
     /** Bytes of the CR LF behind a body that are still to come. */
@@ -40,7 +40,7 @@
     }
 
     /** Takes what has come and hands on every answer that is whole; MalformedException ends the connection. */
-    void feed(ByteBuffer in, Consumer<ServerAnswer> answers) {
+    void feed(ByteBuffer in, Consumer<UpstreamResponse> answers) {
         while (in.hasRemaining()) {
             if (body == null) {
                 line(in);
@@ -53,11 +53,11 @@
                     throw new MalformedException("no CR LF behind the body");
                 }
                 if (--endLeft == 0) {
-                    ServerAnswer a = head;
+                    UpstreamResponse a = head;
                     byte[] bytes = body;
                     head = null;
                     body = null;
-                    answers.accept(new ServerAnswer(
+                    answers.accept(new UpstreamResponse(
                             a.id(),
                             a.status(),
                             a.still(),
@@ -132,7 +132,8 @@
                 }
             }
         }
-        head = new ServerAnswer(words[0], status, words[1].equals("NOMOD"), tag, note, waitedUs, bornMs, load, NOTHING);
+        head = new UpstreamResponse(
+                words[0], status, words[1].equals("NOMOD"), tag, note, waitedUs, bornMs, load, NOTHING);
         body = length == 0 ? NOTHING : new byte[length];
         bodyLength = 0;
         endLeft = 2;
--- a/src/main/java/petrelplank/upstream/ServerHandler.java
+++ b/src/main/java/petrelplank/upstream/ServerHandler.java
@@ -6,7 +6,7 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.ServerAnswer;
+import petrelplank.proxy.UpstreamResponse;
 
 /** MINA's side of the connections to servers: parses, and posts typed values to the event thread. */
 final class ServerHandler extends IoHandlerAdapter {
@@ -27,7 +27,7 @@
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-        List<ServerAnswer> answers = new ArrayList<>();
+        List<UpstreamResponse> answers = new ArrayList<>();
         ServerConnection c = connection(session);
         LineParser parser = (LineParser) session.getAttribute(LineParser.class);
         try {
--- a/src/main/java/petrelplank/upstream/ServerPool.java
+++ b/src/main/java/petrelplank/upstream/ServerPool.java
@@ -12,17 +12,17 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import petrelplank.proxy.Attempt;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.Fetch;
-import petrelplank.proxy.Relay;
-import petrelplank.proxy.ServerAnswer;
-import petrelplank.proxy.Servers;
+import petrelplank.proxy.ResponseForwarder;
+import petrelplank.proxy.UpstreamClient;
+import petrelplank.proxy.UpstreamRequest;
+import petrelplank.proxy.UpstreamResponse;
 import petrelplank.routing.AttemptStatus;
 
 /**
  * The connections to servers, by server id: an address may pass from one that has gone to a new one. All state
  * belongs to the event thread; MINA's threads parse and post.
  */
-public final class ServerPool implements Servers {
+public final class ServerPool implements UpstreamClient {
     /**
      * One spoilt answer or reset ends all that is open on its connection, so that few share one: a further one is
      * made where the least used carries this many, up to the most for a server.
@@ -34,7 +34,7 @@
     private static final long CLOSED_US = 100_000;
 
     private final EventLoop loop;
-    private final Relay relay;
+    private final ResponseForwarder relay;
     private final NioSocketConnector connector;
     private final ConnectionLimits limits;
     private final Map<String, Server> servers = new HashMap<>();
@@ -57,7 +57,7 @@
      */
     public ServerPool(
             EventLoop loop,
-            Relay relay,
+            ResponseForwarder relay,
             NioSocketConnector connector,
             ConnectionLimits limits,
             List<String> loadFields) {
@@ -112,7 +112,7 @@
     }
 
     /** The least loaded connection that takes a command, else a new one; null where the limits are reached. */
-    private ServerConnection choose(Server server, Fetch fetch) {
+    private ServerConnection choose(Server server, UpstreamRequest fetch) {
         if (fetch.alone() && limits.share().free() > 0) {
             // Guards what can't be sent again: an idle connection may be reset by the command that comes next, and
             // a shared one by another's fault. A new one carries it alone; its reset while new proves nothing ran.
@@ -184,10 +184,10 @@
         }
     }
 
-    void answered(ServerConnection c, List<ServerAnswer> answers) {
+    void answered(ServerConnection c, List<UpstreamResponse> answers) {
         c.heardUs = loop.now();
         c.server.renewed = 0;
-        for (ServerAnswer answer : answers) {
+        for (UpstreamResponse answer : answers) {
             Attempt attempt = c.answered(answer.id());
             if (!limits.copies() && answer.status() != AttemptStatus.OK) {
                 c.keepRetryOff(answer.id());
@@ -203,7 +203,7 @@
     }
 
     private void end(Attempt attempt, AttemptStatus status) {
-        relay.ended(attempt, ServerAnswer.ended(attempt.fetch().id(), status));
+        relay.ended(attempt, UpstreamResponse.ended(attempt.fetch().id(), status));
     }
 
     @Override
--- a/src/test/java/petrelplank/discovery/EventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/EventDecoderTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import petrelplank.proxy.ListEvent;
+import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.routing.EndpointState;
 import petrelplank.settings.FormatException;
 import petrelplank.wire.Cuts;
@@ -25,8 +25,8 @@
                     + "{\"index\":44,\"news\":1}\n")
             .getBytes(StandardCharsets.UTF_8);
 
-    private static List<ListEvent> read(byte[] bytes, long cuts) {
-        List<ListEvent> events = new ArrayList<>();
+    private static List<DiscoveryEvent> read(byte[] bytes, long cuts) {
+        List<DiscoveryEvent> events = new ArrayList<>();
         LineSplitter splitter = new LineSplitter();
         Cuts.feed(bytes, cuts, in -> splitter.feed(in, line -> events.add(EventDecoder.decode(line))));
         return events;
@@ -35,18 +35,18 @@
     /** The heartbeat is an object with the index alone; taken for a list, it broke every connection. */
     @Property(seed = "31", tries = 200)
     void eventsCutAnywhereAreRead(@ForAll long cuts) {
-        List<ListEvent> events = read(STREAM, cuts);
-        ListEvent.Change change = (ListEvent.Change) events.get(0);
+        List<DiscoveryEvent> events = read(STREAM, cuts);
+        DiscoveryEvent.Change change = (DiscoveryEvent.Change) events.get(0);
         assertEquals(EndpointState.DRAINING, change.entries().get(0).member().state());
         assertEquals(5000, change.entries().get(0).member().startedUs());
         assertEquals(4100, change.entries().get(0).address().getPort());
         assertEquals(
                 List.of(
-                        new ListEvent.Beat(41),
-                        new ListEvent.Purge(42, Long.parseUnsignedLong("ff3a9c21e0b4d655", 16), -1, 17),
-                        new ListEvent.Purge(43, null, 17, 18),
-                        new ListEvent.Beat(43),
-                        new ListEvent.Other(44)),
+                        new DiscoveryEvent.Beat(41),
+                        new DiscoveryEvent.Purge(42, Long.parseUnsignedLong("ff3a9c21e0b4d655", 16), -1, 17),
+                        new DiscoveryEvent.Purge(43, null, 17, 18),
+                        new DiscoveryEvent.Beat(43),
+                        new DiscoveryEvent.Other(44)),
                 events.subList(1, events.size()));
     }
 
--- a/src/test/java/petrelplank/fastcgi/RecordParserTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordParserTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import petrelplank.proxy.Answer;
+import petrelplank.proxy.ClientResponse;
 import petrelplank.wire.Cuts;
 
 class RecordParserTest implements Assembler.Listener {
@@ -99,12 +99,15 @@
         ByteArrayOutputStream stdout = new ByteArrayOutputStream();
         List<Integer> types = new ArrayList<>();
         new RecordParser()
-                .feed(ByteBuffer.wrap(RecordEncoder.answer(7, new Answer(Answer.Kind.SERVED, body, 0))), r -> {
-                    types.add(r.type());
-                    if (r.type() == Record.STDOUT) {
-                        stdout.writeBytes(r.content());
-                    }
-                });
+                .feed(
+                        ByteBuffer.wrap(
+                                RecordEncoder.answer(7, new ClientResponse(ClientResponse.Kind.SERVED, body, 0))),
+                        r -> {
+                            types.add(r.type());
+                            if (r.type() == Record.STDOUT) {
+                                stdout.writeBytes(r.content());
+                            }
+                        });
         assertEquals(Record.END_REQUEST, types.get(types.size() - 1));
         byte[] all = stdout.toByteArray();
         String head = new String(all, 0, all.length - body.length, StandardCharsets.ISO_8859_1);
@@ -114,7 +117,7 @@
 
     @Test
     void refusalTellsWhenToComeBack() {
-        String text = new String(RecordEncoder.answer(1, Answer.refused(250)), StandardCharsets.ISO_8859_1);
+        String text = new String(RecordEncoder.answer(1, ClientResponse.refused(250)), StandardCharsets.ISO_8859_1);
         assertTrue(text.contains("Status: 503") && text.contains("Retry-After-Ms: 250\r\n"), text);
     }
 
--- a/src/test/java/petrelplank/proxy/Attempts.java
+++ b/src/test/java/petrelplank/proxy/Attempts.java
@@ -17,7 +17,7 @@
                 new Exchange(asked, channel, 0, 1_000_000),
                 number,
                 "s-1",
-                new Fetch(
+                new UpstreamRequest(
                         request,
                         "media",
                         "7f3a9c21e0b4d655",
--- a/src/test/java/petrelplank/upstream/LineParserTest.java
+++ b/src/test/java/petrelplank/upstream/LineParserTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import petrelplank.proxy.Fetch;
-import petrelplank.proxy.ServerAnswer;
+import petrelplank.proxy.UpstreamRequest;
+import petrelplank.proxy.UpstreamResponse;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 import petrelplank.wire.Cuts;
@@ -24,7 +24,7 @@
     private static final byte[] ANSWERS = bytes("r1 ACK ver=ab,born=17,tell=MISS_ORIGIN,waited=12.5,"
             + "meter=concurrent:7;x1:0.61 5\r\na\r\nb\n\r\nr2 NOMOD ver=4be0,tell=HIT 0\r\n\r\nr3 NOENT - 0\r\n\r\n"
             + "r4 AGAIN tell=UP_BUSY 0\r\n\r\nr5 EIO - 0\r\n\r\nr6 STALE - 0\r\n\r\n");
-    private final List<ServerAnswer> answers = new ArrayList<>();
+    private final List<UpstreamResponse> answers = new ArrayList<>();
     private final LineParser parser = new LineParser(List.of("concurrent", "x0", "x1"));
 
     private static byte[] bytes(String text) {
@@ -43,8 +43,8 @@
                         AttemptStatus.REJECTED,
                         AttemptStatus.ERROR,
                         AttemptStatus.NOT_SENT),
-                answers.stream().map(ServerAnswer::status).toList());
-        ServerAnswer first = answers.get(0);
+                answers.stream().map(UpstreamResponse::status).toList());
+        UpstreamResponse first = answers.get(0);
         assertEquals("r1", first.id());
         assertEquals(CacheStatus.FILLED_FROM_ORIGIN, first.cacheStatus());
         assertEquals(12_500, first.waitedUs());
@@ -88,7 +88,7 @@
 
     @Test
     void commandsNameOnlyWhatIsAsked() {
-        Fetch plain = new Fetch(
+        UpstreamRequest plain = new UpstreamRequest(
                 "9b1f",
                 "media",
                 "7f3a9c21e0b4d655",
@@ -104,7 +104,7 @@
                 new byte[0],
                 false);
         assertEquals("fetch 9b1f cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900 0\r\n\r\n", text(plain));
-        Fetch full = new Fetch(
+        UpstreamRequest full = new UpstreamRequest(
                 "9b1f",
                 "pages",
                 "7f3a9c21e0b4d655",
@@ -125,7 +125,7 @@
                 text(full));
     }
 
-    private static String text(Fetch fetch) {
+    private static String text(UpstreamRequest fetch) {
         return new String(CommandEncoder.fetch(fetch, 900), StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/test/java/petrelplank/upstream/WithdrawnTest.java
+++ b/src/test/java/petrelplank/upstream/WithdrawnTest.java
@@ -14,9 +14,9 @@
 import org.apache.mina.core.write.WriteRequest;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import petrelplank.proxy.Answer;
 import petrelplank.proxy.Attempt;
 import petrelplank.proxy.Attempts;
+import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.ResponseChannel;
 
 /** What is given up before it was written never is; what is given up half written goes with its connection. */
@@ -155,7 +155,7 @@
     private static ResponseChannel channel(AtomicBoolean left) {
         return new ResponseChannel() {
             @Override
-            public void answer(Answer answer) {}
+            public void answer(ClientResponse answer) {}
 
             @Override
             public boolean isOpen() {
