--- a/src/main/java/petrelplank/cli/RunningFront.java
+++ b/src/main/java/petrelplank/cli/RunningFront.java
@@ -25,10 +25,10 @@
 import petrelplank.settings.Configuration;
 import petrelplank.settings.Fields;
 import petrelplank.transport.BoundedAcceptor;
-import petrelplank.transport.Share;
+import petrelplank.transport.DescriptorBudget;
 import petrelplank.transport.SharedProcessor;
 import petrelplank.upstream.ConnectionLimits;
-import petrelplank.upstream.ServerPool;
+import petrelplank.upstream.UpstreamConnectionPool;
 
 /** All parts of one front, put together: one I/O thread for all sockets, and one event thread. */
 final class RunningFront {
@@ -73,7 +73,7 @@
     private final NioSocketConnector toCoordinator;
     private final BoundedAcceptor acceptor;
     private final EventSink sink;
-    private ServerPool pool;
+    private UpstreamConnectionPool pool;
 
     /**
      * Puts the parts together and knows the list, but opens nothing yet.
@@ -92,8 +92,8 @@
         toServers.getSessionConfig().setReadBufferSize(READ_BUFFER);
         toServers.getSessionConfig().setMaxReadBufferSize(MOST_READ_BUFFER);
         int sockets = Math.max(1, c.sockets() * SOCKET_PARTS / 5);
-        Share ofClients = new Share(sockets);
-        Share ofServers = new Share(sockets);
+        DescriptorBudget ofClients = new DescriptorBudget(sockets);
+        DescriptorBudget ofServers = new DescriptorBudget(sockets);
         io.share(toServers, ofServers);
         acceptor = new BoundedAcceptor(io, ofClients);
         acceptor.getSessionConfig().setTcpNoDelay(true);
@@ -108,7 +108,8 @@
                 ConnectionLimits.perServer(c.settings().zoneGatewayCount()),
                 c.settings().permissions().hedging());
         front = new EdgeProxy(loop, c.settings(), c.seed(), OPEN_PER_MB * c.memoryMb(), sink, (l, relay) -> {
-            pool = new ServerPool(l, relay, toServers, limits, c.settings().reportFields());
+            pool = new UpstreamConnectionPool(
+                    l, relay, toServers, limits, c.settings().reportFields());
             return pool;
         });
         settings = c.settings();
--- a/src/main/java/petrelplank/fastcgi/ClientAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/ClientAcceptor.java
@@ -13,7 +13,7 @@
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
-import petrelplank.transport.Share;
+import petrelplank.transport.DescriptorBudget;
 
 /** The clients' side: FastCGI responder on MINA. Requests are posted to the event thread, answers come from it. */
 public final class ClientAcceptor {
@@ -22,7 +22,7 @@
     final EventLoop loop;
     final EdgeProxy front;
     final BoundedAcceptor acceptor;
-    final Share share;
+    final DescriptorBudget share;
     final RequestDecoder decoder;
     final ClientFaults faults;
     /** Asked to leave, and neither closed yet nor kept since something lay unread on them. */
@@ -46,7 +46,12 @@
      * @param sizeScale bytes on the sockets over those in which clients tell sizes, above 0
      */
     public ClientAcceptor(
-            EventLoop loop, EdgeProxy front, BoundedAcceptor acceptor, Share share, long memory, double sizeScale) {
+            EventLoop loop,
+            EdgeProxy front,
+            BoundedAcceptor acceptor,
+            DescriptorBudget share,
+            long memory,
+            double sizeScale) {
         this.loop = loop;
         this.faults = new ClientFaults(share);
         this.decoder = new RequestDecoder(sizeScale);
--- a/src/main/java/petrelplank/fastcgi/ClientFaults.java
+++ b/src/main/java/petrelplank/fastcgi/ClientFaults.java
@@ -1,7 +1,7 @@
 package petrelplank.fastcgi;
 
 import java.util.logging.Logger;
-import petrelplank.transport.Share;
+import petrelplank.transport.DescriptorBudget;
 
 /** Counts what goes wrong on the clients' side, and tells of it in few lines. Event thread only. */
 final class ClientFaults {
@@ -9,13 +9,13 @@
     /** Bad clients send at full speed: a line for each would cost CPU and memory that good ones need. */
     private static final int LOGGED_ONE_IN = 250;
 
-    private final Share share;
+    private final DescriptorBudget share;
     private long malformed;
     private long slow;
     private long crowded;
     private long silent;
 
-    ClientFaults(Share share) {
+    ClientFaults(DescriptorBudget share) {
         this.share = share;
     }
 
--- a/src/main/java/petrelplank/transport/BoundedAcceptor.java
+++ b/src/main/java/petrelplank/transport/BoundedAcceptor.java
@@ -17,7 +17,7 @@
     private static final long WAIT_MS = 5;
 
     private final SharedProcessor processor;
-    private final Share share;
+    private final DescriptorBudget share;
     private volatile Runnable crowded = () -> {};
 
     /**
@@ -26,7 +26,7 @@
      * @param processor the I/O loop
      * @param share places for its sockets
      */
-    public BoundedAcceptor(SharedProcessor processor, Share share) {
+    public BoundedAcceptor(SharedProcessor processor, DescriptorBudget share) {
         super(processor);
         this.processor = processor;
         this.share = share;
--- a/src/main/java/petrelplank/transport/Share.java
+++ b/src/main/java/petrelplank/transport/DescriptorBudget.java
@@ -7,7 +7,7 @@
  * A share of the process's descriptors. A place is taken before a socket exists and given back once its descriptor
  * is closed for sure, so that sockets which wait to be counted, or to be closed, hold their places too. Any thread.
  */
-public final class Share {
+public final class DescriptorBudget {
     private final int most;
     private final Semaphore free;
 
@@ -16,7 +16,7 @@
      *
      * @param most places, at least 1
      */
-    public Share(int most) {
+    public DescriptorBudget(int most) {
         if (most < 1) {
             throw new IllegalArgumentException("a share of " + most + " descriptors");
         }
--- a/src/main/java/petrelplank/transport/SharedProcessor.java
+++ b/src/main/java/petrelplank/transport/SharedProcessor.java
@@ -18,14 +18,14 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA's I/O loop, which gives the places of closed sockets back to their {@link Share}. The platform closes the
+ * MINA's I/O loop, which gives the places of closed sockets back to their {@link DescriptorBudget}. The platform closes the
  * descriptor of a channel that a selector knows only in the selector's next turn, so that a place is given back
  * after that turn and not when MINA reports the session closed.
  */
 public final class SharedProcessor extends NioProcessor {
-    private final Map<IoService, Share> shares = new ConcurrentHashMap<>();
+    private final Map<IoService, DescriptorBudget> shares = new ConcurrentHashMap<>();
     /** Of the I/O thread alone. */
-    private final List<Share> closing = new ArrayList<>();
+    private final List<DescriptorBudget> closing = new ArrayList<>();
     /**
      * Longest wait of the selector, so that what was read is known to have come no longer ago than this, but for the
      * time in which the process itself was held up: an idle front uses 0.005 of a core so, 0.003 without.
@@ -76,7 +76,7 @@
      * @param service an acceptor or connector on this loop
      * @param share its share
      */
-    public void share(IoService service, Share share) {
+    public void share(IoService service, DescriptorBudget share) {
         shares.put(service, share);
     }
 
@@ -158,7 +158,7 @@
 
     @Override
     protected void destroy(NioSession session) throws Exception {
-        Share share = shares.get(session.getService());
+        DescriptorBudget share = shares.get(session.getService());
         try {
             super.destroy(session);
         } finally {
@@ -216,7 +216,7 @@
     }
 
     private void release() {
-        closing.forEach(Share::release);
+        closing.forEach(DescriptorBudget::release);
         closing.clear();
     }
 }
--- a/src/main/java/petrelplank/upstream/ConnectionLimits.java
+++ b/src/main/java/petrelplank/upstream/ConnectionLimits.java
@@ -1,6 +1,6 @@
 package petrelplank.upstream;
 
-import petrelplank.transport.Share;
+import petrelplank.transport.DescriptorBudget;
 
 /**
  * Limits on the connections to servers.
@@ -12,7 +12,8 @@
  * @param perServer connections kept at one server, from 1; see {@link #perServer(int)}
  * @param copies a request may have two attempts out together
  */
-public record ConnectionLimits(Share share, int streams, long connectUs, long idleUs, int perServer, boolean copies) {
+public record ConnectionLimits(
+        DescriptorBudget share, int streams, long connectUs, long idleUs, int perServer, boolean copies) {
     private static final int MOST_PER_SERVER = 8;
     /** Connections that all fronts of a branch keep at one server, as long as they are no more than that themselves. */
     private static final int MOST_OF_BRANCH = 32;
--- a/src/main/java/petrelplank/upstream/LineParser.java
+++ b/src/main/java/petrelplank/upstream/ResponseParser.java
@@ -9,7 +9,7 @@
 import petrelplank.routing.CacheStatus;
 
 /** Reads answers of caches, parents and the origin, cut anywhere; every length has a limit. */
-final class LineParser {
+final class ResponseParser {
     static final int LONGEST_LINE = 4096;
     static final int LONGEST_BODY = 240_000;
     private static final byte[] NOTHING = new byte[0];
@@ -35,7 +35,7 @@
     /** Bytes of the CR LF behind a body that are still to come. */
     private int endLeft;
 
-    LineParser(List<String> loadFields) {
+    ResponseParser(List<String> loadFields) {
         this.loadFields = loadFields;
     }
 
--- a/src/main/java/petrelplank/upstream/StalledConnections.java
+++ b/src/main/java/petrelplank/upstream/StalledConnections.java
@@ -18,11 +18,11 @@
     private static final long SWEEP_US = 75_000;
 
     private final EventLoop loop;
-    private final Set<ServerConnection> connections;
-    private final Faults faults;
+    private final Set<UpstreamConnection> connections;
+    private final UpstreamFaultLog faults;
 
     /** Watches a set of connections, which its owner adds to and takes from. */
-    StalledConnections(EventLoop loop, Set<ServerConnection> connections, Faults faults) {
+    StalledConnections(EventLoop loop, Set<UpstreamConnection> connections, UpstreamFaultLog faults) {
         this.loop = loop;
         this.connections = connections;
         this.faults = faults;
@@ -34,7 +34,7 @@
     }
 
     private void sweep() {
-        for (ServerConnection c : List.copyOf(connections)) {
+        for (UpstreamConnection c : List.copyOf(connections)) {
             if (c.stuck(STUCK_SWEEPS)) {
                 faults.stuck(c.server.id);
                 c.close();
--- a/src/main/java/petrelplank/upstream/ServerConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -11,7 +11,7 @@
 import petrelplank.proxy.Attempt;
 
 /** One connection to a server, from its first use to its close, with what is open on it. Event thread only. */
-final class ServerConnection {
+final class UpstreamConnection {
     /** Bytes that a peer may leave unread before nothing more is written to it. */
     private static final long MOST_UNREAD = 1 << 20;
 
@@ -21,7 +21,7 @@
     /** An attempt on this connection, and its command; null as long as the connection is not made. */
     record Open(Attempt attempt, Command command) {}
 
-    final Server server;
+    final UpstreamServer server;
     final long createdUs;
     long heardUs;
     /** It takes nothing new and is closed once nothing is open on it. */
@@ -45,7 +45,7 @@
     private long insideSeen;
     private int insideSweeps;
 
-    ServerConnection(Server server, int streams, long createdUs) {
+    UpstreamConnection(UpstreamServer server, int streams, long createdUs) {
         this.server = server;
         this.streams = streams;
         this.createdUs = createdUs;
--- a/src/main/java/petrelplank/upstream/ServerPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -22,7 +22,7 @@
  * The connections to servers, by server id: an address may pass from one that has gone to a new one. All state
  * belongs to the event thread; MINA's threads parse and post.
  */
-public final class ServerPool implements UpstreamClient {
+public final class UpstreamConnectionPool implements UpstreamClient {
     /**
      * One spoilt answer or reset ends all that is open on its connection, so that few share one: a further one is
      * made where the least used carries this many, up to the most for a server.
@@ -37,14 +37,14 @@
     private final ResponseForwarder relay;
     private final NioSocketConnector connector;
     private final ConnectionLimits limits;
-    private final Map<String, Server> servers = new HashMap<>();
-    private final Set<ServerConnection> connections = new LinkedHashSet<>();
+    private final Map<String, UpstreamServer> servers = new HashMap<>();
+    private final Set<UpstreamConnection> connections = new LinkedHashSet<>();
     /** Where each attempt is that is out: its server may have left the list meanwhile. */
-    private final Map<Attempt, ServerConnection> carriers = new HashMap<>();
+    private final Map<Attempt, UpstreamConnection> carriers = new HashMap<>();
     /** Attempts that were ordered while an earlier one of their request is not given up at its server yet. */
-    private final Withdrawals withdrawals = new Withdrawals();
+    private final PendingAborts withdrawals = new PendingAborts();
 
-    private final Faults faults = new Faults();
+    private final UpstreamFaultLog faults = new UpstreamFaultLog();
 
     /**
      * A pool without servers.
@@ -55,7 +55,7 @@
      * @param limits limits on connections
      * @param loadFields names of the values in load reports
      */
-    public ServerPool(
+    public UpstreamConnectionPool(
             EventLoop loop,
             ResponseForwarder relay,
             NioSocketConnector connector,
@@ -65,7 +65,7 @@
         this.relay = relay;
         this.connector = connector;
         this.limits = limits;
-        connector.setHandler(new ServerHandler(loop, this, loadFields));
+        connector.setHandler(new UpstreamIoHandler(loop, this, loadFields));
         connector.setSessionDataStructureFactory(new CommandQueue.Factory());
         // Guards good servers in a front that is held up itself: MINA's connecting thread looks at what has been made
         // before what has run out of time. A timer of the event thread would fire while that thread waits for its turn.
@@ -75,10 +75,10 @@
 
     @Override
     public void listed(String id, InetSocketAddress address, long startedUs) {
-        Server server = servers.get(id);
+        UpstreamServer server = servers.get(id);
         if (server == null || !server.address.equals(address)) {
             gone(id);
-            servers.put(id, new Server(id, address));
+            servers.put(id, new UpstreamServer(id, address));
             return;
         }
         server.retireOlderThan(startedUs);
@@ -86,7 +86,7 @@
 
     @Override
     public void gone(String id) {
-        Server server = servers.remove(id);
+        UpstreamServer server = servers.remove(id);
         if (server != null) {
             server.retireOlderThan(Long.MAX_VALUE);
         }
@@ -100,8 +100,8 @@
     }
 
     private void send(Attempt attempt) {
-        Server server = servers.get(attempt.server());
-        ServerConnection best = server == null ? null : choose(server, attempt.fetch());
+        UpstreamServer server = servers.get(attempt.server());
+        UpstreamConnection best = server == null ? null : choose(server, attempt.fetch());
         if (best == null) {
             AttemptStatus status = server == null ? AttemptStatus.CONNECT_FAILED : AttemptStatus.NOT_SENT;
             loop.post(() -> end(attempt, status));
@@ -112,15 +112,15 @@
     }
 
     /** The least loaded connection that takes a command, else a new one; null where the limits are reached. */
-    private ServerConnection choose(Server server, UpstreamRequest fetch) {
+    private UpstreamConnection choose(UpstreamServer server, UpstreamRequest fetch) {
         if (fetch.alone() && limits.share().free() > 0) {
             // Guards what can't be sent again: an idle connection may be reset by the command that comes next, and
             // a shared one by another's fault. A new one carries it alone; its reset while new proves nothing ran.
-            ServerConnection c = connect(server);
+            UpstreamConnection c = connect(server);
             c.retiring = true;
             return c;
         }
-        ServerConnection best = server.leastLoaded(fetch.id(), loop.now() - limits.idleUs() * 7 / 10);
+        UpstreamConnection best = server.leastLoaded(fetch.id(), loop.now() - limits.idleUs() * 7 / 10);
         if (best == null && server.carried(fetch.id()) && limits.share().free() > 0) {
             // Guards a retry at the same server against a late answer to its first try: on a connection of its own.
             best = connect(server);
@@ -135,14 +135,14 @@
         return best;
     }
 
-    private ServerConnection connect(Server server) {
+    private UpstreamConnection connect(UpstreamServer server) {
         // The event thread alone takes these places, and has looked before; they come back from the I/O loop.
         limits.share().take();
-        ServerConnection c = new ServerConnection(server, limits.streams(), loop.now());
+        UpstreamConnection c = new UpstreamConnection(server, limits.streams(), loop.now());
         server.connections.add(c);
         connections.add(c);
         ConnectFuture future =
-                connector.connect(server.address, (session, f) -> session.setAttribute(ServerConnection.class, c));
+                connector.connect(server.address, (session, f) -> session.setAttribute(UpstreamConnection.class, c));
         future.addListener((IoFutureListener<ConnectFuture>) f -> loop.post(() -> {
             if (f.isConnected()) {
                 c.connected(f.getSession(), loop.now());
@@ -162,16 +162,16 @@
      *
      * @param reset whether that says nothing of the server: then what was never written goes out on a new one
      */
-    void lost(ServerConnection c, boolean reset) {
+    void lost(UpstreamConnection c, boolean reset) {
         if (!connections.remove(c)) {
             return;
         }
         c.server.connections.remove(c);
         withdrawals.closed(c).forEach(this::send);
-        List<ServerConnection.Open> all = c.drop();
+        List<UpstreamConnection.Open> all = c.drop();
         all.forEach(held -> carriers.remove(held.attempt()));
         boolean renew = reset && ++c.server.renewed <= MOST_RENEWED;
-        for (ServerConnection.Open held : all) {
+        for (UpstreamConnection.Open held : all) {
             if (c.written(held)) {
                 end(held.attempt(), AttemptStatus.RESET);
             } else if (renew) {
@@ -184,7 +184,7 @@
         }
     }
 
-    void answered(ServerConnection c, List<UpstreamResponse> answers) {
+    void answered(UpstreamConnection c, List<UpstreamResponse> answers) {
         c.heardUs = loop.now();
         c.server.renewed = 0;
         for (UpstreamResponse answer : answers) {
@@ -208,7 +208,7 @@
 
     @Override
     public void abort(Attempt attempt) {
-        ServerConnection c = carriers.remove(attempt);
+        UpstreamConnection c = carriers.remove(attempt);
         if (c == null) {
             withdrawals.drop(attempt);
             return;
@@ -229,7 +229,7 @@
         c.closeWhenDone();
     }
 
-    void malformed(ServerConnection c, MalformedException e) {
+    void malformed(UpstreamConnection c, MalformedException e) {
         faults.malformed(c.server.id, e.getMessage());
     }
 
--- a/src/main/java/petrelplank/upstream/Faults.java
+++ b/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
@@ -3,8 +3,8 @@
 import java.util.logging.Logger;
 
 /** Counts what goes wrong on the servers' side, and tells of it in few lines. Event thread only. */
-final class Faults {
-    private static final Logger LOG = Logger.getLogger(ServerPool.class.getName());
+final class UpstreamFaultLog {
+    private static final Logger LOG = Logger.getLogger(UpstreamConnectionPool.class.getName());
     private static final int LOGGED_ONE_IN = 25;
 
     private long malformed;
--- a/src/main/java/petrelplank/upstream/ServerHandler.java
+++ b/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
@@ -9,12 +9,12 @@
 import petrelplank.proxy.UpstreamResponse;
 
 /** MINA's side of the connections to servers: parses, and posts typed values to the event thread. */
-final class ServerHandler extends IoHandlerAdapter {
+final class UpstreamIoHandler extends IoHandlerAdapter {
     private final EventLoop loop;
-    private final ServerPool pool;
+    private final UpstreamConnectionPool pool;
     private final List<String> loadFields;
 
-    ServerHandler(EventLoop loop, ServerPool pool, List<String> loadFields) {
+    UpstreamIoHandler(EventLoop loop, UpstreamConnectionPool pool, List<String> loadFields) {
         this.loop = loop;
         this.pool = pool;
         this.loadFields = loadFields;
@@ -22,14 +22,14 @@
 
     @Override
     public void sessionCreated(IoSession session) {
-        session.setAttribute(LineParser.class, new LineParser(loadFields));
+        session.setAttribute(ResponseParser.class, new ResponseParser(loadFields));
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
         List<UpstreamResponse> answers = new ArrayList<>();
-        ServerConnection c = connection(session);
-        LineParser parser = (LineParser) session.getAttribute(LineParser.class);
+        UpstreamConnection c = connection(session);
+        ResponseParser parser = (ResponseParser) session.getAttribute(ResponseParser.class);
         try {
             parser.feed(((IoBuffer) message).buf(), answers::add);
             c.insideAt = parser.inside() ? session.getReadBytes() : 0;
@@ -44,7 +44,7 @@
 
     @Override
     public void sessionClosed(IoSession session) {
-        ServerConnection c = connection(session);
+        UpstreamConnection c = connection(session);
         loop.post(() -> pool.lost(c, true));
     }
 
@@ -53,7 +53,7 @@
         session.closeNow();
     }
 
-    private static ServerConnection connection(IoSession session) {
-        return (ServerConnection) session.getAttribute(ServerConnection.class);
+    private static UpstreamConnection connection(IoSession session) {
+        return (UpstreamConnection) session.getAttribute(UpstreamConnection.class);
     }
 }
--- a/src/main/java/petrelplank/upstream/Server.java
+++ b/src/main/java/petrelplank/upstream/UpstreamServer.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /** A listed server and its connections. */
-final class Server {
+final class UpstreamServer {
     final String id;
     final InetSocketAddress address;
-    final List<ServerConnection> connections = new ArrayList<>(2);
+    final List<UpstreamConnection> connections = new ArrayList<>(2);
     /** Connections lost in a row, with nothing heard between, whose commands were sent again on a new one. */
     int renewed;
 
-    Server(String id, InetSocketAddress address) {
+    UpstreamServer(String id, InetSocketAddress address) {
         this.id = id;
         this.address = address;
     }
@@ -21,9 +21,9 @@
      * The connection with the least open on it that takes a command; null where none does. What has been idle since
      * before a time is left, as a guard against a command that crosses the server's own close of it.
      */
-    ServerConnection leastLoaded(String request, long idleSinceUs) {
-        ServerConnection best = null;
-        for (ServerConnection c : List.copyOf(connections)) {
+    UpstreamConnection leastLoaded(String request, long idleSinceUs) {
+        UpstreamConnection best = null;
+        for (UpstreamConnection c : List.copyOf(connections)) {
             if (c.idle() && !c.retiring && c.heardUs < idleSinceUs) {
                 c.retire();
             }
@@ -46,6 +46,6 @@
 
     /** Connections made before a time take nothing new. */
     void retireOlderThan(long us) {
-        List.copyOf(connections).stream().filter(c -> c.createdUs < us).forEach(ServerConnection::retire);
+        List.copyOf(connections).stream().filter(c -> c.createdUs < us).forEach(UpstreamConnection::retire);
     }
 }
--- a/src/test/java/petrelplank/upstream/LineParserTest.java
+++ b/src/test/java/petrelplank/upstream/LineParserTest.java
@@ -25,7 +25,7 @@
             + "meter=concurrent:7;x1:0.61 5\r\na\r\nb\n\r\nr2 NOMOD ver=4be0,tell=HIT 0\r\n\r\nr3 NOENT - 0\r\n\r\n"
             + "r4 AGAIN tell=UP_BUSY 0\r\n\r\nr5 EIO - 0\r\n\r\nr6 STALE - 0\r\n\r\n");
     private final List<UpstreamResponse> answers = new ArrayList<>();
-    private final LineParser parser = new LineParser(List.of("concurrent", "x0", "x1"));
+    private final ResponseParser parser = new ResponseParser(List.of("concurrent", "x0", "x1"));
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -56,7 +56,7 @@
 
     @Property(seed = "12", tries = 2000)
     void spoiltAnswersAreTakenOrRefused(@ForAll long seed) {
-        LineParser fresh = new LineParser(List.of("x0"));
+        ResponseParser fresh = new ResponseParser(List.of("x0"));
         assertTrue(Cuts.survives(
                 Cuts.spoil(ANSWERS, seed), seed, MalformedException.class, in -> fresh.feed(in, a -> {})));
     }
@@ -83,7 +83,7 @@
     void endlessLineIsRefused() {
         assertThrows(
                 MalformedException.class,
-                () -> parser.feed(ByteBuffer.wrap(new byte[LineParser.LONGEST_LINE + 1]), answers::add));
+                () -> parser.feed(ByteBuffer.wrap(new byte[ResponseParser.LONGEST_LINE + 1]), answers::add));
     }
 
     @Test
--- a/src/test/java/petrelplank/upstream/WithdrawnTest.java
+++ b/src/test/java/petrelplank/upstream/WithdrawnTest.java
@@ -51,8 +51,8 @@
 
     private static final int ALL = Integer.MAX_VALUE;
     private final Blocked session = new Blocked();
-    private final ServerConnection connection =
-            new ServerConnection(new Server("s-1", new InetSocketAddress("127.0.0.1", 1)), 100, 0);
+    private final UpstreamConnection connection =
+            new UpstreamConnection(new UpstreamServer("s-1", new InetSocketAddress("127.0.0.1", 1)), 100, 0);
     private final List<String> written = new ArrayList<>();
 
     @BeforeEach
@@ -119,7 +119,7 @@
         send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
         session.write(10);
-        List<ServerConnection.Open> open = connection.drop();
+        List<UpstreamConnection.Open> open = connection.drop();
         assertTrue(connection.written(open.get(0)));
         assertFalse(connection.written(open.get(1)));
     }
@@ -139,7 +139,7 @@
     /** The connection comes up late: what it was made for is written only where somebody still waits. */
     @Test
     void whatNobodyWaitsForIsNotWrittenAsTheConnectionComesUp() {
-        ServerConnection late = new ServerConnection(connection.server, 100, 0);
+        UpstreamConnection late = new UpstreamConnection(connection.server, 100, 0);
         AtomicBoolean left = new AtomicBoolean();
         Attempt gone = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(left));
         late.send(gone, 0);
@@ -167,8 +167,8 @@
     /** Where no second copies are allowed, the next attempt waits for the abort before it, or its connection's end. */
     @Test
     void nextAttemptWaitsUntilTheLastIsGivenUpOnTheWire() {
-        Withdrawals withdrawals = new Withdrawals();
-        ServerConnection other = new ServerConnection(connection.server, 100, 0);
+        PendingAborts withdrawals = new PendingAborts();
+        UpstreamConnection other = new UpstreamConnection(connection.server, 100, 0);
         String id = "aaaaaaaaaaaaaaaa";
         Attempt second = Attempts.of(id, 1);
         assertFalse(withdrawals.hold(second));
