--- a/src/main/java/petrelplank/cli/RunningFront.java
+++ b/src/main/java/petrelplank/cli/RunningFront.java
@@ -10,10 +10,10 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import petrelplank.discovery.EventDecoder;
-import petrelplank.discovery.Follower;
-import petrelplank.fastcgi.ClientAcceptor;
-import petrelplank.fastcgi.WarmUp;
+import petrelplank.discovery.DiscoveryClient;
+import petrelplank.discovery.DiscoveryEventDecoder;
+import petrelplank.fastcgi.FastCgiAcceptor;
+import petrelplank.fastcgi.ListenerWarmup;
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
@@ -62,11 +62,11 @@
     private final List<EndpointInfo> list = new ArrayList<>();
     private final Shutdown shutdown;
     private final EdgeProxy front;
-    private final Follower follower;
+    private final DiscoveryClient follower;
     /** Told to end (SIGTERM); ready never again. Event thread. */
     private boolean ending;
 
-    private final ClientAcceptor clients;
+    private final FastCgiAcceptor clients;
     private final ExecutorService ioThread = Executors.newCachedThreadPool();
     private final SharedProcessor io;
     private final NioSocketConnector toServers;
@@ -114,14 +114,14 @@
         });
         settings = c.settings();
         for (Fields known : c.known()) {
-            DiscoveryEvent event = EventDecoder.decode(known);
+            DiscoveryEvent event = DiscoveryEventDecoder.decode(known);
             front.told(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
                 change.entries().forEach(e -> list.add(e.member()));
             }
         }
-        follower = new Follower(loop, front, toCoordinator, c.coordinator(), c.seed());
-        clients = new ClientAcceptor(loop, front, acceptor, ofClients, (long) c.memoryMb() << 20, c.sizeScale());
+        follower = new DiscoveryClient(loop, front, toCoordinator, c.coordinator(), c.seed());
+        clients = new FastCgiAcceptor(loop, front, acceptor, ofClients, (long) c.memoryMb() << 20, c.sizeScale());
         long longest = c.settings().classes().stream()
                 .mapToLong(ServiceClass::deadlineUs)
                 .max()
@@ -159,7 +159,7 @@
     private void warmUp() {
         try {
             RouterWarmup.run(settings, list, DECISIONS);
-            WarmUp.ask(acceptor.getLocalAddress(), ASK_ROUNDS);
+            ListenerWarmup.ask(acceptor.getLocalAddress(), ASK_ROUNDS);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "warm-up broke off, ready without it", e);
         }
@@ -194,7 +194,8 @@
      * @param known events of a new configuration; those already heard are passed over
      */
     void follow(InetSocketAddress coordinator, List<Fields> known) {
-        List<DiscoveryEvent> events = known.stream().map(EventDecoder::decode).toList();
+        List<DiscoveryEvent> events =
+                known.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
             events.forEach(front::told);
             LOG.info("SIGHUP: following the coordinator at " + coordinator + " from " + front.listIndex());
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -1,7 +1,7 @@
 package petrelplank.cli;
 
 import java.util.logging.Logger;
-import petrelplank.fastcgi.ClientAcceptor;
+import petrelplank.fastcgi.FastCgiAcceptor;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
@@ -29,7 +29,7 @@
 
     private final EventLoop loop;
     private final EdgeProxy front;
-    private final ClientAcceptor clients;
+    private final FastCgiAcceptor clients;
     private final BoundedAcceptor acceptor;
     private final SharedProcessor io;
     private final long answerAllUs;
@@ -42,7 +42,7 @@
     Shutdown(
             EventLoop loop,
             EdgeProxy front,
-            ClientAcceptor clients,
+            FastCgiAcceptor clients,
             BoundedAcceptor acceptor,
             SharedProcessor io,
             long longestUs) {
--- a/src/main/java/petrelplank/discovery/Follower.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -9,7 +9,7 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import petrelplank.discovery.backoff.ListCalls;
+import petrelplank.discovery.backoff.ReconnectBackoff;
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
@@ -19,8 +19,8 @@
  * Follows the coordinator: one connection, made again when it breaks, falls silent or leaves out an event. State
  * belongs to the event thread.
  */
-public final class Follower {
-    private static final Logger LOG = Logger.getLogger(Follower.class.getName());
+public final class DiscoveryClient {
+    private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
     /** Each second a line is due; two missed ones mean that the connection is dead. */
     private static final long SILENCE_US = 2_500_000;
     /** Of breaks in a row, with nothing heard between. */
@@ -37,7 +37,7 @@
     private IoSession session;
     private EventLoop.Timer again;
     /** When to call again after a break: spread, capped, within a budget. */
-    private final ListCalls calls;
+    private final ReconnectBackoff calls;
     /** When the connection in use was made. */
     private long madeUs;
 
@@ -60,9 +60,9 @@
      * @param address the coordinator's
      * @param seed of the jitter of calls after a break; the configuration's, so that fronts differ
      */
-    public Follower(
+    public DiscoveryClient(
             EventLoop loop, EdgeProxy front, NioSocketConnector connector, InetSocketAddress address, long seed) {
-        this.calls = new ListCalls(seed);
+        this.calls = new ReconnectBackoff(seed);
         this.loop = loop;
         this.front = front;
         this.connector = connector;
@@ -213,7 +213,7 @@
 
         private void line(Object mine, String line) {
             if (!line.isEmpty()) {
-                DiscoveryEvent event = EventDecoder.decode(line);
+                DiscoveryEvent event = DiscoveryEventDecoder.decode(line);
                 loop.postUrgent(() -> told(mine, event));
             }
         }
--- a/src/main/java/petrelplank/discovery/EventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -15,10 +15,10 @@
 import petrelplank.settings.JsonValue;
 
 /** Reads the coordinator's events, from its lines and from the configuration. */
-public final class EventDecoder {
+public final class DiscoveryEventDecoder {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private EventDecoder() {}
+    private DiscoveryEventDecoder() {}
 
     static DiscoveryEvent decode(String line) {
         try (JsonParser in = JSON.createParser(line)) {
--- a/src/main/java/petrelplank/discovery/backoff/ListCalls.java
+++ b/src/main/java/petrelplank/discovery/backoff/ReconnectBackoff.java
@@ -16,7 +16,7 @@
  * <p>Decisions and state only: no I/O, no thread, no clock; times are the caller's, in microseconds, and the random
  * numbers come from the seed that it gives. Not safe for use by several threads; the front's event thread owns it.
  */
-public final class ListCalls {
+public final class ReconnectBackoff {
     /** The first wait after a break, in µs; the jitter makes it 100 to 200 ms. */
     public static final long FIRST_US = 200_000;
     /** The longest wait, in µs. */
@@ -39,7 +39,7 @@
      *
      * @param seed of the jitter; each front has its own (the configuration's seed), so that fronts differ
      */
-    public ListCalls(long seed) {
+    public ReconnectBackoff(long seed) {
         this.random = new SplittableRandom(seed);
     }
 
--- a/src/main/java/petrelplank/fastcgi/ClientFaults.java
+++ b/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
@@ -4,8 +4,8 @@
 import petrelplank.transport.DescriptorBudget;
 
 /** Counts what goes wrong on the clients' side, and tells of it in few lines. Event thread only. */
-final class ClientFaults {
-    private static final Logger LOG = Logger.getLogger(ClientAcceptor.class.getName());
+final class ClientFaultLog {
+    private static final Logger LOG = Logger.getLogger(FastCgiAcceptor.class.getName());
     /** Bad clients send at full speed: a line for each would cost CPU and memory that good ones need. */
     private static final int LOGGED_ONE_IN = 250;
 
@@ -15,7 +15,7 @@
     private long crowded;
     private long silent;
 
-    ClientFaults(DescriptorBudget share) {
+    ClientFaultLog(DescriptorBudget share) {
         this.share = share;
     }
 
--- a/src/main/java/petrelplank/fastcgi/ClientAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
@@ -9,14 +9,14 @@
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
-import petrelplank.fastcgi.ClientConnection.State;
+import petrelplank.fastcgi.FastCgiConnection.State;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
 import petrelplank.transport.DescriptorBudget;
 
 /** The clients' side: FastCGI responder on MINA. Requests are posted to the event thread, answers come from it. */
-public final class ClientAcceptor {
+public final class FastCgiAcceptor {
     private static final long SWEEP_US = 250_000;
 
     final EventLoop loop;
@@ -24,11 +24,11 @@
     final BoundedAcceptor acceptor;
     final DescriptorBudget share;
     final RequestDecoder decoder;
-    final ClientFaults faults;
+    final ClientFaultLog faults;
     /** Asked to leave, and neither closed yet nor kept since something lay unread on them. */
     final AtomicInteger leaving = new AtomicInteger();
 
-    private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
+    private final Set<FastCgiConnection> connections = ConcurrentHashMap.newKeySet();
     final long memory;
     /** Bytes of requests that are coming in or open. */
     final AtomicLong held = new AtomicLong();
@@ -45,7 +45,7 @@
      * @param memory bytes that the process may hold
      * @param sizeScale bytes on the sockets over those in which clients tell sizes, above 0
      */
-    public ClientAcceptor(
+    public FastCgiAcceptor(
             EventLoop loop,
             EdgeProxy front,
             BoundedAcceptor acceptor,
@@ -53,7 +53,7 @@
             long memory,
             double sizeScale) {
         this.loop = loop;
-        this.faults = new ClientFaults(share);
+        this.faults = new ClientFaultLog(share);
         this.decoder = new RequestDecoder(sizeScale);
         this.front = front;
         this.acceptor = acceptor;
@@ -77,7 +77,7 @@
     /** Guards descriptors and memory against clients that say nothing, stop half way or keep what they don't use. */
     private void sweep() {
         long now = loop.now();
-        for (ClientConnection c : connections) {
+        for (FastCgiConnection c : connections) {
             if (c.lingers(now)) {
                 c.closeNow();
             } else if (c.expired(now)) {
@@ -95,8 +95,8 @@
     private void makeRoom() {
         long now = loop.clock();
         while (share.free() + leaving.get() <= acceptor.reserve()) {
-            ClientConnection longest = null;
-            for (ClientConnection c : connections) {
+            FastCgiConnection longest = null;
+            for (FastCgiConnection c : connections) {
                 if (c.state.get() == State.OPEN && c.spare(now) && (longest == null || c.quietUs < longest.quietUs)) {
                     longest = c;
                 }
@@ -123,7 +123,7 @@
      * @return connections that are not closed yet
      */
     public int closeUnused() {
-        connections.stream().filter(ClientConnection::unused).forEach(c -> c.leave(false));
+        connections.stream().filter(FastCgiConnection::unused).forEach(c -> c.leave(false));
         return connections.size();
     }
 
@@ -145,19 +145,19 @@
     private final class Handler extends IoHandlerAdapter {
         @Override
         public void sessionCreated(IoSession session) {
-            ClientConnection added = new ClientConnection(ClientAcceptor.this, session);
-            session.setAttribute(ClientConnection.class, added);
+            FastCgiConnection added = new FastCgiConnection(FastCgiAcceptor.this, session);
+            session.setAttribute(FastCgiConnection.class, added);
             connections.add(added);
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            ((ClientConnection) session.getAttribute(ClientConnection.class)).received((IoBuffer) message);
+            ((FastCgiConnection) session.getAttribute(FastCgiConnection.class)).received((IoBuffer) message);
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            ClientConnection closed = (ClientConnection) session.getAttribute(ClientConnection.class);
+            FastCgiConnection closed = (FastCgiConnection) session.getAttribute(FastCgiConnection.class);
             connections.remove(closed);
             if (closed.state.getAndSet(State.CLOSED) == State.LEAVING) {
                 leaving.decrementAndGet();
--- a/src/main/java/petrelplank/fastcgi/ClientConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -11,7 +11,7 @@
 import petrelplank.proxy.EventLoop;
 
 /** One connection; records are read in its I/O thread, answers are written from the event thread. */
-final class ClientConnection implements Assembler.Listener {
+final class FastCgiConnection implements RequestAssembler.Listener {
     enum State {
         OPEN,
         LEAVING,
@@ -35,15 +35,15 @@
     /** How long the client may take to close a connection whose sending side was shut down. */
     private static final long LINGER_US = 1_000_000;
     /** Bytes of a request at its limits; a body in small records takes up to as many again for their headers. */
-    private static final long LONGEST_REQUEST = 2L * (Assembler.LONGEST_PARAMS + Assembler.LONGEST_BODY);
+    private static final long LONGEST_REQUEST = 2L * (RequestAssembler.LONGEST_PARAMS + RequestAssembler.LONGEST_BODY);
 
     private static final String HEALTH = "/_health";
 
-    private final ClientAcceptor owner;
+    private final FastCgiAcceptor owner;
     private final EventLoop loop;
     private final IoSession session;
     private final RecordParser parser = new RecordParser();
-    private final Assembler assembler;
+    private final RequestAssembler assembler;
     final Map<Integer, FastCgiResponseChannel> open = new ConcurrentHashMap<>();
     /** Answers between being taken off {@link #open} and standing among the bytes to write. */
     final AtomicInteger writing = new AtomicInteger();
@@ -67,11 +67,11 @@
     /** When the sending side was shut down; 0 before. Written by the I/O thread. */
     private volatile long shutdownUs;
 
-    ClientConnection(ClientAcceptor owner, IoSession session) {
+    FastCgiConnection(FastCgiAcceptor owner, IoSession session) {
         this.owner = owner;
         this.session = session;
         this.loop = owner.loop;
-        this.assembler = new Assembler(this, owner.held, owner.memory / HELD_PART);
+        this.assembler = new RequestAssembler(this, owner.held, owner.memory / HELD_PART);
         this.quietUs = loop.clock();
         this.madeInTurn = owner.acceptor.turns();
     }
@@ -222,7 +222,7 @@
     }
 
     @Override
-    public void management(Record record) {
+    public void management(FastCgiRecord record) {
         write(ManagementRecords.reply(record, owner.share.most()));
     }
 
--- a/src/main/java/petrelplank/fastcgi/Record.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiRecord.java
@@ -7,7 +7,7 @@
  * @param id the request it belongs to; 0 for the connection itself
  * @param content its content, without padding
  */
-record Record(int type, int id, byte[] content) {
+record FastCgiRecord(int type, int id, byte[] content) {
     static final int BEGIN_REQUEST = 1;
     static final int ABORT_REQUEST = 2;
     static final int END_REQUEST = 3;
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -5,13 +5,13 @@
 
 /** The way back to a FastCGI client, for one request on its connection. */
 final class FastCgiResponseChannel implements ResponseChannel {
-    private final ClientConnection connection;
+    private final FastCgiConnection connection;
     private final int id;
     private final boolean keep;
     final String requestId;
     final int bytes;
 
-    FastCgiResponseChannel(ClientConnection connection, int id, boolean keep, String requestId, int bytes) {
+    FastCgiResponseChannel(FastCgiConnection connection, int id, boolean keep, String requestId, int bytes) {
         this.connection = connection;
         this.id = id;
         this.keep = keep;
--- a/src/main/java/petrelplank/fastcgi/WarmUp.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
@@ -12,7 +12,7 @@
  * Asks a front for its health as clients do, some hundred times, before it is ready: what reads requests and writes
  * answers is then compiled when the first clients come, all at once, under part of a core.
  */
-public final class WarmUp {
+public final class ListenerWarmup {
     private static final int AT_ONCE = 16;
     private static final int PATIENCE_MS = 1_000;
     private static final String[] PARAMS = {
@@ -38,7 +38,7 @@
         "0"
     };
 
-    private WarmUp() {}
+    private ListenerWarmup() {}
 
     /**
      * Asks and waits for the answers; whatever they are, and fewer where they take too long.
@@ -64,7 +64,8 @@
                         return;
                     }
                     parser.feed(
-                            ByteBuffer.wrap(buffer, 0, count), r -> ended[0] += r.type() == Record.END_REQUEST ? 1 : 0);
+                            ByteBuffer.wrap(buffer, 0, count),
+                            r -> ended[0] += r.type() == FastCgiRecord.END_REQUEST ? 1 : 0);
                 }
             }
         }
@@ -79,11 +80,12 @@
         }
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (int id = 1; id <= AT_ONCE; id++) {
-            all.writeBytes(RecordEncoder.record(
-                    Record.BEGIN_REQUEST, id, new byte[] {0, Record.RESPONDER, Record.KEEP_CONN, 0, 0, 0, 0, 0}));
-            all.writeBytes(RecordEncoder.record(Record.PARAMS, id, params.toByteArray()));
-            all.writeBytes(RecordEncoder.record(Record.PARAMS, id, new byte[0]));
-            all.writeBytes(RecordEncoder.record(Record.STDIN, id, new byte[0]));
+            all.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, new byte[] {
+                0, FastCgiRecord.RESPONDER, FastCgiRecord.KEEP_CONN, 0, 0, 0, 0, 0
+            }));
+            all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
+            all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, new byte[0]));
+            all.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, new byte[0]));
         }
         return all.toByteArray();
     }
--- a/src/main/java/petrelplank/fastcgi/Params.java
+++ b/src/main/java/petrelplank/fastcgi/ParamsDecoder.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /** FastCGI name-value pairs. */
-final class Params {
-    private Params() {}
+final class ParamsDecoder {
+    private ParamsDecoder() {}
 
     static Map<String, String> decode(byte[] bytes) {
         Map<String, String> pairs = new LinkedHashMap<>();
--- a/src/main/java/petrelplank/fastcgi/RecordEncoder.java
+++ b/src/main/java/petrelplank/fastcgi/RecordEncoder.java
@@ -32,16 +32,16 @@
         byte[] body = answer.body();
         Out out = new Out(start.length + body.length + 64);
         int first = Math.min(body.length, LONGEST - start.length);
-        out.header(Record.STDOUT, id, start.length + first);
+        out.header(FastCgiRecord.STDOUT, id, start.length + first);
         out.write(start, 0, start.length);
         out.write(body, 0, first);
         for (int at = first; at < body.length; at += LONGEST) {
             int count = Math.min(LONGEST, body.length - at);
-            out.header(Record.STDOUT, id, count);
+            out.header(FastCgiRecord.STDOUT, id, count);
             out.write(body, at, count);
         }
-        out.header(Record.STDOUT, id, 0);
-        out.end(id, Record.REQUEST_COMPLETE);
+        out.header(FastCgiRecord.STDOUT, id, 0);
+        out.end(id, FastCgiRecord.REQUEST_COMPLETE);
         return out.toByteArray();
     }
 
@@ -75,7 +75,7 @@
         }
 
         void end(int id, int status) {
-            header(Record.END_REQUEST, id, 8);
+            header(FastCgiRecord.END_REQUEST, id, 8);
             for (int i = 0; i < 8; i++) {
                 write(i == 4 ? status : 0);
             }
--- a/src/main/java/petrelplank/fastcgi/RecordParser.java
+++ b/src/main/java/petrelplank/fastcgi/RecordParser.java
@@ -14,7 +14,7 @@
     private int padding;
 
     /** Takes what has come and hands on every record that is whole; MalformedException ends the connection. */
-    void feed(ByteBuffer in, Consumer<Record> records) {
+    void feed(ByteBuffer in, Consumer<FastCgiRecord> records) {
         while (in.hasRemaining()) {
             if (content == null) {
                 int count = Math.min(in.remaining(), header.length - headerLength);
@@ -41,7 +41,7 @@
                 byte[] whole = content;
                 content = null;
                 headerLength = 0;
-                records.accept(new Record(header[1] & 0xff, word(2), whole));
+                records.accept(new FastCgiRecord(header[1] & 0xff, word(2), whole));
             }
         }
     }
--- a/src/main/java/petrelplank/fastcgi/Assembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Puts the records of one connection together to requests; I/O thread only. */
-final class Assembler {
+final class RequestAssembler {
     static final int LONGEST_PARAMS = 16_384;
     static final int LONGEST_BODY = 262_144;
     /** Requests on one connection, coming in or owed an answer. */
@@ -21,7 +21,7 @@
         void abort(int id);
 
         /** The connection's own records: GET_VALUES and unknown types. */
-        void management(Record record);
+        void management(FastCgiRecord record);
 
         /** A request that is ended with a protocol status, before it was taken. */
         void declined(int id, int status, boolean keep);
@@ -47,7 +47,7 @@
     private final Map<Integer, Coming> coming = new HashMap<>();
 
     /** Counts its bytes into {@code together}, and turns requests away once that is over the limit. */
-    Assembler(Listener listener, AtomicLong together, long mostTogether) {
+    RequestAssembler(Listener listener, AtomicLong together, long mostTogether) {
         this.listener = listener;
         this.together = together;
         this.mostTogether = mostTogether;
@@ -77,16 +77,16 @@
         return c;
     }
 
-    void take(Record r) {
+    void take(FastCgiRecord r) {
         if (r.id() == 0) {
             listener.management(r);
             return;
         }
-        if (r.type() == Record.BEGIN_REQUEST) {
+        if (r.type() == FastCgiRecord.BEGIN_REQUEST) {
             begin(r);
             return;
         }
-        if (r.type() == Record.ABORT_REQUEST) {
+        if (r.type() == FastCgiRecord.ABORT_REQUEST) {
             drop(r.id());
             listener.abort(r.id());
             return;
@@ -95,25 +95,25 @@
         if (c == null) {
             return;
         }
-        if (r.type() == Record.PARAMS) {
+        if (r.type() == FastCgiRecord.PARAMS) {
             if (c.paramsDone) {
                 throw new MalformedException("parameters after their end");
             }
             c.paramsDone = r.content().length == 0;
             append(c.params, r.content(), LONGEST_PARAMS);
-        } else if (r.type() == Record.STDIN) {
+        } else if (r.type() == FastCgiRecord.STDIN) {
             append(c.body, r.content(), LONGEST_BODY);
             if (r.content().length == 0) {
                 if (!c.paramsDone) {
                     throw new MalformedException("a body before the end of the parameters");
                 }
                 drop(r.id());
-                listener.request(r.id(), c.keep, Params.decode(c.params.toByteArray()), c.body.toByteArray());
+                listener.request(r.id(), c.keep, ParamsDecoder.decode(c.params.toByteArray()), c.body.toByteArray());
             }
         }
     }
 
-    private void begin(Record r) {
+    private void begin(FastCgiRecord r) {
         byte[] b = r.content();
         if (b.length != 8) {
             throw new MalformedException("a BEGIN_REQUEST of " + b.length + " bytes");
@@ -121,11 +121,11 @@
         if (coming.containsKey(r.id()) || listener.open(r.id())) {
             throw new MalformedException("a second BEGIN_REQUEST for an open id");
         }
-        boolean keep = (b[2] & Record.KEEP_CONN) != 0;
-        if (((b[0] & 0xff) << 8 | b[1] & 0xff) != Record.RESPONDER) {
-            listener.declined(r.id(), Record.UNKNOWN_ROLE, keep);
+        boolean keep = (b[2] & FastCgiRecord.KEEP_CONN) != 0;
+        if (((b[0] & 0xff) << 8 | b[1] & 0xff) != FastCgiRecord.RESPONDER) {
+            listener.declined(r.id(), FastCgiRecord.UNKNOWN_ROLE, keep);
         } else if (coming.size() + listener.owed() >= MOST_OPEN || together.get() > mostTogether) {
-            listener.declined(r.id(), Record.OVERLOADED, keep);
+            listener.declined(r.id(), FastCgiRecord.OVERLOADED, keep);
         } else {
             Coming c = new Coming();
             c.keep = keep;
--- a/src/test/java/petrelplank/cli/LoopbackTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import petrelplank.fastcgi.FcgiClient;
-import petrelplank.fastcgi.WarmUp;
+import petrelplank.fastcgi.ListenerWarmup;
 import petrelplank.settings.Configuration;
 import petrelplank.settings.FormatException;
 import petrelplank.upstream.FakeServer;
@@ -21,11 +21,11 @@
     /** What the first clients need is run before, by the front's own means, and leaves nothing behind. */
     @Test
     void warmUpAsksTheFrontAndSendsNothingToServers() throws IOException {
-        WarmUp.ask(front.address(), 2);
+        ListenerWarmup.ask(front.address(), 2);
         client.ask(1, "/_health", NOTHING);
         assertTrue(client.answer().startsWith("1 Status: 200"));
         assertTrue(cache.quiet() && parent.quiet() && origin.quiet());
-        assertThrows(IOException.class, () -> WarmUp.ask(new InetSocketAddress("127.0.0.1", unused()), 1));
+        assertThrows(IOException.class, () -> ListenerWarmup.ask(new InetSocketAddress("127.0.0.1", unused()), 1));
     }
 
     /** A port that nothing listens at. */
--- a/src/test/java/petrelplank/discovery/EventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/EventDecoderTest.java
@@ -28,7 +28,7 @@
     private static List<DiscoveryEvent> read(byte[] bytes, long cuts) {
         List<DiscoveryEvent> events = new ArrayList<>();
         LineSplitter splitter = new LineSplitter();
-        Cuts.feed(bytes, cuts, in -> splitter.feed(in, line -> events.add(EventDecoder.decode(line))));
+        Cuts.feed(bytes, cuts, in -> splitter.feed(in, line -> events.add(DiscoveryEventDecoder.decode(line))));
         return events;
     }
 
@@ -59,7 +59,7 @@
                 FormatException.class,
                 in -> splitter.feed(in, line -> {
                     if (!line.isEmpty()) {
-                        EventDecoder.decode(line);
+                        DiscoveryEventDecoder.decode(line);
                     }
                 })));
     }
--- a/src/test/java/petrelplank/fastcgi/FcgiClient.java
+++ b/src/test/java/petrelplank/fastcgi/FcgiClient.java
@@ -20,7 +20,7 @@
 
     private final Socket socket;
     private final RecordParser parser = new RecordParser();
-    private final Queue<Record> records = new ArrayDeque<>();
+    private final Queue<FastCgiRecord> records = new ArrayDeque<>();
     private final Map<Integer, ByteArrayOutputStream> out = new HashMap<>();
 
     /** Connects. */
@@ -33,7 +33,7 @@
     public void ask(int id, String script, byte[] body, String... headers) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(start(id, script, body, headers));
-        all.writeBytes(RecordEncoder.record(Record.STDIN, id, new byte[0]));
+        all.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, new byte[0]));
         raw(all.toByteArray());
     }
 
@@ -52,7 +52,7 @@
 
     /** Sends the end of a request begun. */
     public void end(int id) throws IOException {
-        raw(RecordEncoder.record(Record.STDIN, id, new byte[0]));
+        raw(RecordEncoder.record(FastCgiRecord.STDIN, id, new byte[0]));
     }
 
     private static byte[] start(int id, String script, byte[] body, String... headers) {
@@ -62,11 +62,11 @@
             pair(params, "HTTP_" + headers[i].toUpperCase(java.util.Locale.ROOT).replace('-', '_'), headers[i + 1]);
         }
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(RecordEncoder.record(Record.BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
-        all.writeBytes(RecordEncoder.record(Record.PARAMS, id, params.toByteArray()));
-        all.writeBytes(RecordEncoder.record(Record.PARAMS, id, new byte[0]));
+        all.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
+        all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
+        all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, new byte[0]));
         if (body.length > 0) {
-            all.writeBytes(RecordEncoder.record(Record.STDIN, id, body));
+            all.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, body));
         }
         return all.toByteArray();
     }
@@ -84,7 +84,7 @@
 
     /** Gives a request up. */
     public void abort(int id) throws IOException {
-        raw(RecordEncoder.record(Record.ABORT_REQUEST, id, new byte[0]));
+        raw(RecordEncoder.record(FastCgiRecord.ABORT_REQUEST, id, new byte[0]));
     }
 
     /** The next answer on the connection, as its id, a blank and the CGI response. */
@@ -92,8 +92,8 @@
         byte[] buffer = new byte[65_536];
         while (true) {
             while (!records.isEmpty()) {
-                Record r = records.poll();
-                if (r.type() == Record.END_REQUEST) {
+                FastCgiRecord r = records.poll();
+                if (r.type() == FastCgiRecord.END_REQUEST) {
                     if (r.content()[4] != 0) {
                         return r.id() + " declined " + r.content()[4];
                     }
--- a/src/test/java/petrelplank/fastcgi/RecordParserTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordParserTest.java
@@ -22,7 +22,7 @@
 import petrelplank.proxy.ClientResponse;
 import petrelplank.wire.Cuts;
 
-class RecordParserTest implements Assembler.Listener {
+class RecordParserTest implements RequestAssembler.Listener {
     private final List<String> heard = new ArrayList<>();
     private final AtomicLong together = new AtomicLong();
     private int owed;
@@ -31,7 +31,7 @@
     private static byte[] twoRequests() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int id = 1; id <= 3; id++) {
-            out.writeBytes(RecordEncoder.record(Record.BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
+            out.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
         }
         byte[] params = {
             11,
@@ -58,13 +58,13 @@
             'X',
             'y'
         };
-        out.writeBytes(RecordEncoder.record(Record.PARAMS, 1, params));
-        out.writeBytes(RecordEncoder.record(Record.PARAMS, 2, new byte[0]));
-        out.writeBytes(RecordEncoder.record(Record.PARAMS, 1, new byte[0]));
-        out.writeBytes(new byte[] {1, Record.STDIN, 0, 1, 0, 2, 3, 0, 'h', 'i', 0, 0, 0});
-        out.writeBytes(RecordEncoder.record(Record.ABORT_REQUEST, 3, new byte[0]));
-        out.writeBytes(RecordEncoder.record(Record.STDIN, 2, new byte[0]));
-        out.writeBytes(RecordEncoder.record(Record.STDIN, 1, new byte[0]));
+        out.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, 1, params));
+        out.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, 2, new byte[0]));
+        out.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, 1, new byte[0]));
+        out.writeBytes(new byte[] {1, FastCgiRecord.STDIN, 0, 1, 0, 2, 3, 0, 'h', 'i', 0, 0, 0});
+        out.writeBytes(RecordEncoder.record(FastCgiRecord.ABORT_REQUEST, 3, new byte[0]));
+        out.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, 2, new byte[0]));
+        out.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, 1, new byte[0]));
         return out.toByteArray();
     }
 
@@ -72,7 +72,7 @@
     void requestsCutAnywhereAreRead(@ForAll long cuts) {
         heard.clear();
         RecordParser parser = new RecordParser();
-        Assembler assembler = new Assembler(this, together, 1 << 20);
+        RequestAssembler assembler = new RequestAssembler(this, together, 1 << 20);
         Cuts.feed(twoRequests(), cuts, in -> parser.feed(in, assembler::take));
         assertEquals(List.of("abort 3", "request 2 {} ", "request 1 {SCRIPT_NAME=/ab, X=y} hi"), heard);
         assertEquals(0, together.get());
@@ -81,7 +81,7 @@
     @Property(seed = "22", tries = 2000)
     void spoiltRequestsAreTakenOrRefused(@ForAll long seed) {
         RecordParser parser = new RecordParser();
-        Assembler assembler = new Assembler(this, new AtomicLong(), 1 << 20);
+        RequestAssembler assembler = new RequestAssembler(this, new AtomicLong(), 1 << 20);
         assertTrue(Cuts.survives(
                 Cuts.spoil(twoRequests(), seed),
                 seed,
@@ -104,11 +104,11 @@
                                 RecordEncoder.answer(7, new ClientResponse(ClientResponse.Kind.SERVED, body, 0))),
                         r -> {
                             types.add(r.type());
-                            if (r.type() == Record.STDOUT) {
+                            if (r.type() == FastCgiRecord.STDOUT) {
                                 stdout.writeBytes(r.content());
                             }
                         });
-        assertEquals(Record.END_REQUEST, types.get(types.size() - 1));
+        assertEquals(FastCgiRecord.END_REQUEST, types.get(types.size() - 1));
         byte[] all = stdout.toByteArray();
         String head = new String(all, 0, all.length - body.length, StandardCharsets.ISO_8859_1);
         assertTrue(head.startsWith("Status: 200") && head.endsWith("\r\n\r\n"), head);
@@ -123,19 +123,21 @@
 
     @Test
     void otherRolesAndTooManyBytesAreDeclinedByProtocolStatus() {
-        Assembler assembler = new Assembler(this, new AtomicLong(5), 4);
-        assembler.take(new Record(Record.BEGIN_REQUEST, 1, new byte[] {0, 2, 0, 0, 0, 0, 0, 0}));
-        assembler.take(new Record(Record.BEGIN_REQUEST, 2, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
+        RequestAssembler assembler = new RequestAssembler(this, new AtomicLong(5), 4);
+        assembler.take(new FastCgiRecord(FastCgiRecord.BEGIN_REQUEST, 1, new byte[] {0, 2, 0, 0, 0, 0, 0, 0}));
+        assembler.take(new FastCgiRecord(FastCgiRecord.BEGIN_REQUEST, 2, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
         assertEquals(List.of("declined 1 3", "declined 2 2"), heard);
-        assertThrows(MalformedException.class, () -> assembler.take(new Record(Record.BEGIN_REQUEST, 3, new byte[7])));
+        assertThrows(
+                MalformedException.class,
+                () -> assembler.take(new FastCgiRecord(FastCgiRecord.BEGIN_REQUEST, 3, new byte[7])));
     }
 
     @Test
     void moreRequestsThanAConnectionCarriesAreDeclined() {
-        Assembler assembler = new Assembler(this, together, 1 << 20);
-        owed = Assembler.MOST_OPEN - 1;
+        RequestAssembler assembler = new RequestAssembler(this, together, 1 << 20);
+        owed = RequestAssembler.MOST_OPEN - 1;
         for (int id = 1; id <= 2; id++) {
-            assembler.take(new Record(Record.BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
+            assembler.take(new FastCgiRecord(FastCgiRecord.BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
         }
         assertEquals(List.of("declined 2 2"), heard);
     }
@@ -197,7 +199,7 @@
     }
 
     @Override
-    public void management(Record record) {
+    public void management(FastCgiRecord record) {
         heard.add("management " + record.type());
     }
 
