--- a/src/main/java/petrelplank/cli/DrillCommand.java
+++ b/src/main/java/petrelplank/cli/DrillCommand.java
@@ -1,7 +1,7 @@
 package petrelplank.cli;
 
 import java.io.IOException;
-import petrelplank.simulator.Drill;
+import petrelplank.simulator.SimulatorAdapter;
 
 /** {@code drill}: the same decisions on the simulator's wire. */
 public final class DrillCommand extends Helpful implements Command {
@@ -10,6 +10,6 @@
 
     @Override
     public int run() throws IOException {
-        return Drill.run(System.in, System.out, System.err);
+        return SimulatorAdapter.run(System.in, System.out, System.err);
     }
 }
--- a/src/main/java/petrelplank/cli/RunningFront.java
+++ b/src/main/java/petrelplank/cli/RunningFront.java
@@ -23,7 +23,7 @@
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.ServiceClass;
 import petrelplank.settings.Configuration;
-import petrelplank.settings.Fields;
+import petrelplank.settings.JsonFields;
 import petrelplank.transport.BoundedAcceptor;
 import petrelplank.transport.DescriptorBudget;
 import petrelplank.transport.SharedProcessor;
@@ -113,7 +113,7 @@
             return pool;
         });
         settings = c.settings();
-        for (Fields known : c.known()) {
+        for (JsonFields known : c.known()) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(known);
             front.told(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
@@ -193,7 +193,7 @@
      * @param coordinator its address
      * @param known events of a new configuration; those already heard are passed over
      */
-    void follow(InetSocketAddress coordinator, List<Fields> known) {
+    void follow(InetSocketAddress coordinator, List<JsonFields> known) {
         List<DiscoveryEvent> events =
                 known.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -10,8 +10,8 @@
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.EndpointState;
 import petrelplank.settings.Addresses;
-import petrelplank.settings.Fields;
 import petrelplank.settings.FormatException;
+import petrelplank.settings.JsonFields;
 import petrelplank.settings.JsonValue;
 
 /** Reads the coordinator's events, from its lines and from the configuration. */
@@ -26,7 +26,7 @@
             Object value = JsonValue.read(in);
             return value instanceof Long last
                     ? new DiscoveryEvent.Beat(last)
-                    : decode(new Fields(JsonValue.object(value, "the event"), "the event"));
+                    : decode(new JsonFields(JsonValue.object(value, "the event"), "the event"));
         } catch (IOException e) {
             throw new FormatException("not JSON: " + e.getMessage());
         }
@@ -38,10 +38,10 @@
      * @param f the object
      * @return the event
      */
-    public static DiscoveryEvent decode(Fields f) {
+    public static DiscoveryEvent decode(JsonFields f) {
         long index = f.whole("index");
         if (f.has("evict")) {
-            Fields purge = new Fields(f.object("evict"), f.where() + " evict");
+            JsonFields purge = new JsonFields(f.object("evict"), f.where() + " evict");
             Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
             return new DiscoveryEvent.Purge(index, object, (int) purge.whole("shard", -1), purge.whole("unix_ms"));
         }
@@ -49,10 +49,10 @@
             // Guards against a kind of event not known here: it is passed over, and its number counts as heard.
             return f.only("index") ? new DiscoveryEvent.Beat(index) : new DiscoveryEvent.Other(index);
         }
-        Fields list = new Fields(f.object("endpoints"), f.where() + " endpoints");
+        JsonFields list = new JsonFields(f.object("endpoints"), f.where() + " endpoints");
         List<DiscoveryEvent.Entry> entries = new ArrayList<>();
         for (var entry : list.objects("instances")) {
-            Fields e = new Fields(entry, list.where() + " instance");
+            JsonFields e = new JsonFields(entry, list.where() + " instance");
             EndpointState state = switch (e.text("lifecycle")) {
                 case "active" -> EndpointState.UP;
                 case "leaving" -> EndpointState.DRAINING;
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -33,7 +33,7 @@
         int memoryMb,
         InetSocketAddress coordinator,
         long knownIndex,
-        List<Fields> known,
+        List<JsonFields> known,
         RouterSettings settings,
         int streams,
         long idleUs,
@@ -52,16 +52,16 @@
             if (in.nextToken() == null) {
                 throw new FormatException("the file is empty");
             }
-            return of(new Fields(JsonValue.object(JsonValue.read(in), "configuration"), "configuration"));
+            return of(new JsonFields(JsonValue.object(JsonValue.read(in), "configuration"), "configuration"));
         }
     }
 
-    static Configuration of(Fields f) {
-        Fields limits = new Fields(f.object("limits"), "limits");
-        Fields known = new Fields(f.object("known"), "known");
+    static Configuration of(JsonFields f) {
+        JsonFields limits = new JsonFields(f.object("limits"), "limits");
+        JsonFields known = new JsonFields(f.object("known"), "known");
         Map<String, Object> setup = f.object("settings");
-        Fields settings = new Fields(setup, "settings");
-        Fields caps = new Fields(settings.object("caps"), "settings caps");
+        JsonFields settings = new JsonFields(setup, "settings");
+        JsonFields caps = new JsonFields(settings.object("caps"), "settings caps");
         return new Configuration(
                 f.has("name") ? f.text("name") : "front",
                 Addresses.parse(f.text("listen")),
@@ -71,11 +71,11 @@
                 Addresses.parse(f.text("coordinator")),
                 known.whole("index", 0),
                 known.objects("updates").stream()
-                        .map(u -> new Fields(u, "known update"))
+                        .map(u -> new JsonFields(u, "known update"))
                         .toList(),
-                Setup.settings(settings, f.number("flow_bytes_per_s", 0)),
+                SettingsParser.settings(settings, f.number("flow_bytes_per_s", 0)),
                 (int) Math.max(1, caps.whole("max-streams", 100)),
                 Math.max(1, caps.whole("conn-idle-us", 15_000_000)),
-                Setup.sizeScale(settings, f.number("flow_bytes_per_s", 0)));
+                SettingsParser.sizeScale(settings, f.number("flow_bytes_per_s", 0)));
     }
 }
--- a/src/main/java/petrelplank/settings/Fields.java
+++ b/src/main/java/petrelplank/settings/JsonFields.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /** Typed reading of an object's fields; what is missing or of the wrong type is named. */
-public final class Fields {
+public final class JsonFields {
     private final Map<String, Object> values;
     private final String where;
 
     /** Reads an object; {@code where} names it in messages. */
-    public Fields(Map<String, Object> values, String where) {
+    public JsonFields(Map<String, Object> values, String where) {
         this.values = values;
         this.where = where;
     }
--- a/src/main/java/petrelplank/settings/Setup.java
+++ b/src/main/java/petrelplank/settings/SettingsParser.java
@@ -18,11 +18,11 @@
  * Reads the settings that the wire's first message carries. What is absent has the most careful value or the one that
  * the settings' page names, and so has a word that is none of the page's; a value of another type is an error.
  */
-public final class Setup {
-    private Setup() {}
+public final class SettingsParser {
+    private SettingsParser() {}
 
     /** Reads the settings of an instance in the simulator, which counts objects as the settings do. */
-    public static RouterSettings settings(Fields setup) {
+    public static RouterSettings settings(JsonFields setup) {
         return settings(setup, 0);
     }
 
@@ -33,11 +33,11 @@
      * @param flowBytesPerS bytes a second at which one answer runs at most; 0 for what the settings say
      * @return the settings, with all rates in the bytes of the sockets
      */
-    static RouterSettings settings(Fields setup, double flowBytesPerS) {
+    static RouterSettings settings(JsonFields setup, double flowBytesPerS) {
         double scale = sizeScale(setup, flowBytesPerS);
-        Fields caps = child(setup, "caps");
-        Fields rules = child(setup, "rules");
-        Fields info = info(setup);
+        JsonFields caps = child(setup, "caps");
+        JsonFields rules = child(setup, "rules");
+        JsonFields info = info(setup);
         double flow = info.number("flow-kb-per-s", 0);
         List<String> kinds = setup.texts("kinds");
         List<String> reported = setup.has("report") && child(setup, "report").has("fields")
@@ -67,7 +67,7 @@
     }
 
     /** Bytes on the sockets over those that the settings count in; 1 where either pace is not told. */
-    static double sizeScale(Fields setup, double flowBytesPerS) {
+    static double sizeScale(JsonFields setup, double flowBytesPerS) {
         if (!(flowBytesPerS >= 0)) {
             throw new FormatException(
                     "configuration: \"flow_bytes_per_s\" should be 0 or more, found " + flowBytesPerS);
@@ -76,19 +76,19 @@
         return flow > 0 && flowBytesPerS > 0 ? flowBytesPerS / 1024 / flow : 1;
     }
 
-    private static Fields info(Fields setup) {
-        return setup.has("family-info") ? child(setup, "family-info") : new Fields(Map.of(), "family-info");
+    private static JsonFields info(JsonFields setup) {
+        return setup.has("family-info") ? child(setup, "family-info") : new JsonFields(Map.of(), "family-info");
     }
 
-    private static Fields child(Fields parent, String name) {
-        return new Fields(parent.object(name), parent.where() + " " + name);
+    private static JsonFields child(JsonFields parent, String name) {
+        return new JsonFields(parent.object(name), parent.where() + " " + name);
     }
 
     private static String kind(List<String> kinds, long place) {
         return place >= 0 && place < kinds.size() ? kinds.get((int) place) : null;
     }
 
-    private static List<Integer> ints(Fields f, String name) {
+    private static List<Integer> ints(JsonFields f, String name) {
         List<Integer> list = new ArrayList<>();
         for (double value : list(f, name)) {
             list.add((int) value);
@@ -96,7 +96,7 @@
         return list;
     }
 
-    private static List<Double> doubles(Fields f, String name, double scale) {
+    private static List<Double> doubles(JsonFields f, String name, double scale) {
         List<Double> list = new ArrayList<>();
         for (double value : list(f, name)) {
             list.add(value * scale);
@@ -104,11 +104,11 @@
         return list;
     }
 
-    private static double[] list(Fields f, String name) {
+    private static double[] list(JsonFields f, String name) {
         return f.has(name) ? f.numbers(name) : new double[0];
     }
 
-    private static WeightMeaning weightMeaning(Fields setup) {
+    private static WeightMeaning weightMeaning(JsonFields setup) {
         return switch (setup.has("weights") ? setup.text("weights") : "none") {
             case "nominal" -> WeightMeaning.NOMINAL;
             case "rough" -> WeightMeaning.ROUGH;
@@ -117,7 +117,7 @@
         };
     }
 
-    private static CacheStatusDetail cacheStatusDetail(Fields info) {
+    private static CacheStatusDetail cacheStatusDetail(JsonFields info) {
         return switch (info.has("note-level") ? info.text("note-level") : "none") {
             case "all" -> CacheStatusDetail.ALL;
             case "hit" -> CacheStatusDetail.HITS;
@@ -125,7 +125,7 @@
         };
     }
 
-    private static List<ServiceClass> classes(Fields setup, Fields info) {
+    private static List<ServiceClass> classes(JsonFields setup, JsonFields info) {
         double[] fresh = list(info, "max-age-us");
         double[] grace = list(info, "class-grace-us");
         double[] old = list(info, "old-copy-worth");
@@ -133,7 +133,7 @@
         List<ServiceClass> classes = new ArrayList<>();
         List<Map<String, Object>> services = setup.objects("services");
         for (int i = 0; i < services.size(); i++) {
-            Fields s = new Fields(services.get(i), setup.where() + " services " + i);
+            JsonFields s = new JsonFields(services.get(i), setup.where() + " services " + i);
             Idempotency repeat = switch (s.text("repeat")) {
                 case "free" -> Idempotency.IDEMPOTENT;
                 case "guarded" -> Idempotency.IDEMPOTENT_WITH_KEY;
@@ -163,11 +163,11 @@
         return classes;
     }
 
-    private static List<Tenant> tenants(Fields setup) {
+    private static List<Tenant> tenants(JsonFields setup) {
         List<Tenant> tenants = new ArrayList<>();
         for (Map<String, Object> tenant :
                 setup.has("tenants") ? setup.objects("tenants") : List.<Map<String, Object>>of()) {
-            Fields t = new Fields(tenant, setup.where() + " tenants " + tenants.size());
+            JsonFields t = new JsonFields(tenant, setup.where() + " tenants " + tenants.size());
             tenants.add(new Tenant(t.text("name"), t.number("allowance-per-s", Double.MAX_VALUE)));
         }
         return tenants;
@@ -177,7 +177,7 @@
         return i < list.length ? list[i] : 0;
     }
 
-    private static RoutingPermissions permissions(Fields caps, Fields info) {
+    private static RoutingPermissions permissions(JsonFields caps, JsonFields info) {
         SiblingFillPolicy siblingFills = switch (info.has("neighbours") ? info.text("neighbours") : "none") {
             case "any" -> SiblingFillPolicy.ANY;
             case "location" -> SiblingFillPolicy.OWN_ZONE;
@@ -196,7 +196,7 @@
                 siblingFills);
     }
 
-    private static PlatformRules rules(Fields rules, Fields info) {
+    private static PlatformRules rules(JsonFields rules, JsonFields info) {
         return new PlatformRules(
                 rules.whole("stop-sending-within-us"),
                 rules.number("cold-from", 0),
--- a/src/main/java/petrelplank/simulator/Reply.java
+++ b/src/main/java/petrelplank/simulator/SimulatorActions.java
@@ -9,12 +9,12 @@
 import petrelplank.routing.Router;
 
 /** Writes one instance's actions into the reply. */
-final class Reply implements Router.Actions {
+final class SimulatorActions implements Router.Actions {
     private final int gateway;
     private final Supplier<JsonGenerator> reply;
 
     /** For one instance; {@code reply} is the one that is being written. */
-    Reply(int gateway, Supplier<JsonGenerator> reply) {
+    SimulatorActions(int gateway, Supplier<JsonGenerator> reply) {
         this.gateway = gateway;
         this.reply = reply;
     }
--- a/src/main/java/petrelplank/simulator/Drill.java
+++ b/src/main/java/petrelplank/simulator/SimulatorAdapter.java
@@ -10,9 +10,9 @@
 import petrelplank.settings.FormatException;
 
 /** Reads batches line by line from standard input and writes one reply for each to standard output. */
-public final class Drill {
+public final class SimulatorAdapter {
 
-    private Drill() {}
+    private SimulatorAdapter() {}
 
     /**
      * Answers every line.
@@ -26,7 +26,7 @@
     public static int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         InputStream in = new BufferedInputStream(input, 1 << 16);
         OutputStream out = new BufferedOutputStream(output, 1 << 16);
-        Wire wire = new Wire();
+        SimulatorSession wire = new SimulatorSession();
         Line line = new Line();
         ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
         for (long number = 1; line.read(in); number++) {
--- a/src/main/java/petrelplank/simulator/EventFields.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -7,11 +7,11 @@
 import petrelplank.routing.CacheStatus;
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.EndpointState;
-import petrelplank.settings.Fields;
 import petrelplank.settings.FormatException;
+import petrelplank.settings.JsonFields;
 
 /** Decodes the typed fields of the simulator's events. */
-final class EventFields {
+final class SimulatorEventDecoder {
     private static final AttemptStatus[] STATUS = {
         null,
         AttemptStatus.OK,
@@ -27,9 +27,9 @@
 
     private static final CacheStatus[] NOTE = CacheStatus.values();
 
-    private EventFields() {}
+    private SimulatorEventDecoder() {}
 
-    static AttemptStatus status(Fields f) {
+    static AttemptStatus status(JsonFields f) {
         long code = f.whole("rc");
         if (code < 1 || code >= STATUS.length) {
             throw new FormatException(f.where() + ": rc " + code + " is none of the endings");
@@ -37,16 +37,16 @@
         return STATUS[(int) code];
     }
 
-    static CacheStatus cacheStatus(Fields f) {
+    static CacheStatus cacheStatus(JsonFields f) {
         long code = f.whole("note", 0);
         return code < 0 || code >= NOTE.length ? CacheStatus.NONE : NOTE[(int) code];
     }
 
-    static List<EndpointInfo> members(Fields f) {
+    static List<EndpointInfo> members(JsonFields f) {
         List<Map<String, Object>> entries = f.objects("nodes-list");
         List<EndpointInfo> members = new ArrayList<>(entries.size());
         for (int i = 0; i < entries.size(); i++) {
-            Fields e = new Fields(entries.get(i), f.where() + " entry " + i);
+            JsonFields e = new JsonFields(entries.get(i), f.where() + " entry " + i);
             String mode = e.text("mode");
             EndpointState state = switch (mode) {
                 case "up" -> EndpointState.UP;
@@ -67,7 +67,7 @@
     }
 
     /** A request's tenant; null where the site tells none, which is said by 0, too. */
-    static String tenant(Fields f) {
+    static String tenant(JsonFields f) {
         return f.has("billing") && !f.is("billing", 0) ? f.text("billing") : null;
     }
 }
--- a/src/main/java/petrelplank/simulator/Wire.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -17,13 +17,13 @@
 import petrelplank.routing.RequestRouter;
 import petrelplank.routing.Router;
 import petrelplank.routing.RoutingRequest;
-import petrelplank.settings.Fields;
 import petrelplank.settings.FormatException;
+import petrelplank.settings.JsonFields;
 import petrelplank.settings.JsonValue;
-import petrelplank.settings.Setup;
+import petrelplank.settings.SettingsParser;
 
 /** The wire: turns batches into calls of the routers and their actions into replies. */
-final class Wire {
+final class SimulatorSession {
 
     private final JsonFactory json = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
@@ -42,7 +42,7 @@
             if (in.nextToken() != null) {
                 throw new FormatException("more than one value on the line, at " + at(in));
             }
-            Fields fields = new Fields(JsonValue.object(batch, "the batch"), "the batch");
+            JsonFields fields = new JsonFields(JsonValue.object(batch, "the batch"), "the batch");
             now = fields.whole("clock-us");
             events = fields.objects("in");
         } catch (JsonProcessingException e) {
@@ -55,7 +55,7 @@
         out.writeStartObject();
         out.writeArrayFieldStart("out");
         for (int i = 0; i < events.size(); i++) {
-            event(now, new Fields(events.get(i), "event " + i));
+            event(now, new JsonFields(events.get(i), "event " + i));
         }
         out.writeEndArray();
         out.writeEndObject();
@@ -66,10 +66,10 @@
         return "byte " + in.currentLocation().getByteOffset();
     }
 
-    private void event(long now, Fields f) throws IOException {
+    private void event(long now, JsonFields f) throws IOException {
         String verb = f.text("verb");
         if (verb.equals("MANIFEST")) {
-            lists.put((int) f.whole("list"), EventFields.members(f));
+            lists.put((int) f.whole("list"), SimulatorEventDecoder.members(f));
             return;
         }
         int gateway = (int) f.whole("gateway");
@@ -82,22 +82,24 @@
         }
     }
 
-    private Reply reply(int gateway) {
-        return new Reply(gateway, () -> out);
+    private SimulatorActions reply(int gateway) {
+        return new SimulatorActions(gateway, () -> out);
     }
 
     private interface Call {
         void run();
     }
 
-    private Call decode(long now, String verb, int gateway, Fields f) {
+    private Call decode(long now, String verb, int gateway, JsonFields f) {
         if (verb.equals("PROVISION")) {
             Map<String, Object> setup = f.object("setup");
             long seed = f.whole("nonce64");
             return () -> {
                 crashed.remove(gateway);
                 routers.put(
-                        gateway, new RequestRouter(Setup.settings(new Fields(setup, "setup")), seed, reply(gateway)));
+                        gateway,
+                        new RequestRouter(
+                                SettingsParser.settings(new JsonFields(setup, "setup")), seed, reply(gateway)));
             };
         }
         if (verb.equals("TEARDOWN")) {
@@ -133,17 +135,17 @@
                         f.number("length-kb", 0),
                         f.flag("is-write"),
                         f.flag("repeat"),
-                        EventFields.tenant(f));
+                        SimulatorEventDecoder.tenant(f));
                 return () -> router.requestReceived(now, request);
             }
             case "OUTCOME": {
                 AttemptOutcome outcome = new AttemptOutcome(
                         f.text("job"),
                         (int) f.whole("send-no"),
-                        EventFields.status(f),
+                        SimulatorEventDecoder.status(f),
                         f.whole("lag-us"),
                         f.flag("settled"),
-                        EventFields.cacheStatus(f),
+                        SimulatorEventDecoder.cacheStatus(f),
                         f.whole("source-wait-us", 0),
                         f.numbers("load"),
                         0);
@@ -173,7 +175,7 @@
             }
             case "CHECKED": {
                 String cache = f.text("cache");
-                AttemptStatus status = EventFields.status(f);
+                AttemptStatus status = SimulatorEventDecoder.status(f);
                 long lag = f.whole("lag-us");
                 double[] load = f.numbers("load");
                 return () -> router.healthChecked(now, cache, status, lag, load);
--- a/src/test/java/petrelplank/settings/SettingsTest.java
+++ b/src/test/java/petrelplank/settings/SettingsTest.java
@@ -65,7 +65,8 @@
     private static RouterSettings read(JsonNode tree) throws IOException {
         try (JsonParser in = JSON.createParser(tree.toString())) {
             in.nextToken();
-            return Setup.settings(new Fields(JsonValue.object(JsonValue.read(in), "settings"), "settings"));
+            return SettingsParser.settings(
+                    new JsonFields(JsonValue.object(JsonValue.read(in), "settings"), "settings"));
         }
     }
 
--- a/src/test/java/petrelplank/simulator/WireTest.java
+++ b/src/test/java/petrelplank/simulator/WireTest.java
@@ -34,7 +34,7 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
     private int run(String lines) throws IOException {
-        return Drill.run(
+        return SimulatorAdapter.run(
                 new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)),
                 out,
                 new PrintStream(err, true, StandardCharsets.UTF_8));
