--- a/src/main/java/petrelplank/cli/Helpful.java
+++ b/src/main/java/petrelplank/cli/BaseCommand.java
@@ -5,7 +5,7 @@
 import org.kohsuke.args4j.Option;
 
 /** What commands share: help, and one line for what can't be used. */
-abstract class Helpful {
+abstract class BaseCommand {
     /** Exit status where the arguments or a file can't be used. */
     static final int UNUSABLE = 2;
 
--- a/src/main/java/petrelplank/cli/Logs.java
+++ b/src/main/java/petrelplank/cli/Logs.java
@@ -12,7 +12,7 @@
 
     /** Sets logging up; before anything logs, since the platform reads these properties once. */
     static void set() {
-        if (!(LogManager.getLogManager() instanceof LogKeeper)) {
+        if (!(LogManager.getLogManager() instanceof PersistentLogManager)) {
             throw new IllegalStateException("logging was set up before, by " + LogManager.getLogManager());
         }
         MINA.setLevel(Level.WARNING);
@@ -32,7 +32,7 @@
     }
 
     private static Logger mina() {
-        System.setProperty("java.util.logging.manager", LogKeeper.class.getName());
+        System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
         return Logger.getLogger("org.apache.mina");
     }
--- a/src/main/java/petrelplank/cli/Main.java
+++ b/src/main/java/petrelplank/cli/Main.java
@@ -19,12 +19,12 @@
             usage = "serve: one real front; drill: the decisions on the simulator's wire; emulate: play a scenario and "
                     + "leave records; report: a page of records; scenarios: those bundled; version: what this is")
     @SubCommands({
-        @SubCommand(name = "serve", impl = Serve.class),
-        @SubCommand(name = "drill", impl = DrillCommand.class),
+        @SubCommand(name = "serve", impl = ServeCommand.class),
+        @SubCommand(name = "drill", impl = SimulateCommand.class),
         @SubCommand(name = "emulate", impl = EmulateCommand.class),
         @SubCommand(name = "report", impl = ReportCommand.class),
         @SubCommand(name = "scenarios", impl = ScenariosCommand.class),
-        @SubCommand(name = "version", impl = Version.class)
+        @SubCommand(name = "version", impl = VersionCommand.class)
     })
     private Command command;
 
@@ -47,8 +47,8 @@
      */
     public static void main(String[] args) throws IOException {
         Logs.set();
-        if (Libraries.missing(args)) {
-            Libraries.run(args);
+        if (ToolClassLoader.missing(args)) {
+            ToolClassLoader.run(args);
         } else {
             start(args);
         }
@@ -75,7 +75,7 @@
             System.out.println(STATUSES);
             System.exit(0);
         }
-        if (command instanceof Helpful helpful) {
+        if (command instanceof BaseCommand helpful) {
             Logs.format(helpful.logFormat().name());
             if (helpful.help()) {
                 usage(helpful);
@@ -85,7 +85,7 @@
         System.exit(command.run());
     }
 
-    private static void usage(Helpful command) {
+    private static void usage(BaseCommand command) {
         new CmdLineParser(command, PLAIN).printUsage(System.out);
         System.out.println(STATUSES);
     }
--- a/src/main/java/petrelplank/cli/RunningFront.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -31,8 +31,8 @@
 import petrelplank.upstream.UpstreamConnectionPool;
 
 /** All parts of one front, put together: one I/O thread for all sockets, and one event thread. */
-final class RunningFront {
-    private static final Logger LOG = Logger.getLogger(RunningFront.class.getName());
+final class ProxyServer {
+    private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
     private static final long MS = 1000;
     private static final long LEAST_CONNECT_US = 50 * MS;
     /** Requests open at once for each MB of memory: bounds what a jam holds, 2,048 of them at 128 MB. */
@@ -82,7 +82,7 @@
      * @param clock the Unix clock in microseconds
      * @param sink takes the front's records; null for none
      */
-    RunningFront(Configuration c, LongSupplier clock, EventSink sink) {
+    ProxyServer(Configuration c, LongSupplier clock, EventSink sink) {
         this.sink = sink;
         loop = new EventLoop(clock);
         io = new SharedProcessor(ioThread, clock);
--- a/src/main/java/petrelplank/cli/Records.java
+++ b/src/main/java/petrelplank/cli/RecordSinks.java
@@ -10,9 +10,9 @@
 import petrelplank.yaml.Section;
 import petrelplank.yaml.Yaml;
 
-/** Turns records on where the operator's file says so. Apart from {@link Serve}, so that nothing of it is loaded. */
-final class Records {
-    private Records() {}
+/** Turns records on where the operator's file says so. Apart from {@link ServeCommand}, so that nothing of it is loaded. */
+final class RecordSinks {
+    private RecordSinks() {}
 
     static EventSink sink(File operator, String name) throws IOException {
         Section file = Yaml.read(operator.toPath());
--- a/src/main/java/petrelplank/cli/Serve.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -14,8 +14,8 @@
 import petrelplank.yaml.YamlException;
 
 /** {@code serve}: one real front. */
-public final class Serve extends Helpful implements Command {
-    private static final Logger LOG = Logger.getLogger(Serve.class.getName());
+public final class ServeCommand extends BaseCommand implements Command {
+    private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
 
     @Option(name = "--config", metaVar = "FILE", usage = "the configuration; else $EDGE_CONFIG")
     private String config = System.getenv("EDGE_CONFIG");
@@ -33,14 +33,14 @@
     private boolean trace;
 
     /** For args4j, which makes it by reflection. */
-    public Serve() {}
+    public ServeCommand() {}
 
     @Override
     public int run() {
         if (config == null) {
             return unusable("no configuration: give --config or set EDGE_CONFIG");
         }
-        RunningFront front;
+        ProxyServer front;
         try {
             Configuration c = Configuration.read(new File(config));
             if (operator != null && !operator.isFile()) {
@@ -48,8 +48,8 @@
             }
             EventSink sink = trace
                     ? FileSink.trace(System.err, c.name())
-                    : operator == null ? null : Records.sink(operator, c.name());
-            front = new RunningFront(c, Serve::unixUs, sink);
+                    : operator == null ? null : RecordSinks.sink(operator, c.name());
+            front = new ProxyServer(c, ServeCommand::unixUs, sink);
             if (!Signals.on("HUP", () -> reload(front, new File(config)))) {
                 LOG.warning("started with SIGHUP ignored (nohup?): a new configuration will not be read");
             }
@@ -67,7 +67,7 @@
     }
 
     /** Guards the process: whatever is wrong with the new file, the front goes on with what it has. */
-    static void reload(RunningFront front, File file) {
+    static void reload(ProxyServer front, File file) {
         try {
             Configuration next = Configuration.read(file);
             front.follow(next.coordinator(), next.known());
@@ -78,7 +78,7 @@
     }
 
     /** Runs at SIGTERM, while the other threads go on; ends the process itself, with status 0. */
-    private static void drain(RunningFront front) {
+    private static void drain(ProxyServer front) {
         long longestMs = front.drain(() -> Runtime.getRuntime().halt(0));
         try {
             Thread.sleep(longestMs);
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -12,7 +12,7 @@
  * and closes what clients still hold. State belongs to the event thread.
  */
 final class Shutdown {
-    private static final Logger LOG = Logger.getLogger(RunningFront.class.getName());
+    private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
     private static final long MS = 1000;
     /** After SIGTERM connections come for up to 400 ms and requests for 200 ms more; both counted generously. */
     private static final long LISTEN_ON_US = 600 * MS;
--- a/src/main/java/petrelplank/cli/DrillCommand.java
+++ b/src/main/java/petrelplank/cli/SimulateCommand.java
@@ -4,9 +4,9 @@
 import petrelplank.simulator.SimulatorAdapter;
 
 /** {@code drill}: the same decisions on the simulator's wire. */
-public final class DrillCommand extends Helpful implements Command {
+public final class SimulateCommand extends BaseCommand implements Command {
     /** For args4j, which makes it by reflection. */
-    public DrillCommand() {}
+    public SimulateCommand() {}
 
     @Override
     public int run() throws IOException {
--- a/src/main/java/petrelplank/cli/Libraries.java
+++ b/src/main/java/petrelplank/cli/ToolClassLoader.java
@@ -16,10 +16,10 @@
  * library on its class path at the start, and each would cost a descriptor and memory for good. Commands that need
  * them run in a class loader that has them.
  */
-final class Libraries {
+final class ToolClassLoader {
     private static final Set<String> PLAIN = Set.of("serve", "drill", "version");
 
-    private Libraries() {}
+    private ToolClassLoader() {}
 
     /** Whether a command line needs more than the class path has. */
     static boolean missing(String... args) {
@@ -28,7 +28,7 @@
         boolean more = !plain
                 || all.stream()
                         .anyMatch(a -> a.startsWith("--operator") || a.equals("json") || a.equals("--log-format=json"));
-        return more && Libraries.class.getResource("/org/apache/avro/Schema.class") == null;
+        return more && ToolClassLoader.class.getResource("/org/apache/avro/Schema.class") == null;
     }
 
     /**
--- a/src/main/java/petrelplank/cli/Version.java
+++ b/src/main/java/petrelplank/cli/VersionCommand.java
@@ -1,13 +1,13 @@
 package petrelplank.cli;
 
 /** {@code version}: what this is. */
-public final class Version extends Helpful implements Command {
+public final class VersionCommand extends BaseCommand implements Command {
     /** For args4j, which makes it by reflection. */
-    public Version() {}
+    public VersionCommand() {}
 
     @Override
     public int run() {
-        String version = Version.class.getPackage().getImplementationVersion();
+        String version = VersionCommand.class.getPackage().getImplementationVersion();
         System.out.println("petrelplank " + (version == null ? "(not packaged)" : version));
         return 0;
     }
--- a/src/test/java/petrelplank/cli/CommandLineTest.java
+++ b/src/test/java/petrelplank/cli/CommandLineTest.java
@@ -16,14 +16,14 @@
     /** args4j makes commands by reflection: one that is not public ended every start. */
     @Test
     void everySubCommandCanBeMade() throws CmdLineException {
-        assertInstanceOf(Serve.class, Main.command("serve"));
-        assertInstanceOf(DrillCommand.class, Main.command("drill"));
-        assertInstanceOf(Version.class, Main.command("version"));
+        assertInstanceOf(ServeCommand.class, Main.command("serve"));
+        assertInstanceOf(SimulateCommand.class, Main.command("drill"));
+        assertInstanceOf(VersionCommand.class, Main.command("version"));
         assertInstanceOf(EmulateCommand.class, Main.command("emulate"));
         assertInstanceOf(ReportCommand.class, Main.command("report", "DIR"));
         assertInstanceOf(ScenariosCommand.class, Main.command("scenarios"));
         for (String name : new String[] {"serve", "drill", "version", "emulate", "report", "scenarios"}) {
-            assertTrue(((Helpful) Main.command(name, "--help")).help(), name);
+            assertTrue(((BaseCommand) Main.command(name, "--help")).help(), name);
         }
     }
 
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -46,7 +46,7 @@
     /** A request that is read after the drain has found everything answered is refused, and never sent on. */
     @Test
     void requestReadAsTheDrainEndsIsRefused() throws IOException, InterruptedException {
-        Logger log = Logger.getLogger(RunningFront.class.getName());
+        Logger log = Logger.getLogger(ProxyServer.class.getName());
         CountDownLatch ended = new CountDownLatch(1);
         CountDownLatch crossed = new CountDownLatch(1);
         Handler crossing = new Handler() {
--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -86,7 +86,7 @@
                             .replace(coordinator.address(), next.address())
                             .replace("{\"index\":1,\"updates\":[", "{\"index\":2,\"updates\":[")
                             .replace("]}}]},\"settings\"", "]}}," + known + "]},\"settings\""));
-            Serve.reload(front, file.toFile());
+            ServeCommand.reload(front, file.toFile());
             assertThat(next.next().text()).isEqualTo("follow 2");
             assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
         }
@@ -116,9 +116,9 @@
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
             Files.writeString(file, old.replace(coordinator.address(), next.address()));
-            Serve.reload(front, file.toFile());
+            ServeCommand.reload(front, file.toFile());
             Files.writeString(file, old.replace("\"settings\":", "\"none\":"));
-            Serve.reload(front, file.toFile());
+            ServeCommand.reload(front, file.toFile());
             FakeServer.Line followed = next.next();
             assertThat(followed.text()).isEqualTo("follow 1");
             followed.reply(list(2, false, draining()));
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -17,7 +17,7 @@
     void drainEndsBeforeTheKillThatTheSettingsTell() throws IOException {
         assertTrue(front.drain(() -> {}) <= 3_700);
         Files.writeString(file, Files.readString(file).replace("\"deadline-us\":60000000", "\"deadline-us\":900000"));
-        RunningFront shorter = new RunningFront(Configuration.read(file.toFile()), () -> 0, null);
+        ProxyServer shorter = new ProxyServer(Configuration.read(file.toFile()), () -> 0, null);
         assertTrue(shorter.drain(() -> {}) <= 1_600);
         shorter.close();
     }
--- a/src/test/java/petrelplank/cli/LoopbackFixture.java
+++ b/src/test/java/petrelplank/cli/LoopbackFixture.java
@@ -49,7 +49,7 @@
     FakeServer parent;
     FakeServer origin;
     FakeServer coordinator;
-    RunningFront front;
+    ProxyServer front;
     Thread events;
     FcgiClient client;
     FakeServer.Line follow;
@@ -86,7 +86,7 @@
                         + "," + entry("p-1", parent, "north", "parent", "active") + ","
                         + entry("o-1", origin, "north", "origin", "active") + "]}}]},\"settings\":" + settings() + "}");
         Configuration c = Configuration.read(file.toFile());
-        front = new RunningFront(
+        front = new ProxyServer(
                 c,
                 () -> {
                     Instant now = Instant.now();
--- a/src/test/java/petrelplank/cli/LoopbackListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackListTest.java
@@ -70,7 +70,7 @@
             Files.writeString(file, Files.readString(file).replace(coordinator.address(), silent.address()));
             long fromUs = Instant.now().toEpochMilli() * 1000;
             long startNs = System.nanoTime();
-            RunningFront second = new RunningFront(
+            ProxyServer second = new ProxyServer(
                     Configuration.read(file.toFile()),
                     () -> fromUs + (System.nanoTime() - startNs) / 1000 / slower,
                     (unixUs, event) -> {});
@@ -155,10 +155,10 @@
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
             Files.writeString(file, "{\"coordinator\":");
-            Serve.reload(front, file.toFile());
+            ServeCommand.reload(front, file.toFile());
             coordinatorTells("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":1}}");
             Files.writeString(file, old.replace(coordinator.address(), next.address()));
-            Serve.reload(front, file.toFile());
+            ServeCommand.reload(front, file.toFile());
             assertEquals("follow 2", next.next().text());
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
