--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -12,7 +12,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import petrelplank.emulator.Scenario;
-import petrelplank.emulator.World;
+import petrelplank.emulator.Simulation;
 import petrelplank.record.DirectSink;
 import petrelplank.record.EventSink;
 import petrelplank.record.RecordSettings;
@@ -59,7 +59,7 @@
         if (records != null && !records.isDirectory() && !records.mkdirs()) {
             return unusable(records + ": no such directory can be made");
         }
-        World world = new World(played, seed, (name, life) -> records == null ? null : sink(name, life));
+        Simulation world = new Simulation(played, seed, (name, life) -> records == null ? null : sink(name, life));
         Map<String, Object> happened;
         try {
             happened = world.run();
--- a/src/main/java/petrelplank/emulator/Box.java
+++ b/src/main/java/petrelplank/emulator/CacheNode.java
@@ -10,7 +10,7 @@
 import petrelplank.routing.CacheStatus;
 
 /** A cache of a branch or a hub: copies, a link out, fills that others join, and what may be wrong with it. */
-final class Box {
+final class CacheNode {
     /** Requests in hand, over the link's width, above which it turns requests away. */
     private static final double ROOM = 8;
 
@@ -41,20 +41,20 @@
      * @param waitedUs for the source
      * @param bornUs when the central stock gave the copy out
      */
-    record Reply(AttemptStatus status, CacheStatus cacheStatus, long waitedUs, long bornUs) {}
+    record CacheReply(AttemptStatus status, CacheStatus cacheStatus, long waitedUs, long bornUs) {}
 
     /** A fill under way, and who waits for it. */
     private static final class Fill {
-        private final List<Consumer<Reply>> joined = new ArrayList<>();
+        private final List<Consumer<CacheReply>> joined = new ArrayList<>();
     }
 
     final String id;
     final String zone;
     final String kind;
     final double weight;
-    final Store store;
+    final CacheStorage store;
     final Link link;
-    private final Clockwork clock;
+    private final EventScheduler clock;
     private final UniformRandomProvider random;
     private final Map<Long, Fill> fills = new HashMap<>();
     private int inHand;
@@ -65,8 +65,8 @@
     private double failing;
     private long startedUs;
 
-    Box(
-            Clockwork clock,
+    CacheNode(
+            EventScheduler clock,
             UniformRandomProvider random,
             String id,
             String zone,
@@ -80,21 +80,21 @@
         this.zone = zone;
         this.kind = kind;
         this.weight = weight;
-        this.store = new Store(holds);
+        this.store = new CacheStorage(holds);
         double flow = Catalogue.FLOW_KB_PER_S * 1024 / 1e6;
         this.link = new Link(clock, flow * weight, flow * pace);
     }
 
-    static Box cache(Clockwork clock, UniformRandomProvider random, String id, String zone, Scenario s) {
-        return new Box(clock, random, id, zone, "box", s.cacheWeight(), s.cacheBytes(), 1);
+    static CacheNode cache(EventScheduler clock, UniformRandomProvider random, String id, String zone, Scenario s) {
+        return new CacheNode(clock, random, id, zone, "box", s.cacheWeight(), s.cacheBytes(), 1);
     }
 
-    static Box hub(Clockwork clock, UniformRandomProvider random, String id, String zone, Scenario s) {
-        return new Box(clock, random, id, zone, "hub", s.hubWeight(), s.hubBytes(), FILL_PACE);
+    static CacheNode hub(EventScheduler clock, UniformRandomProvider random, String id, String zone, Scenario s) {
+        return new CacheNode(clock, random, id, zone, "hub", s.hubWeight(), s.hubBytes(), FILL_PACE);
     }
 
     /** Another of its kind and place, under a new id, not started yet. */
-    Box successor(Scenario s) {
+    CacheNode successor(Scenario s) {
         return kind.equals("hub")
                 ? hub(clock, random, id + "-new", zone, s)
                 : cache(clock, random, id + "-new", zone, s);
@@ -144,21 +144,21 @@
      *
      * @param source fills a miss; null for none
      */
-    void serve(Ask ask, Source source, boolean join, boolean onlyIfCached, Consumer<Reply> answer) {
+    void serve(Ask ask, Source source, boolean join, boolean onlyIfCached, Consumer<CacheReply> answer) {
         if (silent) {
             return;
         }
         if (failing > 0 && random.nextDouble() < failing) {
-            clock.after(ANSWER_US, () -> say(answer, new Reply(AttemptStatus.ERROR, CacheStatus.NONE, 0, 0)));
+            clock.after(ANSWER_US, () -> say(answer, new CacheReply(AttemptStatus.ERROR, CacheStatus.NONE, 0, 0)));
             return;
         }
         if (inHand >= Math.max(4, ROOM * weight)) {
-            clock.after(ANSWER_US, () -> say(answer, new Reply(AttemptStatus.REJECTED, CacheStatus.NONE, 0, 0)));
+            clock.after(ANSWER_US, () -> say(answer, new CacheReply(AttemptStatus.REJECTED, CacheStatus.NONE, 0, 0)));
             return;
         }
         inHand++;
         int mine = generation;
-        Consumer<Reply> ends = reply -> {
+        Consumer<CacheReply> ends = reply -> {
             if (mine == generation) {
                 inHand--;
                 say(answer, reply);
@@ -168,54 +168,54 @@
             central(ask, source, ends);
             return;
         }
-        Store.Copy copy = store.get(ask.object());
+        CacheStorage.Copy copy = store.get(ask.object());
         if (copy != null && fits(copy, ask)) {
-            send(ask, new Reply(AttemptStatus.OK, CacheStatus.HIT, 0, copy.bornUs()), ends);
+            send(ask, new CacheReply(AttemptStatus.OK, CacheStatus.HIT, 0, copy.bornUs()), ends);
         } else if (source == null) {
-            ends.accept(new Reply(AttemptStatus.MISS, CacheStatus.NONE, 0, 0));
+            ends.accept(new CacheReply(AttemptStatus.MISS, CacheStatus.NONE, 0, 0));
         } else {
             fill(ask, source, join, onlyIfCached, ends);
         }
     }
 
-    private boolean fits(Store.Copy copy, Ask ask) {
+    private boolean fits(CacheStorage.Copy copy, Ask ask) {
         return ask.oldestUs() == 0 || clock.now() - copy.bornUs() <= ask.oldestUs();
     }
 
-    private void say(Consumer<Reply> answer, Reply reply) {
+    private void say(Consumer<CacheReply> answer, CacheReply reply) {
         if (!silent) {
             answer.accept(reply);
         }
     }
 
-    private void send(Ask ask, Reply reply, Consumer<Reply> ends) {
+    private void send(Ask ask, CacheReply reply, Consumer<CacheReply> ends) {
         link.transfer(ask.bytes(), () -> ends.accept(reply));
     }
 
-    private void central(Ask ask, Source source, Consumer<Reply> ends) {
+    private void central(Ask ask, Source source, Consumer<CacheReply> ends) {
         if (source == null) {
-            ends.accept(new Reply(AttemptStatus.MISS, CacheStatus.NONE, 0, 0));
+            ends.accept(new CacheReply(AttemptStatus.MISS, CacheStatus.NONE, 0, 0));
             return;
         }
         long from = clock.now();
         source.get(
                 ask,
                 false,
-                reply -> ends.accept(new Reply(
+                reply -> ends.accept(new CacheReply(
                         reply.status() == AttemptStatus.OK ? AttemptStatus.OK : AttemptStatus.REJECTED,
                         reply.cacheStatus(),
                         clock.now() - from,
                         reply.bornUs())));
     }
 
-    private void fill(Ask ask, Source source, boolean join, boolean onlyIfCached, Consumer<Reply> ends) {
+    private void fill(Ask ask, Source source, boolean join, boolean onlyIfCached, Consumer<CacheReply> ends) {
         Fill under = fills.get(ask.object());
         if (under != null && join) {
             under.joined.add(reply -> {
                 if (reply.status() == AttemptStatus.OK) {
                     send(
                             ask,
-                            new Reply(AttemptStatus.OK, CacheStatus.COALESCED, reply.waitedUs(), reply.bornUs()),
+                            new CacheReply(AttemptStatus.OK, CacheStatus.COALESCED, reply.waitedUs(), reply.bornUs()),
                             ends);
                 } else {
                     ends.accept(reply);
@@ -224,22 +224,22 @@
             return;
         }
         if (fills.size() >= HUB_FILLS) {
-            ends.accept(new Reply(AttemptStatus.REJECTED, CacheStatus.FILL_LIMIT_REACHED, 0, 0));
+            ends.accept(new CacheReply(AttemptStatus.REJECTED, CacheStatus.FILL_LIMIT_REACHED, 0, 0));
             return;
         }
         Fill mine = new Fill();
         fills.put(ask.object(), mine);
         long from = clock.now();
         boolean[] over = {false};
-        Consumer<Reply> came = reply -> {
+        Consumer<CacheReply> came = reply -> {
             if (over[0]) {
                 return;
             }
             over[0] = true;
             fills.remove(ask.object(), mine);
-            Reply told = new Reply(reply.status(), reply.cacheStatus(), clock.now() - from, reply.bornUs());
+            CacheReply told = new CacheReply(reply.status(), reply.cacheStatus(), clock.now() - from, reply.bornUs());
             if (told.status() == AttemptStatus.OK) {
-                store.put(ask.object(), new Store.Copy(ask.bytes(), told.bornUs(), ask.group()));
+                store.put(ask.object(), new CacheStorage.Copy(ask.bytes(), told.bornUs(), ask.group()));
                 send(ask, told, ends);
             } else {
                 ends.accept(told);
@@ -248,13 +248,13 @@
         };
         clock.after(
                 FILL_TIMEOUT_US,
-                () -> came.accept(new Reply(AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 0, 0)));
+                () -> came.accept(new CacheReply(AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 0, 0)));
         source.get(ask, onlyIfCached, came);
     }
 
     /** Whence a miss is filled. */
     interface Source {
-        void get(Ask ask, boolean onlyIfCached, Consumer<Reply> came);
+        void get(Ask ask, boolean onlyIfCached, Consumer<CacheReply> came);
     }
 
     /** This box as the source of another's fill: what it holds, or through it from the central stock. */
@@ -263,16 +263,16 @@
             if (silent) {
                 return;
             }
-            Consumer<Reply> back = reply -> {
+            Consumer<CacheReply> back = reply -> {
                 if (!silent) {
                     clock.after(wayUs, () -> came.accept(reply));
                 }
             };
-            Store.Copy copy = store.get(ask.object());
+            CacheStorage.Copy copy = store.get(ask.object());
             if (copy != null && fits(copy, ask)) {
-                send(ask, new Reply(AttemptStatus.OK, CacheStatus.FILLED, 0, copy.bornUs()), back);
+                send(ask, new CacheReply(AttemptStatus.OK, CacheStatus.FILLED, 0, copy.bornUs()), back);
             } else if (onlyIfCached) {
-                back.accept(new Reply(AttemptStatus.MISS, CacheStatus.SOURCE_MISS, 0, 0));
+                back.accept(new CacheReply(AttemptStatus.MISS, CacheStatus.SOURCE_MISS, 0, 0));
             } else {
                 fill(ask, central, true, false, back);
             }
--- a/src/main/java/petrelplank/emulator/Store.java
+++ b/src/main/java/petrelplank/emulator/CacheStorage.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Copies that a cache holds, the least recently used first to go, within a bound on bytes. */
-final class Store {
+final class CacheStorage {
     /**
      * A copy.
      *
@@ -19,7 +19,7 @@
     private final LinkedHashMap<Long, Copy> copies = new LinkedHashMap<>(16, 0.75f, true);
     private long held;
 
-    Store(long most) {
+    CacheStorage(long most) {
         this.most = most;
     }
 
--- a/src/main/java/petrelplank/emulator/EmulatedFront.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -16,20 +16,20 @@
 import petrelplank.routing.RouterSettings;
 
 /** One life of a front: the real stages and the real decision module, on simulated time and messages. */
-final class EmulatedFront implements UpstreamClient {
+final class EmulatedProxy implements UpstreamClient {
     /** Carries a command to a server. */
     interface Network {
-        void fetch(EmulatedFront from, Attempt attempt);
+        void fetch(EmulatedProxy from, Attempt attempt);
     }
 
     private static final int MOST_OPEN = 2_048;
 
     final String name;
     final String branch;
-    private final Clockwork clock;
+    private final EventScheduler clock;
     private final long offsetUs;
     private final Network network;
-    private final Truth truth;
+    private final GroundTruth truth;
     private final EventLoop loop;
     private final EdgeProxy front;
     private final EventSink sink;
@@ -39,15 +39,15 @@
     /** When each attempt that is out was sent. */
     private final Map<Attempt, Long> out = new HashMap<>();
 
-    EmulatedFront(
-            Clockwork clock,
+    EmulatedProxy(
+            EventScheduler clock,
             String name,
             String branch,
             RouterSettings settings,
             long seed,
             long offsetUs,
             Network network,
-            Truth truth,
+            GroundTruth truth,
             EventSink sink) {
         this.clock = clock;
         this.name = name;
--- a/src/main/java/petrelplank/emulator/Clockwork.java
+++ b/src/main/java/petrelplank/emulator/EventScheduler.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Simulated time: what is due runs in order of time, then in the order it was asked for. */
-final class Clockwork {
+final class EventScheduler {
     /** The Unix time at which every emulation starts, so that the same seed gives the same bytes. */
     static final long START_US = 1_764_576_000_000_000L;
 
--- a/src/main/java/petrelplank/emulator/Truth.java
+++ b/src/main/java/petrelplank/emulator/GroundTruth.java
@@ -21,7 +21,7 @@
  * What happened, as the emulator saw it at the clients' and the servers' ends of the sockets. It knows nothing of
  * records and shares no code with the report, whose figures are held against it.
  */
-final class Truth {
+final class GroundTruth {
     /** Sums of requests. */
     private static final class Sums {
         private long asked;
@@ -94,17 +94,17 @@
     private final Map<String, List<Long>> drains = new TreeMap<>();
     private final List<Map<String, Object>> lives = new ArrayList<>();
     private final List<Map<String, Object>> troubles = new ArrayList<>();
-    private final Map<EmulatedFront, Map<String, Object>> life = new HashMap<>();
-    private final Map<EmulatedFront, Map<String, Long>> drainTold = new HashMap<>();
-    private final Map<EmulatedFront, Long> open = new HashMap<>();
+    private final Map<EmulatedProxy, Map<String, Object>> life = new HashMap<>();
+    private final Map<EmulatedProxy, Map<String, Long>> drainTold = new HashMap<>();
+    private final Map<EmulatedProxy, Long> open = new HashMap<>();
     private final Map<String, Integer> runs = new HashMap<>();
-    private final Map<EmulatedFront, Map<DiscoveryEvent.Purge, Long>> purgeTold = new HashMap<>();
+    private final Map<EmulatedProxy, Map<DiscoveryEvent.Purge, Long>> purgeTold = new HashMap<>();
     private LongToIntFunction groupOf = object -> -1;
     private long lateSends;
     private long latePurge;
     private long unanswered;
 
-    void started(EmulatedFront front) {
+    void started(EmulatedProxy front) {
         Map<String, Object> t = new LinkedHashMap<>();
         t.put("front", front.name);
         t.put("startedUs", front.clockUs());
@@ -115,13 +115,13 @@
         purgeTold.put(front, new LinkedHashMap<>());
     }
 
-    void ended(EmulatedFront front, boolean planned) {
+    void ended(EmulatedProxy front, boolean planned) {
         life.get(front).put("end", planned ? "finished" : "killed");
         life.get(front).put("endedUs", front.clockUs());
         unanswered += open.getOrDefault(front, 0L);
     }
 
-    private List<Sums> sums(EmulatedFront front, String type) {
+    private List<Sums> sums(EmulatedProxy front, String type) {
         return List.of(
                 total,
                 seconds.computeIfAbsent(front.clockUs() / 1_000_000, s -> new Sums()),
@@ -129,7 +129,7 @@
                 branches.computeIfAbsent(front.branch, b -> new Sums()));
     }
 
-    void asked(EmulatedFront front, ServiceClass type) {
+    void asked(EmulatedProxy front, ServiceClass type) {
         open.merge(front, 1L, Long::sum);
         for (Sums s : sums(front, type.name())) {
             s.asked++;
@@ -137,7 +137,7 @@
         }
     }
 
-    void answered(EmulatedFront front, Catalogue.Item item, long bytes, ClientResponse answer, long tookUs) {
+    void answered(EmulatedProxy front, Catalogue.Item item, long bytes, ClientResponse answer, long tookUs) {
         open.merge(front, -1L, Long::sum);
         ServiceClass c = item.type();
         boolean good = answer.kind() == ClientResponse.Kind.SERVED || answer.kind() == ClientResponse.Kind.NOT_MODIFIED;
@@ -155,13 +155,13 @@
         return peers.computeIfAbsent(server, s -> new Peer());
     }
 
-    void sent(EmulatedFront front, Attempt attempt) {
+    void sent(EmulatedProxy front, Attempt attempt) {
         peer(attempt.server()).sent++;
         Map<String, Long> told = drainTold.get(front);
         String source = attempt.fetch().source();
         for (String server : source == null ? List.of(attempt.server()) : List.of(attempt.server(), source)) {
             Long at = told.get(server);
-            lateSends += at != null && front.clockUs() - at > World.DRAIN_GRACE_US ? 1 : 0;
+            lateSends += at != null && front.clockUs() - at > Simulation.DRAIN_GRACE_US ? 1 : 0;
         }
     }
 
@@ -169,7 +169,7 @@
         groupOf = of;
     }
 
-    void ended(EmulatedFront front, Attempt attempt, UpstreamResponse answer, long tookUs) {
+    void ended(EmulatedProxy front, Attempt attempt, UpstreamResponse answer, long tookUs) {
         String server = attempt.server();
         if (answer.status() == AttemptStatus.OK && answer.bornMs() > 0) {
             long object = Long.parseUnsignedLong(attempt.fetch().object(), 16);
@@ -179,7 +179,9 @@
                 boolean meant = p.getKey().object() != null
                         ? p.getKey().object() == object
                         : p.getKey().group() == groupOf.applyAsInt(object);
-                late |= meant && answer.bornMs() < p.getKey().unixMs() && sentUs > p.getValue() + World.PURGE_GRACE_US;
+                late |= meant
+                        && answer.bornMs() < p.getKey().unixMs()
+                        && sentUs > p.getValue() + Simulation.PURGE_GRACE_US;
             }
             latePurge += late ? 1 : 0;
         }
@@ -188,7 +190,7 @@
         p.answeredUs.recordValue(tookUs);
         boolean told = answer.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN
                 || answer.cacheStatus() == CacheStatus.ORIGIN_FAILED
-                || server.equals(World.CENTRAL);
+                || server.equals(Simulation.CENTRAL);
         if (told) {
             long[] calls = central.computeIfAbsent(front.clockUs() / 1_000_000, s -> new long[2]);
             calls[0]++;
@@ -196,11 +198,11 @@
         }
     }
 
-    void withdrawn(EmulatedFront front, String server, long afterUs) {
+    void withdrawn(EmulatedProxy front, String server, long afterUs) {
         peer(server).withdrawn++;
     }
 
-    void told(EmulatedFront front, DiscoveryEvent event) {
+    void told(EmulatedProxy front, DiscoveryEvent event) {
         if (event instanceof DiscoveryEvent.Purge p) {
             purgeTold.get(front).put(p, front.clockUs());
             purges.computeIfAbsent(p.index(), i -> new ArrayList<>()).add(front.clockUs());
@@ -231,7 +233,7 @@
     }
 
     void stopped(long fromUs, long toUs) {
-        trouble("stock-stopped", List.of(World.CENTRAL), fromUs, toUs);
+        trouble("stock-stopped", List.of(Simulation.CENTRAL), fromUs, toUs);
     }
 
     private static Map<String, Object> trees(Map<?, Sums> sums) {
--- a/src/main/java/petrelplank/emulator/Link.java
+++ b/src/main/java/petrelplank/emulator/Link.java
@@ -25,7 +25,7 @@
         }
     }
 
-    private final Clockwork clock;
+    private final EventScheduler clock;
     private final double bytesPerUs;
     private final double flowPerUs;
     private final PriorityQueue<Transfer> transfers = new PriorityQueue<>();
@@ -44,7 +44,7 @@
      * @param bytesPerUs all together
      * @param flowPerUs one transfer at most
      */
-    Link(Clockwork clock, double bytesPerUs, double flowPerUs) {
+    Link(EventScheduler clock, double bytesPerUs, double flowPerUs) {
         this.clock = clock;
         this.bytesPerUs = bytesPerUs;
         this.flowPerUs = flowPerUs;
--- a/src/main/java/petrelplank/emulator/Central.java
+++ b/src/main/java/petrelplank/emulator/OriginServer.java
@@ -9,7 +9,7 @@
  * The central stock: a few workers, a queue with an end, times that grow where it is crowded. Asked for more than
  * 2.5 times what it can do for 3 s, it stops for a while.
  */
-final class Central {
+final class OriginServer {
     static final double FALL_MULTIPLE = 2.5;
     static final long FALL_US = 3_000_000;
     private static final long DOWN_US = 5_000_000;
@@ -24,12 +24,12 @@
 
     private record Call(Called called) {}
 
-    private final Clockwork clock;
+    private final EventScheduler clock;
     private final ZigguratSampler.Exponential times;
     private final int workers;
     private final double usualUs;
     private final double perUs;
-    private final Truth truth;
+    private final GroundTruth truth;
     private final ArrayDeque<Call> queue = new ArrayDeque<>();
     private int busy;
     private double slower = 1;
@@ -40,7 +40,7 @@
     private long others;
     private long overloadedSinceUs = -1;
 
-    Central(Clockwork clock, Scenario s, UniformRandomProvider random, Truth truth) {
+    OriginServer(EventScheduler clock, Scenario s, UniformRandomProvider random, GroundTruth truth) {
         this.clock = clock;
         this.times = ZigguratSampler.Exponential.of(random);
         this.usualUs = s.centralUs();
@@ -88,7 +88,7 @@
             life++;
             busy = 0;
             if (overloadedSinceUs >= 0) {
-                truth.trouble("outside-load", List.of(World.CENTRAL), overloadedSinceUs, clock.now());
+                truth.trouble("outside-load", List.of(Simulation.CENTRAL), overloadedSinceUs, clock.now());
                 overloadedSinceUs = -1;
             }
             truth.stopped(clock.now(), downUntilUs);
--- a/src/main/java/petrelplank/emulator/World.java
+++ b/src/main/java/petrelplank/emulator/Simulation.java
@@ -37,7 +37,7 @@
  * One emulation: clients, fronts, caches, hub caches, the central stock and the coordinator, in simulated time. The
  * fronts are the real ones; all else is a model. The same scenario and seed give the same run.
  */
-public final class World {
+public final class Simulation {
     /** The central stock's id. */
     static final String CENTRAL = "central-stock";
 
@@ -57,15 +57,15 @@
     private final Scenario scenario;
     private final long seed;
     private final BiFunction<String, Long, EventSink> sinks;
-    private final Clockwork clock = new Clockwork();
-    private final Truth truth = new Truth();
+    private final EventScheduler clock = new EventScheduler();
+    private final GroundTruth truth = new GroundTruth();
     private final UniformRandomProvider random;
     private final UniformRandomProvider ways;
     private final Catalogue catalogue;
-    private final Central central;
-    private final Map<String, Box> boxes = new LinkedHashMap<>();
+    private final OriginServer central;
+    private final Map<String, CacheNode> boxes = new LinkedHashMap<>();
     private final Map<String, Link> links = new HashMap<>();
-    private final Map<String, EmulatedFront> fronts = new LinkedHashMap<>();
+    private final Map<String, EmulatedProxy> fronts = new LinkedHashMap<>();
     private final List<DiscoveryEvent> told = new ArrayList<>();
     private final Map<Integer, byte[]> bodies = new HashMap<>();
     private final Map<String, Catalogue.Item> items = new HashMap<>();
@@ -81,15 +81,15 @@
      * @param seed for all random numbers
      * @param sinks makes the records of a front's life, by its name and the life's number
      */
-    public World(Scenario scenario, long seed, BiFunction<String, Long, EventSink> sinks) {
+    public Simulation(Scenario scenario, long seed, BiFunction<String, Long, EventSink> sinks) {
         this.scenario = scenario;
         this.seed = seed;
         this.sinks = sinks;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.ways = RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1_000_000_007L);
         this.catalogue = new Catalogue(scenario, RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2_000_000_014L));
-        this.central =
-                new Central(clock, scenario, RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 3_000_000_021L), truth);
+        this.central = new OriginServer(
+                clock, scenario, RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 3_000_000_021L), truth);
         truth.groups(catalogue::group);
         build();
     }
@@ -97,14 +97,14 @@
     private void build() {
         for (int b = 1; b <= scenario.branches(); b++) {
             for (int i = 1; i <= scenario.cachesPerBranch(); i++) {
-                add(Box.cache(clock, random, ServerNames.cache(b, i), ServerNames.branch(b), scenario));
+                add(CacheNode.cache(clock, random, ServerNames.cache(b, i), ServerNames.branch(b), scenario));
             }
             double flow = Catalogue.FLOW_KB_PER_S * KIB / 1e6;
             links.put(ServerNames.branch(b), new Link(clock, flow * scenario.linkWeight(), flow * 3));
         }
         for (int h = 1; h <= scenario.hubs(); h++) {
             for (int i = 1; i <= scenario.cachesPerHub(); i++) {
-                add(Box.hub(clock, random, ServerNames.hubCache(h, i), ServerNames.hub(h), scenario));
+                add(CacheNode.hub(clock, random, ServerNames.hubCache(h, i), ServerNames.hub(h), scenario));
             }
         }
         warm();
@@ -116,17 +116,17 @@
         }
     }
 
-    private void add(Box box) {
+    private void add(CacheNode box) {
         boxes.put(box.id, box);
     }
 
     /** Caches and hub caches that run at the beginning hold what was asked for lately. */
     private void warm() {
-        List<Box> all = List.copyOf(boxes.values());
+        List<CacheNode> all = List.copyOf(boxes.values());
         for (int i = 0; i < 40 * scenario.objects() && i < 400_000; i++) {
             Catalogue.Item item = catalogue.draw();
             if (!item.type().write()) {
-                Store.Copy copy = new Store.Copy(
+                CacheStorage.Copy copy = new CacheStorage.Copy(
                         bytes(item), clock.now() - random.nextInt(60_000_000), catalogue.group(item.object()));
                 all.get((int) Long.remainderUnsigned(Hash.mix(item.object() + i % 7), all.size()))
                         .store
@@ -142,7 +142,7 @@
     private List<DiscoveryEvent.Entry> list(EndpointState state, Iterable<String> ids) {
         List<DiscoveryEvent.Entry> all = new ArrayList<>();
         for (String id : ids) {
-            Box box = boxes.get(id);
+            CacheNode box = boxes.get(id);
             all.add(new DiscoveryEvent.Entry(
                     new EndpointInfo(id, box.zone, box.kind, 0, state, box.weight, box.startedUs()),
                     InetSocketAddress.createUnresolved(id, 1)));
@@ -197,8 +197,8 @@
                         0.15,
                         15_000_000,
                         2,
-                        Central.FALL_MULTIPLE,
-                        Central.FALL_US,
+                        OriginServer.FALL_MULTIPLE,
+                        OriginServer.FALL_US,
                         PURGE_GRACE_US,
                         6_000_000,
                         10_000_000));
@@ -209,14 +209,14 @@
         long apart = scenario.clockSpreadUs() == 0
                 ? 0
                 : Math.floorMod(Hash.mix(life), scenario.clockSpreadUs()) - scenario.clockSpreadUs() / 2;
-        EmulatedFront front = new EmulatedFront(
+        EmulatedProxy front = new EmulatedProxy(
                 clock, name, branch, settings(branch), life, apart, this::fetch, truth, sinks.apply(name, life));
         fronts.put(name, front);
         truth.started(front);
         told.forEach(e -> tell(front, e));
     }
 
-    private void tell(EmulatedFront front, DiscoveryEvent event) {
+    private void tell(EmulatedProxy front, DiscoveryEvent event) {
         if (front.alive()) {
             truth.told(front, event);
             front.told(event);
@@ -225,7 +225,7 @@
 
     private void announce(DiscoveryEvent event) {
         told.add(event);
-        for (EmulatedFront front : List.copyOf(fronts.values())) {
+        for (EmulatedProxy front : List.copyOf(fronts.values())) {
             long late = Math.max(0, heldUntilUs - clock.now());
             clock.after(late + 30_000 + random.nextInt(200_000), () -> {
                 // In order, whatever the way took: the number says what is still missing.
@@ -242,7 +242,7 @@
     private void purge(Long object, int group) {
         long at = clock.now() / 1000 * 1000;
         announce(new DiscoveryEvent.Purge(told.size() + 1, object, group, at / 1000));
-        for (Box box : boxes.values()) {
+        for (CacheNode box : boxes.values()) {
             clock.after(50_000 + random.nextInt(2_000_000), () -> box.store.drop(object, group, at));
         }
     }
@@ -251,7 +251,7 @@
 
     private void clients() {
         ZigguratSampler.Exponential gap = ZigguratSampler.Exponential.of(random, 1e6 / scenario.requestsPerSecond());
-        long end = Clockwork.START_US + scenario.lengthUs();
+        long end = EventScheduler.START_US + scenario.lengthUs();
         Runnable[] next = new Runnable[1];
         next[0] = () -> {
             if (clock.now() < end) {
@@ -264,9 +264,9 @@
 
     private void ask() {
         Catalogue.Item item = catalogue.draw();
-        List<EmulatedFront> up =
-                fronts.values().stream().filter(EmulatedFront::alive).toList();
-        EmulatedFront front = up.get(random.nextInt(up.size()));
+        List<EmulatedProxy> up =
+                fronts.values().stream().filter(EmulatedProxy::alive).toList();
+        EmulatedProxy front = up.get(random.nextInt(up.size()));
         String id = String.format("%016x", Hash.mix(seed ^ ++requests << 20));
         long bytes = bytes(item);
         long from = clock.now();
@@ -301,32 +301,33 @@
         return (long) (us * (0.8 + 0.4 * ways.nextDouble()));
     }
 
-    private void fetch(EmulatedFront front, Attempt attempt) {
+    private void fetch(EmulatedProxy front, Attempt attempt) {
         UpstreamRequest f = attempt.fetch();
         Catalogue.Item item = items.get(f.id());
         long object = Long.parseUnsignedLong(f.object(), 16);
         boolean write = f.serviceClass().equals("stock-move");
-        Box.Ask ask = new Box.Ask(
+        CacheNode.Ask ask = new CacheNode.Ask(
                 object, catalogue.group(object), item == null ? KIB : bytes(item), f.oldestMs() * 1000, write);
-        Box box = boxes.get(attempt.server());
+        CacheNode box = boxes.get(attempt.server());
         long way = box == null ? CENTRAL_US : box.kind.equals("hub") ? HUB_US : NEAR_US;
-        Consumer<Box.Reply> back =
+        Consumer<CacheNode.CacheReply> back =
                 reply -> clock.after(way(way), () -> front.answered(attempt, answer(f.id(), ask.bytes(), reply, box)));
         clock.after(way(way), () -> {
             if (box == null) {
                 central(f.id(), ask, false, back);
             } else {
-                Box.Source source = f.source() == null ? null : source(f.id(), f.source(), box);
+                CacheNode.Source source = f.source() == null ? null : source(f.id(), f.source(), box);
                 box.serve(ask, source, f.coalesce(), f.onlyIfCached(), back);
             }
         });
     }
 
     /** A miss is filled from a hub cache, the central stock or a neighbour, over the branch's link where it comes in. */
-    private Box.Source source(String request, String id, Box to) {
-        Box from = boxes.get(id);
-        Box.Source origin = (ask, held, came) -> clock.after(way(CENTRAL_US), () -> central(request, ask, held, came));
-        Box.Source plain = from == null ? origin : from.source(origin, way(HUB_US));
+    private CacheNode.Source source(String request, String id, CacheNode to) {
+        CacheNode from = boxes.get(id);
+        CacheNode.Source origin =
+                (ask, held, came) -> clock.after(way(CENTRAL_US), () -> central(request, ask, held, came));
+        CacheNode.Source plain = from == null ? origin : from.source(origin, way(HUB_US));
         Link link = links.get(to.zone);
         return link == null || from != null && from.zone.equals(to.zone)
                 ? plain
@@ -339,7 +340,7 @@
                 });
     }
 
-    private void central(String request, Box.Ask ask, boolean held, Consumer<Box.Reply> came) {
+    private void central(String request, CacheNode.Ask ask, boolean held, Consumer<CacheNode.CacheReply> came) {
         central.call(well -> {
             if (well && ask.write()) {
                 truth.ran(request);
@@ -348,12 +349,14 @@
                     way(CENTRAL_US),
                     () -> came.accept(
                             well
-                                    ? new Box.Reply(AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 0, clock.now())
-                                    : new Box.Reply(AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 0, 0)));
+                                    ? new CacheNode.CacheReply(
+                                            AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 0, clock.now())
+                                    : new CacheNode.CacheReply(
+                                            AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 0, 0)));
         });
     }
 
-    private UpstreamResponse answer(String id, long bytes, Box.Reply reply, Box box) {
+    private UpstreamResponse answer(String id, long bytes, CacheNode.CacheReply reply, CacheNode box) {
         byte[] body = reply.status() == AttemptStatus.OK
                 ? bodies.computeIfAbsent((int) bytes, byte[]::new)
                 : bodies.computeIfAbsent(0, byte[]::new);
@@ -378,7 +381,7 @@
     // ---- Troubles ----
 
     private void plan(Trouble t) {
-        long from = Clockwork.START_US + t.atUs();
+        long from = EventScheduler.START_US + t.atUs();
         long to = from + t.forUs();
         switch (t.kind()) {
             case SILENT -> during(t, box -> box.silent(true), box -> box.silent(false));
@@ -408,7 +411,7 @@
             case RESTART ->
                 t.servers().forEach(name -> {
                     clock.at(from, () -> {
-                        EmulatedFront front = fronts.get(name);
+                        EmulatedProxy front = fronts.get(name);
                         front.kill();
                         truth.ended(front, false);
                     });
@@ -435,7 +438,7 @@
                 });
             case REPLACE -> {
                 for (int i = 0; i < t.servers().size(); i++) {
-                    Box old = boxes.get(t.servers().get(i));
+                    CacheNode old = boxes.get(t.servers().get(i));
                     clock.at(from + t.forUs() * i / t.servers().size(), () -> replace(old));
                 }
             }
@@ -450,8 +453,8 @@
     }
 
     /** A new box starts cold beside an old one, which drains, and is gone a while later. */
-    private void replace(Box old) {
-        Box box = old.successor(scenario);
+    private void replace(CacheNode old) {
+        CacheNode box = old.successor(scenario);
         add(box);
         box.start();
         clock.after(LISTED_US, () -> {
@@ -464,10 +467,10 @@
         });
     }
 
-    private void during(Trouble t, Consumer<Box> begin, Consumer<Box> end) {
+    private void during(Trouble t, Consumer<CacheNode> begin, Consumer<CacheNode> end) {
         for (String id : t.servers()) {
-            clock.at(Clockwork.START_US + t.atUs(), () -> begin.accept(boxes.get(id)));
-            clock.at(Clockwork.START_US + t.atUs() + t.forUs(), () -> end.accept(boxes.get(id)));
+            clock.at(EventScheduler.START_US + t.atUs(), () -> begin.accept(boxes.get(id)));
+            clock.at(EventScheduler.START_US + t.atUs() + t.forUs(), () -> end.accept(boxes.get(id)));
         }
     }
 
@@ -476,7 +479,7 @@
             ZigguratSampler.Exponential gap = ZigguratSampler.Exponential.of(random, 1e6 / scenario.purgesPerSecond());
             Runnable[] next = new Runnable[1];
             next[0] = () -> {
-                if (clock.now() < Clockwork.START_US + scenario.lengthUs()) {
+                if (clock.now() < EventScheduler.START_US + scenario.lengthUs()) {
                     Catalogue.Item item = catalogue.draw();
                     purge(item.object(), -1);
                     clock.after((long) gap.sample(), next[0]);
@@ -495,8 +498,8 @@
         scenario.troubles().forEach(this::plan);
         clients();
         ordinaryPurges();
-        clock.run(Clockwork.START_US + scenario.lengthUs() + TAIL_US);
-        for (EmulatedFront front : fronts.values()) {
+        clock.run(EventScheduler.START_US + scenario.lengthUs() + TAIL_US);
+        for (EmulatedProxy front : fronts.values()) {
             if (front.alive()) {
                 front.finish();
                 truth.ended(front, true);
--- a/src/test/java/petrelplank/analysis/Emulated.java
+++ b/src/test/java/petrelplank/analysis/Emulated.java
@@ -7,7 +7,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import petrelplank.emulator.Scenario;
-import petrelplank.emulator.World;
+import petrelplank.emulator.Simulation;
 import petrelplank.record.Entry;
 
 /** An emulated incident with its entries kept in memory, and its truth. */
@@ -22,7 +22,7 @@
     static Emulated of(Scenario scenario, long seed) {
         FRONTS.setLevel(Level.OFF);
         List<Entry> entries = new ArrayList<>();
-        World world = new World(scenario, seed, (front, life) -> {
+        Simulation world = new Simulation(scenario, seed, (front, life) -> {
             long[] next = {0};
             return (unixUs, event) -> entries.add(new Entry(front, life, next[0]++, unixUs, event));
         });
--- a/src/test/java/petrelplank/analysis/Volume.java
+++ b/src/test/java/petrelplank/analysis/Volume.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import petrelplank.emulator.Scenario;
-import petrelplank.emulator.World;
+import petrelplank.emulator.Simulation;
 import petrelplank.record.DirectSink;
 import petrelplank.record.RecordSettings;
 import petrelplank.yaml.Yaml;
@@ -18,7 +18,7 @@
                 "name: volume\nlength: " + args[2] + "s\nrequests-per-second: " + args[1]
                         + "\ncache-weight: 60\nhub-cache-weight: 160\nlink-weight: 200\ncentral-per-second: 4000\n"));
         long from = System.nanoTime();
-        World world = new World(
+        Simulation world = new Simulation(
                 s,
                 1,
                 (front, life) -> new DirectSink(
