--- a/src/main/java/petrelplank/analysis/Diagnosis.java
+++ b/src/main/java/petrelplank/analysis/Diagnosis.java
@@ -64,11 +64,11 @@
     private static final DateTimeFormatter CLOCK =
             DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
 
-    private final Course course;
+    private final IncidentTimeline course;
     private final List<Finding> found = new ArrayList<>();
     private final long endUs;
 
-    private Diagnosis(Course course) {
+    private Diagnosis(IncidentTimeline course) {
         this.course = course;
         this.endUs = course.spanUs()[1];
     }
@@ -79,7 +79,7 @@
      * @param course the figures
      * @return findings, by time
      */
-    public static List<Finding> of(Course course) {
+    public static List<Finding> of(IncidentTimeline course) {
         Diagnosis d = new Diagnosis(course);
         d.servers();
         d.purges();
@@ -96,7 +96,7 @@
     // ---- Servers ----
 
     private void servers() {
-        for (Map.Entry<String, Peer> e : course.peers().entrySet()) {
+        for (Map.Entry<String, EndpointStatistics> e : course.peers().entrySet()) {
             if (!course.central(e.getKey())) {
                 List<long[]> seen = e.getValue().seen.sorted();
                 silent(e.getKey(), seen);
@@ -110,7 +110,7 @@
         List<long[]> answers = new ArrayList<>();
         List<long[]> missing = new ArrayList<>();
         for (long[] one : seen) {
-            (one[2] == Peer.UNANSWERED ? missing : answers).add(one);
+            (one[2] == EndpointStatistics.UNANSWERED ? missing : answers).add(one);
         }
         if (missing.size() < UNANSWERED) {
             return;
@@ -171,8 +171,8 @@
 
     private String out(String id, long from, long to) {
         Set<String> fronts = new TreeSet<>();
-        for (Life life : course.lives()) {
-            Trace health = life.health.get(id);
+        for (Incarnation life : course.lives()) {
+            LongTable health = life.health.get(id);
             for (int i = 0; health != null && i < health.size(); i++) {
                 if (health.get(i, 1) == 1 && health.get(i, 0) >= from && health.get(i, 0) <= to + 2 * S) {
                     fronts.add(life.front);
@@ -183,7 +183,8 @@
     }
 
     private void errors(String id, List<long[]> seen) {
-        List<long[]> errors = seen.stream().filter(o -> o[2] == Peer.ERROR).toList();
+        List<long[]> errors =
+                seen.stream().filter(o -> o[2] == EndpointStatistics.ERROR).toList();
         int begin = 0;
         for (int i = 1; i <= errors.size(); i++) {
             if (i < errors.size() && errors.get(i)[0] - errors.get(i - 1)[0] <= ERRORS_APART_US) {
@@ -192,12 +193,12 @@
             long from = errors.get(begin)[0];
             long last = errors.get(i - 1)[1];
             long good = seen.stream()
-                    .filter(o -> o[2] == Peer.ALIVE && o[0] >= from && o[1] <= last)
+                    .filter(o -> o[2] == EndpointStatistics.ALIVE && o[0] >= from && o[1] <= last)
                     .count();
             int count = i - begin;
             if (count >= ERRORS && count >= ERROR_SHARE * (count + good)) {
                 long next = seen.stream()
-                        .filter(o -> o[2] == Peer.ALIVE && o[0] > last)
+                        .filter(o -> o[2] == EndpointStatistics.ALIVE && o[0] > last)
                         .mapToLong(o -> o[0])
                         .min()
                         .orElse(last);
@@ -222,7 +223,7 @@
     private void purges() {
         Map<Long, Event.Purged> all = new TreeMap<>();
         Set<Integer> groups = new HashSet<>();
-        for (Life life : course.lives()) {
+        for (Incarnation life : course.lives()) {
             all.putAll(life.purges);
             for (int i = 0; i < life.copies.size(); i++) {
                 groups.add((int) life.copies.get(i, 1));
@@ -462,8 +463,8 @@
     // ---- Fronts and links ----
 
     private void restarts() {
-        Life before = null;
-        for (Life life : course.lives()) {
+        Incarnation before = null;
+        for (Incarnation life : course.lives()) {
             if (before != null && before.front.equals(life.front) && life.started != null) {
                 found.add(new Finding(
                         Finding.Kind.RESTART,
@@ -483,7 +484,7 @@
 
     private void links() {
         Map<String, Map<Long, Long>> use = new TreeMap<>();
-        for (Life life : course.lives()) {
+        for (Incarnation life : course.lives()) {
             int at = life.started == null ? -1 : life.started.reportFields().indexOf("x1");
             if (at >= 0) {
                 life.loads.forEach((s, most) -> {
@@ -523,7 +524,7 @@
         List<Finding> all = new ArrayList<>();
         long asked = 0;
         long lost = 0;
-        for (Map.Entry<Long, Sums> s : course.seconds().entrySet()) {
+        for (Map.Entry<Long, RequestTotals> s : course.seconds().entrySet()) {
             if (found.stream().noneMatch(f -> s.getKey() >= f.fromUs() / S - 1 && s.getKey() <= f.toUs() / S + 2)) {
                 asked += s.getValue().askedMicro;
                 lost += s.getValue().askedMicro - s.getValue().earnedMicro;
@@ -532,7 +533,7 @@
         double usual = asked == 0 ? 0 : Math.max(0, (double) lost / asked);
         for (Finding f : found) {
             double cost = 0;
-            for (Map.Entry<Long, Sums> s : course.seconds().entrySet()) {
+            for (Map.Entry<Long, RequestTotals> s : course.seconds().entrySet()) {
                 if (s.getKey() >= f.fromUs() / S && s.getKey() <= f.toUs() / S + 1) {
                     cost += s.getValue().worthAsked() * (1 - usual)
                             - s.getValue().worthEarned();
--- a/src/main/java/petrelplank/analysis/Peer.java
+++ b/src/main/java/petrelplank/analysis/EndpointStatistics.java
@@ -11,7 +11,7 @@
 import petrelplank.routing.CacheStatus;
 
 /** What all fronts together saw of one server. */
-public final class Peer {
+public final class EndpointStatistics {
     /** It answered, whatever it said. */
     static final int ALIVE = 0;
     /** It was asked and did not answer. */
@@ -29,15 +29,15 @@
     final Map<AttemptStatus, Long> ends = new EnumMap<>(AttemptStatus.class);
     final Histogram answeredUs = new Histogram(3);
     /** When asked, when known, kind: as a server and as a source. */
-    final Trace seen = new Trace(3);
+    final LongTable seen = new LongTable(3);
     /** When called, when known, 1 for well: calls of the central stock that its answers told of. */
-    final Trace calls = new Trace(3);
+    final LongTable calls = new LongTable(3);
     /** When asked, when answered, 1 for well: answers as a server. */
-    final Trace answers = new Trace(3);
+    final LongTable answers = new LongTable(3);
     /** Attempts sent and answers by second. */
     final Map<Long, long[]> seconds = new TreeMap<>();
 
-    Peer(String id) {
+    EndpointStatistics(String id) {
         this.id = id;
     }
 
--- a/src/main/java/petrelplank/analysis/Fleet.java
+++ b/src/main/java/petrelplank/analysis/FleetSnapshot.java
@@ -11,7 +11,7 @@
 import petrelplank.routing.EndpointState;
 
 /** The fleet at a time, as the fronts that lived then had been told and believed. */
-public final class Fleet {
+public final class FleetSnapshot {
     /**
      * A server at a time.
      *
@@ -45,7 +45,7 @@
         }
     }
 
-    private Fleet() {}
+    private FleetSnapshot() {}
 
     /**
      * The servers at a time.
@@ -55,17 +55,17 @@
      * @param us Unix microseconds
      * @return by id
      */
-    public static Map<String, At> at(Course course, List<Finding> findings, long us) {
+    public static Map<String, At> at(IncidentTimeline course, List<Finding> findings, long us) {
         Map<String, At> all = new TreeMap<>();
         for (Event.Server s : course.servers().values()) {
             Map<EndpointState, Integer> told = new TreeMap<>();
             TreeSet<String> out = new TreeSet<>();
-            for (Life life : course.lives()) {
+            for (Incarnation life : course.lives()) {
                 if (life.firstUs > us || life.lastUs < us) {
                     continue;
                 }
                 EndpointState last = null;
-                for (Life.Told t : life.told(s.id())) {
+                for (Incarnation.Told t : life.told(s.id())) {
                     last = t.atUs() <= us ? t.state() : last;
                 }
                 if (last != null) {
@@ -94,7 +94,7 @@
     }
 
     /** Whether the last that was noted of it by then is that it was left out. */
-    private static boolean out(Trace health, long us) {
+    private static boolean out(LongTable health, long us) {
         boolean out = false;
         if (health != null) {
             for (long[] one : health.sorted()) {
@@ -110,10 +110,10 @@
      * @param course what is known
      * @return Unix microseconds; 0 where nothing was asked
      */
-    public static long worstUs(Course course) {
+    public static long worstUs(IncidentTimeline course) {
         long worst = 0;
         double most = -1;
-        for (Map.Entry<Long, Sums> s : course.seconds().entrySet()) {
+        for (Map.Entry<Long, RequestTotals> s : course.seconds().entrySet()) {
             double lost = s.getValue().worthAsked() - s.getValue().worthEarned();
             if (s.getValue().asked() > 0 && lost > most) {
                 most = lost;
--- a/src/main/java/petrelplank/analysis/Life.java
+++ b/src/main/java/petrelplank/analysis/Incarnation.java
@@ -9,7 +9,7 @@
 import petrelplank.routing.EndpointState;
 
 /** One life of a front: what its entries say, each counted once. */
-public final class Life {
+public final class Incarnation {
     private static final int FIELDS = 4;
     private static final int PAGE = 4096;
 
@@ -39,7 +39,7 @@
 
     long lost;
     /** By second and class. */
-    final Map<Long, Map<String, Sums>> sums = new TreeMap<>();
+    final Map<Long, Map<String, RequestTotals>> sums = new TreeMap<>();
 
     final Map<Long, long[]> openAt = new TreeMap<>();
     /** By second, the most that load reports said of each field, in millionths. */
@@ -51,18 +51,18 @@
     final Map<Long, Event.Purged> purges = new TreeMap<>();
     final Map<Long, Long> purgeToldUs = new TreeMap<>();
     /** Times of sends to a server, or with it as the source. */
-    final Map<String, Trace> sends = new TreeMap<>();
+    final Map<String, LongTable> sends = new TreeMap<>();
     /** Copies served: object, group, sent, born (ms), ended, bytes. */
-    final Trace copies = new Trace(6);
+    final LongTable copies = new LongTable(6);
     /** Time, 1 for out and 0 for back, by server. */
-    final Map<String, Trace> health = new TreeMap<>();
+    final Map<String, LongTable> health = new TreeMap<>();
 
     final Map<String, Event.Server> servers = new TreeMap<>();
     private final Map<String, Long> serverIndex = new HashMap<>();
     final Map<String, Long> turnedAway = new TreeMap<>();
     final Map<String, Long> givenUp = new TreeMap<>();
 
-    Life(String front, long id) {
+    Incarnation(String front, long id) {
         this.front = front;
         this.id = id;
     }
@@ -83,8 +83,9 @@
         return true;
     }
 
-    Sums sums(long unixUs, String type) {
-        return sums.computeIfAbsent(unixUs / 1_000_000, s -> new HashMap<>()).computeIfAbsent(type, c -> new Sums());
+    RequestTotals sums(long unixUs, String type) {
+        return sums.computeIfAbsent(unixUs / 1_000_000, s -> new HashMap<>())
+                .computeIfAbsent(type, c -> new RequestTotals());
     }
 
     void owes(long request, int change) {
--- a/src/main/java/petrelplank/analysis/Course.java
+++ b/src/main/java/petrelplank/analysis/IncidentTimeline.java
@@ -11,17 +11,17 @@
 import petrelplank.routing.EndpointState;
 
 /** The figures of a fold, worked out once from all that is known. */
-public final class Course {
-    private final Fold fold;
+public final class IncidentTimeline {
+    private final RecordAggregator fold;
     private final Map<String, Event.ClassOf> classes = new TreeMap<>();
     private final Map<String, Event.Server> servers = new TreeMap<>();
-    private final Map<Long, Sums> seconds = new TreeMap<>();
-    private final Map<String, Sums> byClass = new TreeMap<>();
-    private final Map<String, Sums> byBranch = new TreeMap<>();
-    private final Map<String, Map<Long, Sums>> branchSeconds = new TreeMap<>();
-    private final Sums total = new Sums();
+    private final Map<Long, RequestTotals> seconds = new TreeMap<>();
+    private final Map<String, RequestTotals> byClass = new TreeMap<>();
+    private final Map<String, RequestTotals> byBranch = new TreeMap<>();
+    private final Map<String, Map<Long, RequestTotals>> branchSeconds = new TreeMap<>();
+    private final RequestTotals total = new RequestTotals();
     private final Map<Long, long[]> central = new TreeMap<>();
-    private final List<Life> lives;
+    private final List<Incarnation> lives;
     private String centralKind;
     private String hubKind;
     private long lateDrain;
@@ -35,14 +35,14 @@
      *
      * @param fold what is known
      */
-    public Course(Fold fold) {
+    public IncidentTimeline(RecordAggregator fold) {
         this.fold = fold;
         this.lives = fold.lives().stream()
-                .sorted(Comparator.comparing(Life::front)
+                .sorted(Comparator.comparing(Incarnation::front)
                         .thenComparingLong(l -> l.firstUs)
                         .thenComparingLong(l -> l.id))
                 .toList();
-        for (Life life : lives) {
+        for (Incarnation life : lives) {
             if (life.started != null) {
                 life.started.classes().forEach(c -> classes.put(c.name(), c));
                 centralKind = life.started.originKind() == null ? centralKind : life.started.originKind();
@@ -50,7 +50,7 @@
             }
             servers.putAll(life.servers);
         }
-        for (Life life : lives) {
+        for (Incarnation life : lives) {
             sum(life);
             late(life);
             owed(life);
@@ -58,31 +58,31 @@
         calls();
     }
 
-    private void sum(Life life) {
-        Map<Long, Sums> ofBranch = branchSeconds.computeIfAbsent(life.branch(), b -> new TreeMap<>());
+    private void sum(Incarnation life) {
+        Map<Long, RequestTotals> ofBranch = branchSeconds.computeIfAbsent(life.branch(), b -> new TreeMap<>());
         life.sums.forEach((second, types) -> types.forEach((type, s) -> {
             Event.ClassOf known = classes.get(type);
-            s.askedMicro = known == null ? 0 : s.asked * Sums.micro(known.worth());
+            s.askedMicro = known == null ? 0 : s.asked * RequestTotals.micro(known.worth());
             total.add(s);
-            seconds.computeIfAbsent(second, k -> new Sums()).add(s);
-            byClass.computeIfAbsent(type, k -> new Sums()).add(s);
-            byBranch.computeIfAbsent(life.branch(), k -> new Sums()).add(s);
-            ofBranch.computeIfAbsent(second, k -> new Sums()).add(s);
+            seconds.computeIfAbsent(second, k -> new RequestTotals()).add(s);
+            byClass.computeIfAbsent(type, k -> new RequestTotals()).add(s);
+            byBranch.computeIfAbsent(life.branch(), k -> new RequestTotals()).add(s);
+            ofBranch.computeIfAbsent(second, k -> new RequestTotals()).add(s);
         }));
     }
 
     /** Sends after a drain's time, and answers from copies older than a purge that was told in time. */
-    private void late(Life life) {
+    private void late(Incarnation life) {
         if (life.started == null) {
             return;
         }
         life.told.keySet().forEach(server -> {
-            List<Life.Told> told = life.told(server);
-            Trace sends = life.sends.get(server);
+            List<Incarnation.Told> told = life.told(server);
+            LongTable sends = life.sends.get(server);
             for (int i = 0; sends != null && i < sends.size(); i++) {
                 long at = sends.get(i, 0);
                 long sinceUs = Long.MAX_VALUE;
-                for (Life.Told t : told) {
+                for (Incarnation.Told t : told) {
                     if (t.atUs() <= at) {
                         sinceUs = t.state() == EndpointState.UP ? Long.MAX_VALUE : Math.min(sinceUs, t.atUs());
                     }
@@ -108,7 +108,7 @@
         }
     }
 
-    private static boolean older(Life life, List<Long> indexes, long sentUs, long bornMs) {
+    private static boolean older(Incarnation life, List<Long> indexes, long sentUs, long bornMs) {
         return indexes != null
                 && indexes.stream()
                         .anyMatch(i -> bornMs < life.purges.get(i).unixMs()
@@ -116,7 +116,7 @@
     }
 
     /** What is missing is not known: only where all entries are there, an answer that is not there was not given. */
-    private void owed(Life life) {
+    private void owed(Incarnation life) {
         boolean whole = life.gaps().isEmpty();
         for (int balance : life.owed.values()) {
             if (balance < 0 && whole) {
@@ -130,8 +130,8 @@
     }
 
     private void calls() {
-        for (Peer p : fold.peers().values()) {
-            Trace calls = central(p.id) ? p.answers : p.calls;
+        for (EndpointStatistics p : fold.peers().values()) {
+            LongTable calls = central(p.id) ? p.answers : p.calls;
             for (int i = 0; i < calls.size(); i++) {
                 long[] second = central.computeIfAbsent(calls.get(i, 1) / 1_000_000, s -> new long[2]);
                 second[0]++;
@@ -150,7 +150,7 @@
         return s != null && s.kind().equals(hubKind);
     }
 
-    Fold fold() {
+    RecordAggregator fold() {
         return fold;
     }
 
@@ -160,32 +160,32 @@
     }
 
     /** The lives, by front and time. */
-    public List<Life> lives() {
+    public List<Incarnation> lives() {
         return lives;
     }
 
     /** All requests. */
-    public Sums total() {
+    public RequestTotals total() {
         return total;
     }
 
     /** Requests by Unix second. */
-    public Map<Long, Sums> seconds() {
+    public Map<Long, RequestTotals> seconds() {
         return seconds;
     }
 
     /** Requests by class. */
-    public Map<String, Sums> classes() {
+    public Map<String, RequestTotals> classes() {
         return byClass;
     }
 
     /** Requests by branch. */
-    public Map<String, Sums> branches() {
+    public Map<String, RequestTotals> branches() {
         return byBranch;
     }
 
     /** Requests by branch and Unix second. */
-    public Map<String, Map<Long, Sums>> branchSeconds() {
+    public Map<String, Map<Long, RequestTotals>> branchSeconds() {
         return branchSeconds;
     }
 
@@ -200,7 +200,7 @@
     }
 
     /** What was seen of servers. */
-    public Map<String, Peer> peers() {
+    public Map<String, EndpointStatistics> peers() {
         return fold.peers();
     }
 
@@ -278,7 +278,7 @@
         return all;
     }
 
-    private static Map<String, Object> trees(Map<?, Sums> sums) {
+    private static Map<String, Object> trees(Map<?, RequestTotals> sums) {
         Map<String, Object> t = new LinkedHashMap<>();
         sums.forEach((k, s) -> t.put(k.toString(), s.tree()));
         return t;
@@ -287,7 +287,7 @@
     /** When fronts were told of drains, by server. */
     public Map<String, List<Long>> drainsToldUs() {
         Map<String, List<Long>> drains = new TreeMap<>();
-        for (Life life : lives) {
+        for (Incarnation life : lives) {
             for (String server : life.told.keySet()) {
                 long at = life.drainToldUs(server);
                 if (at >= 0) {
@@ -348,7 +348,7 @@
         drainsToldUs().forEach((id, times) -> drained.put(id, span(times)));
         t.put("drains", drained);
         List<Map<String, Object>> all = new ArrayList<>();
-        for (Life life : lives) {
+        for (Incarnation life : lives) {
             Map<String, Object> l = new LinkedHashMap<>();
             l.put("front", life.front);
             l.put("startedUs", life.started == null ? null : life.startedUs);
--- a/src/main/java/petrelplank/analysis/Trace.java
+++ b/src/main/java/petrelplank/analysis/LongTable.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /** Rows of whole numbers, kept small, in no order until they are read. */
-final class Trace {
+final class LongTable {
     private final int width;
     private long[] cells;
     private int rows;
 
-    Trace(int width) {
+    LongTable(int width) {
         this.width = width;
         this.cells = new long[16 * width];
     }
--- a/src/main/java/petrelplank/analysis/Fold.java
+++ b/src/main/java/petrelplank/analysis/RecordAggregator.java
@@ -13,14 +13,14 @@
  * is the same: each entry is counted once by its number, sums are of whole numbers, and what depends on what else was
  * told is worked out when it is read. One thread.
  */
-public final class Fold {
-    private final Map<String, Life> lives = new TreeMap<>();
-    private final Map<String, Peer> peers = new TreeMap<>();
+public final class RecordAggregator {
+    private final Map<String, Incarnation> lives = new TreeMap<>();
+    private final Map<String, EndpointStatistics> peers = new TreeMap<>();
     private long entries;
     private long doubled;
 
     /** Nothing is known yet. */
-    public Fold() {}
+    public RecordAggregator() {}
 
     /**
      * Takes an entry.
@@ -28,8 +28,8 @@
      * @param e the entry
      */
     public void add(Entry e) {
-        Life life = lives.computeIfAbsent(
-                e.front() + " " + String.format("%016x", e.life()), k -> new Life(e.front(), e.life()));
+        Incarnation life = lives.computeIfAbsent(
+                e.front() + " " + String.format("%016x", e.life()), k -> new Incarnation(e.front(), e.life()));
         if (!life.first(e.number(), e.unixUs())) {
             doubled++;
             return;
@@ -38,16 +38,16 @@
         take(life, e.unixUs(), e.event());
     }
 
-    private Peer peer(String id) {
-        return peers.computeIfAbsent(id, Peer::new);
+    private EndpointStatistics peer(String id) {
+        return peers.computeIfAbsent(id, EndpointStatistics::new);
     }
 
-    private void take(Life life, long us, Event event) {
+    private void take(Incarnation life, long us, Event event) {
         if (event instanceof Event.Sent s) {
             peer(s.server()).sent(us);
-            life.sends.computeIfAbsent(s.server(), i -> new Trace(1)).add(us);
+            life.sends.computeIfAbsent(s.server(), i -> new LongTable(1)).add(us);
             if (s.source() != null && !s.source().equals(s.server())) {
-                life.sends.computeIfAbsent(s.source(), i -> new Trace(1)).add(us);
+                life.sends.computeIfAbsent(s.source(), i -> new LongTable(1)).add(us);
             }
         } else if (event instanceof Event.Ended e) {
             ended(life, us, e);
@@ -55,10 +55,10 @@
             life.sums(us, t.type()).asked++;
             life.owes(t.request(), 1);
         } else if (event instanceof Event.Answered a) {
-            Sums s = life.sums(us, a.type());
+            RequestTotals s = life.sums(us, a.type());
             s.finals[a.kind().ordinal()]++;
             s.inTime += a.inTime() ? 1 : 0;
-            s.earnedMicro += Sums.micro(a.worth());
+            s.earnedMicro += RequestTotals.micro(a.worth());
             life.owes(a.request(), -1);
             if (a.why() != null) {
                 life.givenUp.merge(StoredNames.of(a.why()), 1L, Long::sum);
@@ -76,9 +76,9 @@
             life.purges.put(p.index(), p);
             life.purgeToldUs.merge(p.index(), us, Math::min);
         } else if (event instanceof Event.Ejected j) {
-            life.health.computeIfAbsent(j.server(), i -> new Trace(2)).add(us, 1);
+            life.health.computeIfAbsent(j.server(), i -> new LongTable(2)).add(us, 1);
         } else if (event instanceof Event.Returned r) {
-            life.health.computeIfAbsent(r.server(), i -> new Trace(2)).add(us, 0);
+            life.health.computeIfAbsent(r.server(), i -> new LongTable(2)).add(us, 0);
         } else if (event instanceof Event.Pulse p) {
             life.openAt.put(us / 1_000_000, new long[] {p.open(), p.queued(), p.heapBytes(), p.lateUs()});
         } else if (event instanceof Event.Draining) {
@@ -90,7 +90,7 @@
         }
     }
 
-    private void ended(Life life, long us, Event.Ended e) {
+    private void ended(Incarnation life, long us, Event.Ended e) {
         peer(e.server()).ended(e, us);
         if (e.source() != null && !e.source().equals(e.server())) {
             peer(e.source()).filled(e, us);
@@ -124,7 +124,7 @@
      *
      * @return by front, then by life
      */
-    public Collection<Life> lives() {
+    public Collection<Incarnation> lives() {
         return lives.values();
     }
 
@@ -133,7 +133,7 @@
      *
      * @return by id
      */
-    public Map<String, Peer> peers() {
+    public Map<String, EndpointStatistics> peers() {
         return peers;
     }
 }
--- a/src/main/java/petrelplank/analysis/Sums.java
+++ b/src/main/java/petrelplank/analysis/RequestTotals.java
@@ -5,7 +5,7 @@
 import petrelplank.record.Event;
 
 /** Sums of requests. Worth is kept in whole millionths, so that no order of adding changes it. */
-public final class Sums {
+public final class RequestTotals {
     private static final double MICRO = 1e6;
 
     long asked;
@@ -18,7 +18,7 @@
         return Math.round(worth * MICRO);
     }
 
-    void add(Sums other) {
+    void add(RequestTotals other) {
         asked += other.asked;
         for (int i = 0; i < finals.length; i++) {
             finals[i] += other.finals[i];
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import petrelplank.analysis.Course;
 import petrelplank.analysis.Diagnosis;
 import petrelplank.analysis.Finding;
-import petrelplank.analysis.Fleet;
-import petrelplank.analysis.Fold;
+import petrelplank.analysis.FleetSnapshot;
+import petrelplank.analysis.IncidentTimeline;
+import petrelplank.analysis.RecordAggregator;
 import petrelplank.record.RecordReader;
 import petrelplank.report.Page;
 import petrelplank.report.Summary;
@@ -40,7 +40,7 @@
 
     @Override
     public int run() throws IOException {
-        Fold fold = new Fold();
+        RecordAggregator fold = new RecordAggregator();
         RecordReader reader = new RecordReader();
         List<Path> paths = places.stream().map(Path::of).toList();
         for (Path path : paths) {
@@ -60,16 +60,16 @@
             return unusable("no records in " + String.join(", ", places)
                     + "; a front writes them where its operator's file turns them on, and emulate with --records DIR");
         }
-        Course course = new Course(fold);
+        IncidentTimeline course = new IncidentTimeline(fold);
         List<Finding> findings = Diagnosis.of(course);
         if (json != null) {
             Map<String, Object> tree = course.tree();
             tree.put("findings", findings.stream().map(Finding::tree).toList());
             tree.put("troubles", reader.troubles());
-            long worst = Fleet.worstUs(course);
+            long worst = FleetSnapshot.worstUs(course);
             tree.put("worstUs", worst);
             Map<String, Object> fleet = new LinkedHashMap<>();
-            Fleet.at(course, findings, worst).forEach((id, s) -> fleet.put(id, s.tree()));
+            FleetSnapshot.at(course, findings, worst).forEach((id, s) -> fleet.put(id, s.tree()));
             tree.put("fleet", fleet);
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(json, tree);
         }
--- a/src/main/java/petrelplank/record/DirectSink.java
+++ b/src/main/java/petrelplank/record/DirectSink.java
@@ -7,7 +7,7 @@
 public final class DirectSink implements EventSink {
     private final String front;
     private final long life;
-    private final Log log;
+    private final RecordFileWriter log;
     private long next;
 
     /**
@@ -20,7 +20,7 @@
     public DirectSink(RecordSettings settings, String front, long life) {
         this.front = front;
         this.life = life;
-        this.log = new Log(settings, front, life);
+        this.log = new RecordFileWriter(settings, front, life);
     }
 
     @Override
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -11,7 +11,7 @@
  * What a front writes down: one fact each, as the front knew it then. Every type here is a record of the file's
  * schema, which is made from its components: add components with care, and never change the meaning of one. Times
  * are Unix microseconds and durations microseconds unless a name says otherwise; a field that may be absent is
- * marked {@link Absent}.
+ * marked {@link NullableComponent}.
  */
 public sealed interface Event {
     /** How a request was answered in the end. */
@@ -69,8 +69,8 @@
             @StoredName("zone") String zone,
             @StoredName("zones") List<String> zones,
             @StoredName("classes") List<ClassOf> classes,
-            @StoredName("parentKind") @Absent String parentKind,
-            @StoredName("originKind") @Absent String originKind,
+            @StoredName("parentKind") @NullableComponent String parentKind,
+            @StoredName("originKind") @NullableComponent String originKind,
             @StoredName("reportFields") List<String> reportFields,
             @StoredName("drainGraceUs") long drainGraceUs,
             @StoredName("purgeGraceUs") long purgeGraceUs,
@@ -110,7 +110,7 @@
             @StoredName("attempt") int attempt,
             @StoredName("type") String type,
             @StoredName("server") String server,
-            @StoredName("source") @Absent String source,
+            @StoredName("source") @NullableComponent String source,
             @StoredName("object") long object,
             @StoredName("group") int group)
             implements Event {}
@@ -139,7 +139,7 @@
             @StoredName("attempt") int attempt,
             @StoredName("type") String type,
             @StoredName("server") String server,
-            @StoredName("source") @Absent String source,
+            @StoredName("source") @NullableComponent String source,
             @StoredName("object") long object,
             @StoredName("group") int group,
             @StoredName("status") AttemptStatus status,
@@ -174,7 +174,7 @@
             @StoredName("worth") double worth,
             @StoredName("inTime") boolean inTime,
             @StoredName("retryAfterMs") long retryAfterMs,
-            @StoredName("why") @Absent TerminationReason why)
+            @StoredName("why") @NullableComponent TerminationReason why)
             implements Event {}
 
     /**
@@ -242,7 +242,7 @@
     @StoredName("Purged")
     record Purged(
             @StoredName("index") long index,
-            @StoredName("object") @Absent Long object,
+            @StoredName("object") @NullableComponent Long object,
             @StoredName("group") int group,
             @StoredName("unixMs") long unixMs)
             implements Event {}
--- a/src/main/java/petrelplank/record/FileSink.java
+++ b/src/main/java/petrelplank/record/FileSink.java
@@ -24,7 +24,7 @@
 
     private final String front;
     private final long life;
-    private final Output log;
+    private final RecordOutput log;
     private final ArrayBlockingQueue<Entry> queue;
     private final Thread writer;
     private volatile boolean closed;
@@ -45,7 +45,7 @@
      * @param life this life's random number
      */
     public FileSink(RecordSettings settings, String front, long life) {
-        this(settings.queued(), front, life, new Log(settings, front, life));
+        this(settings.queued(), front, life, new RecordFileWriter(settings, front, life));
     }
 
     /**
@@ -59,7 +59,7 @@
         return new FileSink(TRACE_QUEUED, front, 0, new TraceLines(out));
     }
 
-    FileSink(int queued, String front, long life, Output log) {
+    FileSink(int queued, String front, long life, RecordOutput log) {
         this.front = front;
         this.life = life;
         this.log = log;
--- a/src/main/java/petrelplank/record/Absent.java
+++ b/src/main/java/petrelplank/record/NullableComponent.java
@@ -8,4 +8,4 @@
 /** Marks a component of an {@link Event} that may be null. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
-public @interface Absent {}
+public @interface NullableComponent {}
--- a/src/main/java/petrelplank/record/Codec.java
+++ b/src/main/java/petrelplank/record/RecordCodec.java
@@ -30,7 +30,7 @@
  * Between entries and Avro: the schema is made from the components of the types in {@link Event}, so that there is
  * one model. Java records become Avro records by their {@link StoredName}, nullable components a union with null.
  */
-final class Codec {
+final class RecordCodec {
     private static final String SPACE = "petrelplank.record";
     private static final int MOST_TEXTS = 4096;
 
@@ -67,7 +67,7 @@
             for (int i = 0; i < parts.length; i++) {
                 types[i] = components[i].getType();
                 Kind kind = kind(components[i].getGenericType());
-                kinds[i] = components[i].isAnnotationPresent(Absent.class) ? absent(kind) : kind;
+                kinds[i] = components[i].isAnnotationPresent(NullableComponent.class) ? absent(kind) : kind;
                 parts[i] = part(components[i].getAccessor(), kinds[i]);
                 fields.add(new Schema.Field(StoredNames.ofComponent(components[i]), kinds[i].schema()));
             }
@@ -151,7 +151,7 @@
         }
     }
 
-    Codec() {
+    RecordCodec() {
         entry = new Shape(Entry.class);
     }
 
--- a/src/main/java/petrelplank/record/Log.java
+++ b/src/main/java/petrelplank/record/RecordFileWriter.java
@@ -20,7 +20,7 @@
  * A front's record files in a directory: Avro object container files, cut by size and age, the oldest of the front
  * removed where all together would pass the bound. One thread at a time; reads no clock.
  */
-final class Log implements Output {
+final class RecordFileWriter implements RecordOutput {
     /** The ending of record files. */
     static final String ENDING = ".records.avro";
     /** Bytes between sync markers: what a file cut off may lose. */
@@ -38,7 +38,7 @@
     private final RecordSettings settings;
     private final String front;
     private final long life;
-    private final Codec codec = new Codec();
+    private final RecordCodec codec = new RecordCodec();
     private final Disk disk;
     private DataFileWriter<Entry> writer;
     private Path file;
@@ -52,7 +52,7 @@
     private long lost;
     private long triedUs = Long.MIN_VALUE / 2;
 
-    Log(RecordSettings settings, String front, long life) {
+    RecordFileWriter(RecordSettings settings, String front, long life) {
         this(
                 settings,
                 front,
@@ -60,7 +60,7 @@
                 f -> Files.newOutputStream(f, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
-    Log(RecordSettings settings, String front, long life, Disk disk) {
+    RecordFileWriter(RecordSettings settings, String front, long life, Disk disk) {
         this.settings = settings;
         this.front = front;
         this.life = life;
--- a/src/main/java/petrelplank/record/Output.java
+++ b/src/main/java/petrelplank/record/RecordOutput.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** Where a writer puts entries; of the writer's thread alone. */
-interface Output {
+interface RecordOutput {
     void append(Entry e) throws IOException;
 
     /** What was appended can be read from here on. */
--- a/src/main/java/petrelplank/record/RecordReader.java
+++ b/src/main/java/petrelplank/record/RecordReader.java
@@ -20,7 +20,7 @@
 public final class RecordReader {
     private static final String CUT = " is cut off or spoilt";
 
-    private final Codec codec = new Codec();
+    private final RecordCodec codec = new RecordCodec();
     private final List<String> troubles = new ArrayList<>();
 
     /** Reads nothing yet. */
--- a/src/main/java/petrelplank/record/TraceLines.java
+++ b/src/main/java/petrelplank/record/TraceLines.java
@@ -7,7 +7,7 @@
  * A line is {@code @}, the Unix microsecond, the kind, then its fields, separated by tabs; what is absent is {@code -};
  * {@code lost} tells how many events the writer could not keep up with. Of the writer's thread alone.
  */
-final class TraceLines implements Output {
+final class TraceLines implements RecordOutput {
     /** So many characters are written together. */
     private static final int BATCH = 4096;
 
--- a/src/main/java/petrelplank/report/Page.java
+++ b/src/main/java/petrelplank/report/Page.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Function;
-import petrelplank.analysis.Course;
 import petrelplank.analysis.Diagnosis;
+import petrelplank.analysis.EndpointStatistics;
 import petrelplank.analysis.Finding;
-import petrelplank.analysis.Fleet;
-import petrelplank.analysis.Life;
-import petrelplank.analysis.Peer;
-import petrelplank.analysis.Sums;
+import petrelplank.analysis.FleetSnapshot;
+import petrelplank.analysis.Incarnation;
+import petrelplank.analysis.IncidentTimeline;
+import petrelplank.analysis.RequestTotals;
 import petrelplank.record.Event;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.EndpointState;
@@ -41,7 +41,7 @@
             "no-fill",
             "no fill might be made for it, and no cache held it");
 
-    private final Course course;
+    private final IncidentTimeline course;
     private final List<Finding> findings;
     private final List<String> troubles;
     private final Html html = new Html();
@@ -49,7 +49,7 @@
     private final long toS;
     private final List<Long> incomplete;
 
-    private Page(Course course, List<Finding> findings, List<String> troubles) {
+    private Page(IncidentTimeline course, List<Finding> findings, List<String> troubles) {
         this.course = course;
         this.findings = findings;
         this.troubles = troubles;
@@ -66,7 +66,7 @@
      * @param troubles what could not be read
      * @return HTML
      */
-    public static String of(Course course, List<Finding> findings, List<String> troubles) {
+    public static String of(IncidentTimeline course, List<Finding> findings, List<String> troubles) {
         Page page = new Page(course, findings, troubles);
         page.write();
         return page.html.toString();
@@ -120,7 +120,7 @@
     }
 
     private void cards() {
-        Sums all = course.total();
+        RequestTotals all = course.total();
         html.raw("<dl class=\"cards\">");
         card("Worth earned", Summary.share(all.service()));
         card("Requests", String.format(Locale.ROOT, "%,d", all.asked()));
@@ -190,7 +190,7 @@
         return String.join(", ", all);
     }
 
-    private Map<Long, Double> perSecond(Map<Long, Sums> of, Function<Sums, Double> figure) {
+    private Map<Long, Double> perSecond(Map<Long, RequestTotals> of, Function<RequestTotals, Double> figure) {
         Map<Long, Double> points = new TreeMap<>();
         for (long s = fromS; s <= toS; s++) {
             points.put(s, of.containsKey(s) ? figure.apply(of.get(s)) : 0.0);
@@ -212,8 +212,8 @@
                         "Worth asked and earned in each second",
                         "worth",
                         List.of(
-                                new Chart.Line("asked", perSecond(course.seconds(), Sums::worthAsked)),
-                                new Chart.Line("earned", perSecond(course.seconds(), Sums::worthEarned))),
+                                new Chart.Line("asked", perSecond(course.seconds(), RequestTotals::worthAsked)),
+                                new Chart.Line("earned", perSecond(course.seconds(), RequestTotals::worthEarned))),
                         fromS,
                         toS));
         figure(
@@ -306,7 +306,7 @@
             rows.add("Purges told");
         }
         Map<String, Integer> fronts = new LinkedHashMap<>();
-        for (Life life : course.lives()) {
+        for (Incarnation life : course.lives()) {
             if (fronts.containsKey(life.front()) || rows.size() < MOST_ROWS) {
                 int row = fronts.computeIfAbsent(life.front(), f -> {
                     rows.add(f);
@@ -344,7 +344,7 @@
                         "Fills failed",
                         "Findings");
         course.servers().forEach((id, s) -> {
-            Peer p = course.peers().get(id);
+            EndpointStatistics p = course.peers().get(id);
             String found = String.join(
                     ", ",
                     findings.stream()
@@ -381,7 +381,7 @@
 
     /** The fleet in the second that lost most worth, as the fronts were told and believed. */
     private void then() {
-        long at = Fleet.worstUs(course);
+        long at = FleetSnapshot.worstUs(course);
         html.head(
                 "At " + Diagnosis.clock(at) + ", in the second that lost most worth: fronts that had been told each "
                         + "state, and that left it out",
@@ -391,7 +391,7 @@
                 "Gone",
                 "Left out by",
                 "Findings then");
-        Fleet.at(course, findings, at)
+        FleetSnapshot.at(course, findings, at)
                 .forEach((id, s) -> html.row(
                         course.peers().containsKey(id) ? id : null,
                         id,
@@ -412,7 +412,7 @@
         };
     }
 
-    private void sums(String caption, String first, Map<String, Sums> of) {
+    private void sums(String caption, String first, Map<String, RequestTotals> of) {
         html.head(
                 caption,
                 first,
@@ -450,8 +450,8 @@
                             "Worth at " + branch,
                             "worth",
                             List.of(
-                                    new Chart.Line("asked", perSecond(seconds, Sums::worthAsked)),
-                                    new Chart.Line("earned", perSecond(seconds, Sums::worthEarned))),
+                                    new Chart.Line("asked", perSecond(seconds, RequestTotals::worthAsked)),
+                                    new Chart.Line("earned", perSecond(seconds, RequestTotals::worthEarned))),
                             fromS,
                             toS));
             html.raw("</details>");
@@ -471,7 +471,7 @@
                         "Ended",
                         "Records missing",
                         "Lost by the writer");
-        for (Life life : course.lives()) {
+        for (Incarnation life : course.lives()) {
             html.row(
                     null,
                     life.front(),
--- a/src/main/java/petrelplank/report/Summary.java
+++ b/src/main/java/petrelplank/report/Summary.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.Locale;
-import petrelplank.analysis.Course;
 import petrelplank.analysis.Diagnosis;
 import petrelplank.analysis.Finding;
-import petrelplank.analysis.Sums;
+import petrelplank.analysis.IncidentTimeline;
+import petrelplank.analysis.RequestTotals;
 import petrelplank.record.Event;
 
 /** The report in a terminal: some lines of text. */
@@ -19,10 +19,10 @@
      * @param findings what went wrong
      * @return lines
      */
-    public static String of(Course course, List<Finding> findings) {
+    public static String of(IncidentTimeline course, List<Finding> findings) {
         StringBuilder text = new StringBuilder();
         long[] span = course.spanUs();
-        Sums all = course.total();
+        RequestTotals all = course.total();
         line(
                 text,
                 "%s to %s UTC, %d entries of %d lives",
