--- a/src/main/java/petrelplank/analysis/EndpointStatistics.java
+++ b/src/main/java/petrelplank/analysis/EndpointStatistics.java
@@ -50,7 +50,7 @@
         second(unixUs)[0]++;
     }
 
-    void ended(Event.Ended e, long unixUs) {
+    void ended(Event.AttemptEnded e, long unixUs) {
         long from = unixUs - e.latencyUs();
         boolean given = e.status() == AttemptStatus.TIMEOUT || e.status() == AttemptStatus.CANCELLED;
         if (given) {
@@ -67,12 +67,12 @@
         boolean away = e.status() == AttemptStatus.CONNECT_FAILED || e.status() == AttemptStatus.RESET;
         seen.add(from, unixUs, away ? UNANSWERED : e.status() == AttemptStatus.ERROR ? ERROR : ALIVE);
         if (e.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN || e.cacheStatus() == CacheStatus.ORIGIN_FAILED) {
-            calls.add(unixUs - Math.max(0, e.waitedUs()), unixUs, e.status() == AttemptStatus.OK ? 1 : 0);
+            calls.add(unixUs - Math.max(0, e.sourceWaitUs()), unixUs, e.status() == AttemptStatus.OK ? 1 : 0);
         }
     }
 
     /** It was the source of a fill, of which the answer tells something. */
-    void filled(Event.Ended e, long unixUs) {
+    void filled(Event.AttemptEnded e, long unixUs) {
         fills += e.cacheStatus() == CacheStatus.FILLED || e.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN ? 1 : 0;
         fillsFailed +=
                 e.cacheStatus() == CacheStatus.SOURCE_UNREACHABLE || e.cacheStatus() == CacheStatus.SOURCE_REJECTED
@@ -81,7 +81,7 @@
         switch (e.cacheStatus()) {
             case FILLED, FILLED_FROM_ORIGIN, SOURCE_MISS, ORIGIN_FAILED, SOURCE_REJECTED ->
                 seen.add(unixUs - e.latencyUs(), unixUs, ALIVE);
-            case SOURCE_UNREACHABLE -> seen.add(unixUs - Math.max(e.waitedUs(), 0), unixUs, UNANSWERED);
+            case SOURCE_UNREACHABLE -> seen.add(unixUs - Math.max(e.sourceWaitUs(), 0), unixUs, UNANSWERED);
             default -> {}
         }
     }
--- a/src/main/java/petrelplank/analysis/FleetSnapshot.java
+++ b/src/main/java/petrelplank/analysis/FleetSnapshot.java
@@ -57,7 +57,7 @@
      */
     public static Map<String, At> at(IncidentTimeline course, List<Finding> findings, long us) {
         Map<String, At> all = new TreeMap<>();
-        for (Event.Server s : course.servers().values()) {
+        for (Event.ListedEndpoint s : course.servers().values()) {
             Map<EndpointState, Integer> told = new TreeMap<>();
             TreeSet<String> out = new TreeSet<>();
             for (Incarnation life : course.lives()) {
--- a/src/main/java/petrelplank/analysis/Incarnation.java
+++ b/src/main/java/petrelplank/analysis/Incarnation.java
@@ -28,7 +28,7 @@
 
     final String front;
     final long id;
-    Event.Started started;
+    Event.ProxyStarted started;
     long startedUs;
     boolean finished;
     boolean draining;
@@ -57,7 +57,7 @@
     /** Time, 1 for out and 0 for back, by server. */
     final Map<String, LongTable> health = new TreeMap<>();
 
-    final Map<String, Event.Server> servers = new TreeMap<>();
+    final Map<String, Event.ListedEndpoint> servers = new TreeMap<>();
     private final Map<String, Long> serverIndex = new HashMap<>();
     final Map<String, Long> turnedAway = new TreeMap<>();
     final Map<String, Long> givenUp = new TreeMap<>();
@@ -105,8 +105,8 @@
         }
     }
 
-    void listed(Event.Listed l, long atUs) {
-        for (Event.Server s : l.servers()) {
+    void listed(Event.EndpointsChanged l, long atUs) {
+        for (Event.ListedEndpoint s : l.servers()) {
             told.computeIfAbsent(s.id(), i -> new ArrayList<>()).add(new Told(l.index(), atUs, s.state()));
             if (serverIndex.getOrDefault(s.id(), -1L) < l.index()) {
                 serverIndex.put(s.id(), l.index());
--- a/src/main/java/petrelplank/analysis/IncidentTimeline.java
+++ b/src/main/java/petrelplank/analysis/IncidentTimeline.java
@@ -13,8 +13,8 @@
 /** The figures of a fold, worked out once from all that is known. */
 public final class IncidentTimeline {
     private final RecordAggregator fold;
-    private final Map<String, Event.ClassOf> classes = new TreeMap<>();
-    private final Map<String, Event.Server> servers = new TreeMap<>();
+    private final Map<String, Event.ClassInfo> classes = new TreeMap<>();
+    private final Map<String, Event.ListedEndpoint> servers = new TreeMap<>();
     private final Map<Long, RequestTotals> seconds = new TreeMap<>();
     private final Map<String, RequestTotals> byClass = new TreeMap<>();
     private final Map<String, RequestTotals> byBranch = new TreeMap<>();
@@ -61,7 +61,7 @@
     private void sum(Incarnation life) {
         Map<Long, RequestTotals> ofBranch = branchSeconds.computeIfAbsent(life.branch(), b -> new TreeMap<>());
         life.sums.forEach((second, types) -> types.forEach((type, s) -> {
-            Event.ClassOf known = classes.get(type);
+            Event.ClassInfo known = classes.get(type);
             s.askedMicro = known == null ? 0 : s.asked * RequestTotals.micro(known.worth());
             total.add(s);
             seconds.computeIfAbsent(second, k -> new RequestTotals()).add(s);
@@ -141,12 +141,12 @@
     }
 
     boolean central(String server) {
-        Event.Server s = servers.get(server);
+        Event.ListedEndpoint s = servers.get(server);
         return s != null && s.kind().equals(centralKind);
     }
 
     boolean hub(String server) {
-        Event.Server s = servers.get(server);
+        Event.ListedEndpoint s = servers.get(server);
         return s != null && s.kind().equals(hubKind);
     }
 
@@ -195,7 +195,7 @@
     }
 
     /** The servers as last listed. */
-    public Map<String, Event.Server> servers() {
+    public Map<String, Event.ListedEndpoint> servers() {
         return servers;
     }
 
--- a/src/main/java/petrelplank/analysis/RecordAggregator.java
+++ b/src/main/java/petrelplank/analysis/RecordAggregator.java
@@ -29,7 +29,8 @@
      */
     public void add(Entry e) {
         Incarnation life = lives.computeIfAbsent(
-                e.front() + " " + String.format("%016x", e.life()), k -> new Incarnation(e.front(), e.life()));
+                e.proxy() + " " + String.format("%016x", e.incarnation()),
+                k -> new Incarnation(e.proxy(), e.incarnation()));
         if (!life.first(e.number(), e.unixUs())) {
             doubled++;
             return;
@@ -43,18 +44,18 @@
     }
 
     private void take(Incarnation life, long us, Event event) {
-        if (event instanceof Event.Sent s) {
+        if (event instanceof Event.AttemptSent s) {
             peer(s.server()).sent(us);
             life.sends.computeIfAbsent(s.server(), i -> new LongTable(1)).add(us);
             if (s.source() != null && !s.source().equals(s.server())) {
                 life.sends.computeIfAbsent(s.source(), i -> new LongTable(1)).add(us);
             }
-        } else if (event instanceof Event.Ended e) {
+        } else if (event instanceof Event.AttemptEnded e) {
             ended(life, us, e);
-        } else if (event instanceof Event.Taken t) {
+        } else if (event instanceof Event.RequestAdmitted t) {
             life.sums(us, t.type()).asked++;
             life.owes(t.request(), 1);
-        } else if (event instanceof Event.Answered a) {
+        } else if (event instanceof Event.RequestCompleted a) {
             RequestTotals s = life.sums(us, a.type());
             s.finals[a.kind().ordinal()]++;
             s.inTime += a.inTime() ? 1 : 0;
@@ -63,34 +64,34 @@
             if (a.why() != null) {
                 life.givenUp.merge(StoredNames.of(a.why()), 1L, Long::sum);
             }
-        } else if (event instanceof Event.Left l) {
+        } else if (event instanceof Event.ClientDisconnected l) {
             life.owes(l.request(), -1);
-        } else if (event instanceof Event.TurnedAway t) {
+        } else if (event instanceof Event.RequestRejected t) {
             life.turnedAway.merge(StoredNames.of(t.kind()), 1L, Long::sum);
-        } else if (event instanceof Event.Started s) {
+        } else if (event instanceof Event.ProxyStarted s) {
             life.started = s;
             life.startedUs = us;
-        } else if (event instanceof Event.Listed l) {
+        } else if (event instanceof Event.EndpointsChanged l) {
             life.listed(l, us);
         } else if (event instanceof Event.Purged p) {
             life.purges.put(p.index(), p);
             life.purgeToldUs.merge(p.index(), us, Math::min);
-        } else if (event instanceof Event.Ejected j) {
+        } else if (event instanceof Event.EndpointEjected j) {
             life.health.computeIfAbsent(j.server(), i -> new LongTable(2)).add(us, 1);
-        } else if (event instanceof Event.Returned r) {
+        } else if (event instanceof Event.EndpointRecovered r) {
             life.health.computeIfAbsent(r.server(), i -> new LongTable(2)).add(us, 0);
-        } else if (event instanceof Event.Pulse p) {
+        } else if (event instanceof Event.Heartbeat p) {
             life.openAt.put(us / 1_000_000, new long[] {p.open(), p.queued(), p.heapBytes(), p.lateUs()});
-        } else if (event instanceof Event.Draining) {
+        } else if (event instanceof Event.DrainStarted) {
             life.draining = true;
-        } else if (event instanceof Event.Finished) {
+        } else if (event instanceof Event.ProxyStopped) {
             life.finished = true;
-        } else if (event instanceof Event.Lost l) {
+        } else if (event instanceof Event.EventsLost l) {
             life.lost += l.events();
         }
     }
 
-    private void ended(Incarnation life, long us, Event.Ended e) {
+    private void ended(Incarnation life, long us, Event.AttemptEnded e) {
         peer(e.server()).ended(e, us);
         if (e.source() != null && !e.source().equals(e.server())) {
             peer(e.source()).filled(e, us);
--- a/src/main/java/petrelplank/analysis/RequestTotals.java
+++ b/src/main/java/petrelplank/analysis/RequestTotals.java
@@ -9,7 +9,7 @@
     private static final double MICRO = 1e6;
 
     long asked;
-    final long[] finals = new long[Event.Final.values().length];
+    final long[] finals = new long[Event.ResponseKind.values().length];
     long inTime;
     long askedMicro;
     long earnedMicro;
@@ -43,7 +43,7 @@
      * @param kind how
      * @return the count
      */
-    public long count(Event.Final kind) {
+    public long count(Event.ResponseKind kind) {
         return finals[kind.ordinal()];
     }
 
@@ -86,10 +86,10 @@
     Map<String, Object> tree() {
         Map<String, Object> t = new LinkedHashMap<>();
         t.put("asked", asked);
-        t.put("served", count(Event.Final.SERVED));
-        t.put("still", count(Event.Final.NOT_MODIFIED));
-        t.put("refused", count(Event.Final.REJECTED));
-        t.put("failed", count(Event.Final.FAILED));
+        t.put("served", count(Event.ResponseKind.SERVED));
+        t.put("still", count(Event.ResponseKind.NOT_MODIFIED));
+        t.put("refused", count(Event.ResponseKind.REJECTED));
+        t.put("failed", count(Event.ResponseKind.FAILED));
         t.put("inTime", inTime);
         t.put("worthAsked", worthAsked());
         t.put("worthEarned", worthEarned());
--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -115,7 +115,7 @@
         settings = c.settings();
         for (JsonFields known : c.known()) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(known);
-            front.told(event);
+            front.onEvent(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
                 change.entries().forEach(e -> list.add(e.member()));
             }
@@ -131,7 +131,7 @@
 
     /** Listens and follows the coordinator; ready once the event thread runs. */
     void open(InetSocketAddress address) throws IOException {
-        front.hold();
+        front.pause();
         clients.listen(address);
         loop.post(follower::start);
         loop.post(() -> routeOnceHeard(loop.now() + CATCH_UP_US));
@@ -146,7 +146,7 @@
      */
     private void routeOnceHeard(long untilUs) {
         if (follower.heard() || loop.now() >= untilUs) {
-            front.goOn();
+            front.resume();
         } else {
             loop.at(loop.now() + CATCH_UP_LOOK_US, () -> routeOnceHeard(untilUs));
         }
@@ -179,7 +179,7 @@
             return;
         }
         clients.ready(true);
-        String how = "serving at " + acceptor.getLocalAddress() + ", list at " + front.listIndex();
+        String how = "serving at " + acceptor.getLocalAddress() + ", list at " + front.lastEventIndex();
         if (follower.caughtUp()) {
             LOG.info(how);
         } else {
@@ -197,8 +197,8 @@
         List<DiscoveryEvent> events =
                 known.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
-            events.forEach(front::told);
-            LOG.info("SIGHUP: following the coordinator at " + coordinator + " from " + front.listIndex());
+            events.forEach(front::onEvent);
+            LOG.info("SIGHUP: following the coordinator at " + coordinator + " from " + front.lastEventIndex());
             follower.follow(coordinator);
         });
     }
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -77,7 +77,7 @@
     /** Once nothing is owed, and what may have lain unread when the time to take it was over has been read. */
     private void endWhenDone(long latest, long looks, Runnable ended) {
         boolean unread = io.looks() < looks;
-        if ((unread || front.owing() || acceptor.getScheduledWriteBytes() > 0) && loop.now() < latest) {
+        if ((unread || front.hasPendingRequests() || acceptor.getScheduledWriteBytes() > 0) && loop.now() < latest) {
             loop.at(loop.now() + FLUSH_US / 5, () -> endWhenDone(latest, looks, ended));
             return;
         }
--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -147,7 +147,8 @@
         } else {
             session = future.getSession();
             madeUs = loop.now();
-            session.write(IoBuffer.wrap(("follow " + front.listIndex() + "\n").getBytes(StandardCharsets.US_ASCII)));
+            session.write(
+                    IoBuffer.wrap(("follow " + front.lastEventIndex() + "\n").getBytes(StandardCharsets.US_ASCII)));
         }
     }
 
@@ -159,8 +160,8 @@
         breaks++;
         breaksInRow++;
         if (breaksInRow % LOGGED_ONE_IN == 1) {
-            LOG.warning(
-                    "coordinator " + why + ", following again from " + front.listIndex() + ", " + breaks + " so far");
+            LOG.warning("coordinator " + why + ", following again from " + front.lastEventIndex() + ", " + breaks
+                    + " so far");
         }
         again = loop.at(loop.now() + calls.broken(loop.now()), this::start);
     }
@@ -172,7 +173,7 @@
         heardUs = loop.now();
         breaksInRow = 0;
         calls.heard(heardUs, madeUs);
-        long last = front.listIndex();
+        long last = front.lastEventIndex();
         if (event instanceof DiscoveryEvent.Beat
                 ? event.index() > last
                 : event.index() > last + 1 && askedAgainFrom != last) {
@@ -186,7 +187,7 @@
             broken(mine, "sent an empty list");
         } else if (!(event instanceof DiscoveryEvent.Beat)) {
             heard = true;
-            front.told(event);
+            front.onEvent(event);
         } else {
             heard = true;
             caughtUp = true;
--- a/src/main/java/petrelplank/emulator/CacheNode.java
+++ b/src/main/java/petrelplank/emulator/CacheNode.java
@@ -38,10 +38,10 @@
      *
      * @param status how
      * @param cacheStatus what is told
-     * @param waitedUs for the source
+     * @param sourceWaitUs for the source
      * @param bornUs when the central stock gave the copy out
      */
-    record CacheReply(AttemptStatus status, CacheStatus cacheStatus, long waitedUs, long bornUs) {}
+    record CacheReply(AttemptStatus status, CacheStatus cacheStatus, long sourceWaitUs, long bornUs) {}
 
     /** A fill under way, and who waits for it. */
     private static final class Fill {
@@ -215,7 +215,8 @@
                 if (reply.status() == AttemptStatus.OK) {
                     send(
                             ask,
-                            new CacheReply(AttemptStatus.OK, CacheStatus.COALESCED, reply.waitedUs(), reply.bornUs()),
+                            new CacheReply(
+                                    AttemptStatus.OK, CacheStatus.COALESCED, reply.sourceWaitUs(), reply.bornUs()),
                             ends);
                 } else {
                     ends.accept(reply);
--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -19,7 +19,7 @@
 final class EmulatedProxy implements UpstreamClient {
     /** Carries a command to a server. */
     interface Network {
-        void fetch(EmulatedProxy from, Attempt attempt);
+        void send(EmulatedProxy from, Attempt attempt);
     }
 
     private static final int MOST_OPEN = 2_048;
@@ -73,19 +73,19 @@
         return alive;
     }
 
-    long listIndex() {
-        return front.listIndex();
+    long lastEventIndex() {
+        return front.lastEventIndex();
     }
 
     void told(DiscoveryEvent event) {
         if (alive) {
-            loop.postUrgent(() -> front.told(event));
+            loop.postUrgent(() -> front.onEvent(event));
             run();
         }
     }
 
     void take(ClientRequest asked, ResponseChannel channel) {
-        loop.post(() -> front.take(asked, channel, loop.clock()));
+        loop.post(() -> front.handle(asked, channel, loop.clock()));
         run();
     }
 
@@ -136,10 +136,10 @@
     }
 
     @Override
-    public void fetch(Attempt attempt) {
+    public void send(Attempt attempt) {
         out.put(attempt, clock.now());
         truth.sent(this, attempt);
-        network.fetch(this, attempt);
+        network.send(this, attempt);
     }
 
     @Override
@@ -151,8 +151,8 @@
     }
 
     @Override
-    public void listed(String id, InetSocketAddress address, long startedUs) {}
+    public void endpointListed(String id, InetSocketAddress address, long startedUs) {}
 
     @Override
-    public void gone(String id) {}
+    public void endpointRemoved(String id) {}
 }
--- a/src/main/java/petrelplank/emulator/GroundTruth.java
+++ b/src/main/java/petrelplank/emulator/GroundTruth.java
@@ -158,7 +158,7 @@
     void sent(EmulatedProxy front, Attempt attempt) {
         peer(attempt.server()).sent++;
         Map<String, Long> told = drainTold.get(front);
-        String source = attempt.fetch().source();
+        String source = attempt.request().source();
         for (String server : source == null ? List.of(attempt.server()) : List.of(attempt.server(), source)) {
             Long at = told.get(server);
             lateSends += at != null && front.clockUs() - at > Simulation.DRAIN_GRACE_US ? 1 : 0;
@@ -172,7 +172,7 @@
     void ended(EmulatedProxy front, Attempt attempt, UpstreamResponse answer, long tookUs) {
         String server = attempt.server();
         if (answer.status() == AttemptStatus.OK && answer.bornMs() > 0) {
-            long object = Long.parseUnsignedLong(attempt.fetch().object(), 16);
+            long object = Long.parseUnsignedLong(attempt.request().object(), 16);
             long sentUs = front.clockUs() - tookUs;
             boolean late = false;
             for (Map.Entry<DiscoveryEvent.Purge, Long> p : purgeTold.get(front).entrySet()) {
--- a/src/main/java/petrelplank/emulator/Simulation.java
+++ b/src/main/java/petrelplank/emulator/Simulation.java
@@ -210,7 +210,7 @@
                 ? 0
                 : Math.floorMod(Hash.mix(life), scenario.clockSpreadUs()) - scenario.clockSpreadUs() / 2;
         EmulatedProxy front = new EmulatedProxy(
-                clock, name, branch, settings(branch), life, apart, this::fetch, truth, sinks.apply(name, life));
+                clock, name, branch, settings(branch), life, apart, this::send, truth, sinks.apply(name, life));
         fronts.put(name, front);
         truth.started(front);
         told.forEach(e -> tell(front, e));
@@ -229,9 +229,9 @@
             long late = Math.max(0, heldUntilUs - clock.now());
             clock.after(late + 30_000 + random.nextInt(200_000), () -> {
                 // In order, whatever the way took: the number says what is still missing.
-                if (event.index() > front.listIndex()) {
+                if (event.index() > front.lastEventIndex()) {
                     told.stream()
-                            .filter(e -> e.index() > front.listIndex() && e.index() <= event.index())
+                            .filter(e -> e.index() > front.lastEventIndex() && e.index() <= event.index())
                             .toList()
                             .forEach(e -> tell(front, e));
                 }
@@ -301,8 +301,8 @@
         return (long) (us * (0.8 + 0.4 * ways.nextDouble()));
     }
 
-    private void fetch(EmulatedProxy front, Attempt attempt) {
-        UpstreamRequest f = attempt.fetch();
+    private void send(EmulatedProxy front, Attempt attempt) {
+        UpstreamRequest f = attempt.request();
         Catalogue.Item item = items.get(f.id());
         long object = Long.parseUnsignedLong(f.object(), 16);
         boolean write = f.serviceClass().equals("stock-move");
@@ -372,7 +372,7 @@
                 false,
                 null,
                 reply.cacheStatus(),
-                reply.waitedUs(),
+                reply.sourceWaitUs(),
                 reply.bornUs() / 1000,
                 load,
                 body);
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -191,7 +191,7 @@
             return;
         }
         long arrivedUs = owner.acceptor.unreadSinceUs();
-        loop.post(() -> owner.front.take(asked, channel, arrivedUs));
+        loop.post(() -> owner.front.handle(asked, channel, arrivedUs));
     }
 
     @Override
@@ -199,7 +199,7 @@
         FastCgiResponseChannel channel = open.remove(id);
         if (channel != null) {
             owner.held.addAndGet(-channel.bytes);
-            loop.post(() -> owner.front.left(channel.requestId, channel));
+            loop.post(() -> owner.front.clientDisconnected(channel.requestId, channel));
         }
     }
 
--- a/src/main/java/petrelplank/proxy/AdmissionController.java
+++ b/src/main/java/petrelplank/proxy/AdmissionController.java
@@ -52,12 +52,12 @@
         return exchange;
     }
 
-    /** Routes nothing until {@link #goOn}; what is taken waits, each no longer than its guard allows. */
-    void hold() {
+    /** Routes nothing until {@link #resume}; what is taken waits, each no longer than its guard allows. */
+    void pause() {
         waiting = new LinkedHashSet<>();
     }
 
-    void goOn() {
+    void resume() {
         Set<Exchange> all = waiting;
         waiting = null;
         if (all != null) {
@@ -84,7 +84,7 @@
     }
 
     /** Whether any request is still owed its answer. */
-    boolean owing() {
+    boolean hasPendingRequests() {
         return open.values().stream().anyMatch(e -> !e.over);
     }
 
--- a/src/main/java/petrelplank/proxy/Attempt.java
+++ b/src/main/java/petrelplank/proxy/Attempt.java
@@ -34,7 +34,7 @@
      *
      * @return the command
      */
-    public UpstreamRequest fetch() {
+    public UpstreamRequest request() {
         return fetch;
     }
 
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -56,7 +56,7 @@
         exchange.attempts.add(attempt);
         attempt.timer = loop.at(untilUs, () -> timeout(attempt));
         scribe.sent(attempt);
-        servers.fetch(attempt);
+        servers.send(attempt);
     }
 
     /** Guards the purge rule: rounded down, and never to 0, which would stand for the class's own limit. */
@@ -79,6 +79,6 @@
     private void withdraw(Attempt attempt, AttemptStatus status) {
         servers.abort(attempt);
         loop.post(() ->
-                relay.ended(attempt, UpstreamResponse.ended(attempt.fetch().id(), status)));
+                relay.ended(attempt, UpstreamResponse.ended(attempt.request().id(), status)));
     }
 }
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -24,7 +24,7 @@
     private long listIndex;
 
     /**
-     * A front without servers; {@link #told} brings them.
+     * A front without servers; {@link #onEvent} brings them.
      *
      * @param loop the event thread
      * @param settings the settings
@@ -66,20 +66,20 @@
      * @param channel who gets the answer
      * @param arrivedUs since when its last byte may have been there to be read
      */
-    public void take(ClientRequest asked, ResponseChannel channel, long arrivedUs) {
+    public void handle(ClientRequest asked, ResponseChannel channel, long arrivedUs) {
         if (channel.isOpen()) {
             takeIn.take(asked, channel, arrivedUs);
         }
     }
 
-    /** Routes nothing for now: the list may lack a drain or a purge. What is taken waits for {@link #goOn}. */
-    public void hold() {
-        admit.hold();
+    /** Routes nothing for now: the list may lack a drain or a purge. What is taken waits for {@link #resume}. */
+    public void pause() {
+        admit.pause();
     }
 
     /** The list is as new as it can be: what waits is routed, in the order in which it came. */
-    public void goOn() {
-        admit.goOn();
+    public void resume() {
+        admit.resume();
     }
 
     /**
@@ -88,7 +88,7 @@
      * @param id the request's id
      * @param channel who asked; another's request of the same id is left alone
      */
-    public void left(String id, ResponseChannel channel) {
+    public void clientDisconnected(String id, ResponseChannel channel) {
         Exchange exchange = admit.find(id);
         if (exchange != null && exchange.channel == channel && !exchange.over) {
             book.left(exchange);
@@ -101,7 +101,7 @@
      *
      * @param event what; numbers already known are passed over
      */
-    public void told(DiscoveryEvent event) {
+    public void onEvent(DiscoveryEvent event) {
         if (event.index() <= listIndex) {
             return;
         }
@@ -132,12 +132,12 @@
                 left.remove(entry.member().id());
             }
         }
-        left.forEach(servers::gone);
+        left.forEach(servers::endpointRemoved);
         listed.removeAll(left);
         for (DiscoveryEvent.Entry entry : change.entries()) {
             if (entry.member().state() != EndpointState.REMOVED) {
                 listed.add(entry.member().id());
-                servers.listed(
+                servers.endpointListed(
                         entry.member().id(), entry.address(), entry.member().startedUs());
             }
         }
@@ -148,7 +148,7 @@
      *
      * @return 0 before the first
      */
-    public long listIndex() {
+    public long lastEventIndex() {
         return listIndex;
     }
 
@@ -173,8 +173,8 @@
      *
      * @return whether one is open
      */
-    public boolean owing() {
-        return admit.owing();
+    public boolean hasPendingRequests() {
+        return admit.hasPendingRequests();
     }
 
     /**
--- a/src/main/java/petrelplank/proxy/EventRecorder.java
+++ b/src/main/java/petrelplank/proxy/EventRecorder.java
@@ -31,11 +31,11 @@
         this.classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
         this.flowKbPerSecond = settings.flowKbPerSecond();
         if (sink != null) {
-            record(new Event.Started(
+            record(new Event.ProxyStarted(
                     settings.zone(),
                     settings.zones(),
                     settings.classes().stream()
-                            .map(c -> new Event.ClassOf(
+                            .map(c -> new Event.ClassInfo(
                                     c.name(), c.priorityWeight(), c.deadlineUs(), c.idempotency(), c.write()))
                             .toList(),
                     settings.parentKind(),
@@ -51,34 +51,34 @@
         sink.record(loop.now(), event);
     }
 
-    private static Event.Final kind(ClientResponse.Kind kind) {
+    private static Event.ResponseKind kind(ClientResponse.Kind kind) {
         return switch (kind) {
-            case SERVED -> Event.Final.SERVED;
-            case NOT_MODIFIED -> Event.Final.NOT_MODIFIED;
-            case REJECTED -> Event.Final.REJECTED;
-            case FAILED -> Event.Final.FAILED;
-            case BAD_REQUEST -> Event.Final.BAD_REQUEST;
+            case SERVED -> Event.ResponseKind.SERVED;
+            case NOT_MODIFIED -> Event.ResponseKind.NOT_MODIFIED;
+            case REJECTED -> Event.ResponseKind.REJECTED;
+            case FAILED -> Event.ResponseKind.FAILED;
+            case BAD_REQUEST -> Event.ResponseKind.BAD_REQUEST;
         };
     }
 
     void taken(Exchange e) {
         if (sink != null) {
             ClientRequest asked = e.asked;
-            record(new Event.Taken(e.id, asked.serviceClass(), e.object, asked.group()));
+            record(new Event.RequestAdmitted(e.id, asked.serviceClass(), e.object, asked.group()));
         }
     }
 
     void turnedAway(ClientRequest asked, ClientResponse.Kind told) {
         if (sink != null) {
-            record(new Event.TurnedAway(
+            record(new Event.RequestRejected(
                     asked.id(), classes.containsKey(asked.serviceClass()) ? asked.serviceClass() : "", kind(told)));
         }
     }
 
     void sent(Attempt a) {
         if (sink != null) {
-            UpstreamRequest f = a.fetch();
-            record(new Event.Sent(
+            UpstreamRequest f = a.request();
+            record(new Event.AttemptSent(
                     a.exchange.id,
                     a.number,
                     f.serviceClass(),
@@ -91,8 +91,8 @@
 
     void ended(Attempt a, UpstreamResponse answer, long latencyUs) {
         if (sink != null) {
-            UpstreamRequest f = a.fetch();
-            record(new Event.Ended(
+            UpstreamRequest f = a.request();
+            record(new Event.AttemptEnded(
                     a.exchange.id,
                     a.number,
                     f.serviceClass(),
@@ -103,7 +103,7 @@
                     answer.status(),
                     answer.cacheStatus(),
                     latencyUs,
-                    answer.waitedUs(),
+                    answer.sourceWaitUs(),
                     answer.bornMs(),
                     answer.body().length,
                     load(answer.load())));
@@ -139,7 +139,7 @@
                     : type.priorityWeight()
                             * (inTime ? 1 : type.lateWeightFactor())
                             * (e.served == CacheStatus.STALE ? type.staleWeightFactor() : 1);
-            record(new Event.Answered(
+            record(new Event.RequestCompleted(
                     e.id,
                     e.asked.serviceClass(),
                     kind(answer.kind()),
@@ -160,7 +160,7 @@
 
     void left(Exchange e) {
         if (sink != null) {
-            record(new Event.Left(e.id));
+            record(new Event.ClientDisconnected(e.id));
         }
     }
 
@@ -171,13 +171,13 @@
         if (event instanceof DiscoveryEvent.Purge p) {
             record(new Event.Purged(p.index(), p.object(), p.object() != null ? -1 : p.group(), p.unixMs()));
         } else if (event instanceof DiscoveryEvent.Change c) {
-            record(new Event.Listed(
+            record(new Event.EndpointsChanged(
                     c.index(),
                     c.complete(),
                     c.entries().stream()
                             .map(entry -> {
                                 EndpointInfo m = entry.member();
-                                return new Event.Server(
+                                return new Event.ListedEndpoint(
                                         m.id(), m.zone(), m.kind(), m.state(), m.weight(), m.startedUs());
                             })
                             .toList()));
@@ -186,33 +186,33 @@
 
     void ejected(String server, boolean trial, long pauseUs) {
         if (sink != null) {
-            record(new Event.Ejected(server, trial, pauseUs));
+            record(new Event.EndpointEjected(server, trial, pauseUs));
         }
     }
 
     void recovered(String server) {
         if (sink != null) {
-            record(new Event.Returned(server));
+            record(new Event.EndpointRecovered(server));
         }
     }
 
     /** Writes down how the front is, once a second from now on. */
     void pulse(AdmissionController admit) {
         if (sink != null) {
-            record(new Event.Pulse(admit.size(), loop.size(), sink.heapBytes(), loop.latestLateUs()));
+            record(new Event.Heartbeat(admit.size(), loop.size(), sink.heapBytes(), loop.latestLateUs()));
             loop.at(loop.now() + PULSE_US, () -> pulse(admit));
         }
     }
 
     void draining(long answerAllUs) {
         if (sink != null) {
-            record(new Event.Draining(answerAllUs));
+            record(new Event.DrainStarted(answerAllUs));
         }
     }
 
     void finished() {
         if (sink != null) {
-            record(new Event.Finished());
+            record(new Event.ProxyStopped());
         }
     }
 }
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -35,8 +35,9 @@
         }
         // Guards the client against "your copy holds" of another copy than its own, or of none.
         boolean named = answered.tag() != null && answered.tag().equals(attempt.exchange.asked.tag());
-        UpstreamResponse answer =
-                answered.still() && !named ? UpstreamResponse.ended(answered.id(), AttemptStatus.ERROR) : answered;
+        UpstreamResponse answer = answered.notModified() && !named
+                ? UpstreamResponse.ended(answered.id(), AttemptStatus.ERROR)
+                : answered;
         attempt.ended = true;
         if (attempt.timer != null) {
             attempt.timer.cancel();
@@ -56,7 +57,7 @@
                             now - attempt.sentUs(),
                             exchange.over || serves,
                             answer.cacheStatus(),
-                            answer.waitedUs(),
+                            answer.sourceWaitUs(),
                             answer.load(),
                             answer.body().length / 1024.0));
         } finally {
@@ -64,7 +65,7 @@
                 exchange.served = answer.cacheStatus();
                 book.answer(
                         exchange,
-                        answer.still()
+                        answer.notModified()
                                 ? ClientResponse.of(ClientResponse.Kind.NOT_MODIFIED)
                                 : ClientResponse.served(answer.body()));
             }
--- a/src/main/java/petrelplank/proxy/UpstreamClient.java
+++ b/src/main/java/petrelplank/proxy/UpstreamClient.java
@@ -9,7 +9,7 @@
      *
      * @param attempt the attempt
      */
-    void fetch(Attempt attempt);
+    void send(Attempt attempt);
 
     /**
      * Gives an attempt up; nothing more is reported of it.
@@ -25,12 +25,12 @@
      * @param address where it listens
      * @param startedUs when it last started; 0 for long ago
      */
-    void listed(String id, InetSocketAddress address, long startedUs);
+    void endpointListed(String id, InetSocketAddress address, long startedUs);
 
     /**
      * A server is gone for good.
      *
      * @param id its id
      */
-    void gone(String id);
+    void endpointRemoved(String id);
 }
--- a/src/main/java/petrelplank/proxy/UpstreamRequest.java
+++ b/src/main/java/petrelplank/proxy/UpstreamRequest.java
@@ -16,7 +16,7 @@
  * @param tag the tag of the client's copy; null where it holds none
  * @param key the client's idempotency key, passed on unchanged with every attempt; null where it sent none
  * @param body bytes passed on
- * @param alone it can't be sent again at will, and goes out alone on a connection of its own
+ * @param dedicatedConnection it can't be sent again at will, and goes out alone on a connection of its own
  */
 public record UpstreamRequest(
         String id,
@@ -32,4 +32,4 @@
         String tag,
         String key,
         byte[] body,
-        boolean alone) {}
+        boolean dedicatedConnection) {}
--- a/src/main/java/petrelplank/proxy/UpstreamResponse.java
+++ b/src/main/java/petrelplank/proxy/UpstreamResponse.java
@@ -8,10 +8,10 @@
  *
  * @param id the request's id
  * @param status how the attempt ended
- * @param still the client's copy is the one, and there are no bytes
+ * @param notModified the client's copy is the one, and there are no bytes
  * @param tag the tag of the copy that it is about; null where none is told
  * @param cacheStatus what is told of the copy or the fill
- * @param waitedUs time waited for the source
+ * @param sourceWaitUs time waited for the source
  * @param bornMs Unix millisecond at which the origin gave this copy out; 0 where it is not told
  * @param load the load report, in the order of the settings; null where there is none
  * @param body the bytes
@@ -19,10 +19,10 @@
 public record UpstreamResponse(
         String id,
         AttemptStatus status,
-        boolean still,
+        boolean notModified,
         String tag,
         CacheStatus cacheStatus,
-        long waitedUs,
+        long sourceWaitUs,
         long bornMs,
         double[] load,
         byte[] body) {
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -16,7 +16,7 @@
 public sealed interface Event {
     /** How a request was answered in the end. */
     @StoredName("Final")
-    enum Final {
+    enum ResponseKind {
         /** The bytes. */
         @StoredName("SERVED")
         SERVED,
@@ -44,7 +44,7 @@
      * @param write runs at the origin
      */
     @StoredName("ClassOf")
-    record ClassOf(
+    record ClassInfo(
             @StoredName("name") String name,
             @StoredName("worth") double worth,
             @StoredName("deadlineUs") long deadlineUs,
@@ -65,10 +65,10 @@
      * @param connectUs a connection not made in this time failed
      */
     @StoredName("Started")
-    record Started(
+    record ProxyStarted(
             @StoredName("zone") String zone,
             @StoredName("zones") List<String> zones,
-            @StoredName("classes") List<ClassOf> classes,
+            @StoredName("classes") List<ClassInfo> classes,
             @StoredName("parentKind") @NullableComponent String parentKind,
             @StoredName("originKind") @NullableComponent String originKind,
             @StoredName("reportFields") List<String> reportFields,
@@ -86,7 +86,7 @@
      * @param group the object's group
      */
     @StoredName("Taken")
-    record Taken(
+    record RequestAdmitted(
             @StoredName("request") long request,
             @StoredName("type") String type,
             @StoredName("object") long object,
@@ -105,7 +105,7 @@
      * @param group the object's group
      */
     @StoredName("Sent")
-    record Sent(
+    record AttemptSent(
             @StoredName("request") long request,
             @StoredName("attempt") int attempt,
             @StoredName("type") String type,
@@ -128,13 +128,13 @@
      * @param status how
      * @param cacheStatus what is told of the copy or the fill
      * @param latencyUs time since it was sent
-     * @param waitedUs time that the server waited for the source
+     * @param sourceWaitUs time that the server waited for the source
      * @param bornMs Unix millisecond at which the origin gave the copy out; 0 where it is not told
      * @param bytes of the body
      * @param load the load report, in the order of the settings; empty where there is none
      */
     @StoredName("Ended")
-    record Ended(
+    record AttemptEnded(
             @StoredName("request") long request,
             @StoredName("attempt") int attempt,
             @StoredName("type") String type,
@@ -145,7 +145,7 @@
             @StoredName("status") AttemptStatus status,
             @StoredName("note") CacheStatus cacheStatus,
             @StoredName("latencyUs") long latencyUs,
-            @StoredName("waitedUs") long waitedUs,
+            @StoredName("waitedUs") long sourceWaitUs,
             @StoredName("bornMs") long bornMs,
             @StoredName("bytes") long bytes,
             @StoredName("load") List<Double> load)
@@ -165,10 +165,10 @@
      * @param why why it was refused or failed; absent where it was served or the front's own limits refused it
      */
     @StoredName("Answered")
-    record Answered(
+    record RequestCompleted(
             @StoredName("request") long request,
             @StoredName("type") String type,
-            @StoredName("kind") Final kind,
+            @StoredName("kind") ResponseKind kind,
             @StoredName("latencyUs") long latencyUs,
             @StoredName("bytes") long bytes,
             @StoredName("worth") double worth,
@@ -183,7 +183,7 @@
      * @param request the request's id, 16 hex digits as a number
      */
     @StoredName("Left")
-    record Left(@StoredName("request") long request) implements Event {}
+    record ClientDisconnected(@StoredName("request") long request) implements Event {}
 
     /**
      * A request was turned away before the router saw it: nothing was taken.
@@ -193,10 +193,11 @@
      * @param kind what it was told
      */
     @StoredName("TurnedAway")
-    record TurnedAway(
+    record RequestRejected(
             @StoredName("request") String request,
             @StoredName("type") String type,
-            @StoredName("kind") Final kind) implements Event {}
+            @StoredName("kind") ResponseKind kind)
+            implements Event {}
 
     /**
      * A listed server.
@@ -209,7 +210,7 @@
      * @param startedUs its late start; 0 for long ago
      */
     @StoredName("Server")
-    record Server(
+    record ListedEndpoint(
             @StoredName("id") String id,
             @StoredName("zone") String zone,
             @StoredName("kind") String kind,
@@ -225,10 +226,10 @@
      * @param servers the entries
      */
     @StoredName("Listed")
-    record Listed(
+    record EndpointsChanged(
             @StoredName("index") long index,
             @StoredName("complete") boolean complete,
-            @StoredName("servers") List<Server> servers)
+            @StoredName("servers") List<ListedEndpoint> servers)
             implements Event {}
 
     /**
@@ -255,7 +256,7 @@
      * @param pauseUs until the next trial
      */
     @StoredName("Ejected")
-    record Ejected(
+    record EndpointEjected(
             @StoredName("server") String server,
             @StoredName("trial") boolean trial,
             @StoredName("pauseUs") long pauseUs)
@@ -267,7 +268,7 @@
      * @param server which
      */
     @StoredName("Returned")
-    record Returned(@StoredName("server") String server) implements Event {}
+    record EndpointRecovered(@StoredName("server") String server) implements Event {}
 
     /**
      * How the front was in the last second.
@@ -278,7 +279,7 @@
      * @param lateUs the longest that a due timer waited
      */
     @StoredName("Pulse")
-    record Pulse(
+    record Heartbeat(
             @StoredName("open") int open,
             @StoredName("queued") int queued,
             @StoredName("heapBytes") long heapBytes,
@@ -291,11 +292,11 @@
      * @param answerAllUs when all will be answered
      */
     @StoredName("Draining")
-    record Draining(@StoredName("answerAllUs") long answerAllUs) implements Event {}
+    record DrainStarted(@StoredName("answerAllUs") long answerAllUs) implements Event {}
 
     /** A planned end; the last event of a life. */
     @StoredName("Finished")
-    record Finished() implements Event {}
+    record ProxyStopped() implements Event {}
 
     /**
      * Events before this one that the writer could not keep up with, or the disk not take.
@@ -303,5 +304,5 @@
      * @param events how many; their numbers are missing
      */
     @StoredName("Lost")
-    record Lost(@StoredName("events") long events) implements Event {}
+    record EventsLost(@StoredName("events") long events) implements Event {}
 }
--- a/src/main/java/petrelplank/record/EventSink.java
+++ b/src/main/java/petrelplank/record/EventSink.java
@@ -11,7 +11,7 @@
     void record(long unixUs, Event event);
 
     /**
-     * The memory that the process uses, for {@link Event.Pulse}.
+     * The memory that the process uses, for {@link Event.Heartbeat}.
      *
      * @return bytes; 0 where it is another's to know, as of an emulated front
      */
--- a/src/main/java/petrelplank/record/FileSink.java
+++ b/src/main/java/petrelplank/record/FileSink.java
@@ -75,7 +75,7 @@
             lost += unwritten.getAndSet(0);
         }
         if (lost > 0 && queue.remainingCapacity() > 1) {
-            queue.offer(new Entry(front, life, next++, unixUs, new Event.Lost(lost)));
+            queue.offer(new Entry(front, life, next++, unixUs, new Event.EventsLost(lost)));
             lost = 0;
         }
         if (!queue.offer(new Entry(front, life, next++, unixUs, event))) {
--- a/src/main/java/petrelplank/record/TraceLines.java
+++ b/src/main/java/petrelplank/record/TraceLines.java
@@ -22,9 +22,9 @@
     public void append(Entry entry) {
         long unixUs = entry.unixUs();
         Event event = entry.event();
-        if (event instanceof Event.Sent e) {
+        if (event instanceof Event.AttemptSent e) {
             line(unixUs, "sent", Long.toHexString(e.request()), e.attempt(), e.type(), e.server(), e.source());
-        } else if (event instanceof Event.Ended e) {
+        } else if (event instanceof Event.AttemptEnded e) {
             line(
                     unixUs,
                     "ended",
@@ -36,10 +36,10 @@
                     StoredNames.of(e.status()),
                     StoredNames.of(e.cacheStatus()),
                     e.latencyUs(),
-                    e.waitedUs(),
+                    e.sourceWaitUs(),
                     e.bytes(),
                     e.load());
-        } else if (event instanceof Event.Answered e) {
+        } else if (event instanceof Event.RequestCompleted e) {
             line(
                     unixUs,
                     "answered",
@@ -50,10 +50,10 @@
                     e.bytes(),
                     e.inTime(),
                     e.why() == null ? null : StoredNames.of(e.why()));
-        } else if (event instanceof Event.Taken e) {
+        } else if (event instanceof Event.RequestAdmitted e) {
             line(unixUs, "taken", Long.toHexString(e.request()), e.type(), Long.toHexString(e.object()), e.group());
-        } else if (event instanceof Event.Listed e) {
-            for (Event.Server s : e.servers()) {
+        } else if (event instanceof Event.EndpointsChanged e) {
+            for (Event.ListedEndpoint s : e.servers()) {
                 line(
                         unixUs,
                         "listed",
@@ -73,17 +73,17 @@
                     e.object() == null ? "-" : Long.toHexString(e.object()),
                     e.group(),
                     e.unixMs());
-        } else if (event instanceof Event.Ejected e) {
+        } else if (event instanceof Event.EndpointEjected e) {
             line(unixUs, "ejected", e.server(), e.trial(), e.pauseUs());
-        } else if (event instanceof Event.Returned e) {
+        } else if (event instanceof Event.EndpointRecovered e) {
             line(unixUs, "returned", e.server());
-        } else if (event instanceof Event.Started e) {
+        } else if (event instanceof Event.ProxyStarted e) {
             line(unixUs, "started", e.zone());
-        } else if (event instanceof Event.Pulse e) {
+        } else if (event instanceof Event.Heartbeat e) {
             line(unixUs, "pulse", e.open(), e.queued(), e.lateUs());
-        } else if (event instanceof Event.Lost e) {
+        } else if (event instanceof Event.EventsLost e) {
             line(unixUs, "lost", e.events());
-        } else if (event instanceof Event.TurnedAway e) {
+        } else if (event instanceof Event.RequestRejected e) {
             line(unixUs, "turned", e.request(), e.type(), StoredNames.of(e.kind()));
         }
         if (lines.length() >= BATCH) {
--- a/src/main/java/petrelplank/report/Summary.java
+++ b/src/main/java/petrelplank/report/Summary.java
@@ -34,9 +34,9 @@
                 text,
                 "asked %d, served %d, refused %d, failed %d; worth %.1f of %.1f (%s)",
                 all.asked(),
-                all.count(Event.Final.SERVED) + all.count(Event.Final.NOT_MODIFIED),
-                all.count(Event.Final.REJECTED),
-                all.count(Event.Final.FAILED),
+                all.count(Event.ResponseKind.SERVED) + all.count(Event.ResponseKind.NOT_MODIFIED),
+                all.count(Event.ResponseKind.REJECTED),
+                all.count(Event.ResponseKind.FAILED),
                 all.worthEarned(),
                 all.worthAsked(),
                 share(all.service()));
--- a/src/main/java/petrelplank/transport/BoundedAcceptor.java
+++ b/src/main/java/petrelplank/transport/BoundedAcceptor.java
@@ -83,7 +83,7 @@
      * Closes a connection that nothing is open on.
      *
      * @param session the connection
-     * @param still see {@link SharedProcessor#closeSpare}
+     * @param notModified see {@link SharedProcessor#closeSpare}
      * @param kept see there
      */
     public void closeSpare(IoSession session, BooleanSupplier still, Runnable kept) {
--- a/src/main/java/petrelplank/transport/SharedProcessor.java
+++ b/src/main/java/petrelplank/transport/SharedProcessor.java
@@ -95,7 +95,7 @@
      * its selector has looked; where there is something to read, the connection is kept. From any thread.
      *
      * @param session the connection
-     * @param still whether it may still be closed; asked in the I/O thread, after all that was read there
+     * @param notModified whether it may still be closed; asked in the I/O thread, after all that was read there
      * @param kept run in the I/O thread where the connection is kept
      */
     public void closeSpare(IoSession session, BooleanSupplier still, Runnable kept) {
--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -8,7 +8,7 @@
 final class CommandEncoder {
     private CommandEncoder() {}
 
-    static byte[] fetch(UpstreamRequest f, long limitMs) {
+    static byte[] request(UpstreamRequest f, long limitMs) {
         StringBuilder head = new StringBuilder(160)
                 .append("fetch ")
                 .append(f.id())
--- a/src/main/java/petrelplank/upstream/PendingAborts.java
+++ b/src/main/java/petrelplank/upstream/PendingAborts.java
@@ -28,13 +28,13 @@
 
     /** Whether an attempt has to wait; then it is kept until {@link #ended} or {@link #closed} hands it back. */
     boolean hold(Attempt attempt) {
-        Wait wait = waits.get(attempt.fetch().id());
+        Wait wait = waits.get(attempt.request().id());
         return wait != null && wait.held.add(attempt);
     }
 
     /** An attempt that may be waiting was given up itself. */
     void drop(Attempt attempt) {
-        Wait wait = waits.get(attempt.fetch().id());
+        Wait wait = waits.get(attempt.request().id());
         if (wait != null) {
             wait.held.remove(attempt);
         }
--- a/src/main/java/petrelplank/upstream/ResponseParser.java
+++ b/src/main/java/petrelplank/upstream/ResponseParser.java
@@ -60,10 +60,10 @@
                     answers.accept(new UpstreamResponse(
                             a.id(),
                             a.status(),
-                            a.still(),
+                            a.notModified(),
                             a.tag(),
                             a.cacheStatus(),
-                            a.waitedUs(),
+                            a.sourceWaitUs(),
                             a.bornMs(),
                             a.load(),
                             bytes));
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -93,7 +93,7 @@
 
     void send(Attempt attempt, long now) {
         if (session == null) {
-            open.put(attempt.fetch().id(), new Open(attempt, null));
+            open.put(attempt.request().id(), new Open(attempt, null));
         } else {
             write(attempt, now);
         }
@@ -101,8 +101,8 @@
 
     private void write(Attempt attempt, long now) {
         Command command =
-                new Command(CommandEncoder.fetch(attempt.fetch(), attempt.limitMs(now)), null, attempt::isAwaited);
-        open.put(attempt.fetch().id(), new Open(attempt, command));
+                new Command(CommandEncoder.request(attempt.request(), attempt.limitMs(now)), null, attempt::isAwaited);
+        open.put(attempt.request().id(), new Open(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
     }
 
@@ -114,7 +114,7 @@
      * @return whether an abort waits to be written, or the connection is being closed: until then the attempt is out
      */
     boolean abort(Attempt attempt, Runnable written) {
-        String id = attempt.fetch().id();
+        String id = attempt.request().id();
         if (withdraw(attempt) || !open.containsKey(id)) {
             return false;
         }
@@ -142,11 +142,11 @@
 
     /** Takes back an attempt of which nothing has been written; false where its writing may have begun. */
     boolean withdraw(Attempt attempt) {
-        Open held = open.get(attempt.fetch().id());
+        Open held = open.get(attempt.request().id());
         if (held == null || session != null && !held.command().withdraw()) {
             return false;
         }
-        open.remove(attempt.fetch().id());
+        open.remove(attempt.request().id());
         return true;
     }
 
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -74,10 +74,10 @@
     }
 
     @Override
-    public void listed(String id, InetSocketAddress address, long startedUs) {
+    public void endpointListed(String id, InetSocketAddress address, long startedUs) {
         UpstreamServer server = servers.get(id);
         if (server == null || !server.address.equals(address)) {
-            gone(id);
+            endpointRemoved(id);
             servers.put(id, new UpstreamServer(id, address));
             return;
         }
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void gone(String id) {
+    public void endpointRemoved(String id) {
         UpstreamServer server = servers.remove(id);
         if (server != null) {
             server.retireOlderThan(Long.MAX_VALUE);
@@ -93,15 +93,15 @@
     }
 
     @Override
-    public void fetch(Attempt attempt) {
+    public void send(Attempt attempt) {
         if (limits.copies() || !withdrawals.hold(attempt)) {
-            send(attempt);
+            dispatch(attempt);
         }
     }
 
-    private void send(Attempt attempt) {
+    private void dispatch(Attempt attempt) {
         UpstreamServer server = servers.get(attempt.server());
-        UpstreamConnection best = server == null ? null : choose(server, attempt.fetch());
+        UpstreamConnection best = server == null ? null : choose(server, attempt.request());
         if (best == null) {
             AttemptStatus status = server == null ? AttemptStatus.CONNECT_FAILED : AttemptStatus.NOT_SENT;
             loop.post(() -> end(attempt, status));
@@ -113,7 +113,7 @@
 
     /** The least loaded connection that takes a command, else a new one; null where the limits are reached. */
     private UpstreamConnection choose(UpstreamServer server, UpstreamRequest fetch) {
-        if (fetch.alone() && limits.share().free() > 0) {
+        if (fetch.dedicatedConnection() && limits.share().free() > 0) {
             // Guards what can't be sent again: an idle connection may be reset by the command that comes next, and
             // a shared one by another's fault. A new one carries it alone; its reset while new proves nothing ran.
             UpstreamConnection c = connect(server);
@@ -167,7 +167,7 @@
             return;
         }
         c.server.connections.remove(c);
-        withdrawals.closed(c).forEach(this::send);
+        withdrawals.closed(c).forEach(this::dispatch);
         List<UpstreamConnection.Open> all = c.drop();
         all.forEach(held -> carriers.remove(held.attempt()));
         boolean renew = reset && ++c.server.renewed <= MOST_RENEWED;
@@ -177,7 +177,7 @@
             } else if (renew) {
                 // Guards a good server against being taken for dead: a reset or its close of an idle connection
                 // crossed a command of which nothing was written, so nothing ran; a new one tells how it is.
-                send(held.attempt());
+                dispatch(held.attempt());
             } else {
                 end(held.attempt(), AttemptStatus.CONNECT_FAILED);
             }
@@ -203,7 +203,7 @@
     }
 
     private void end(Attempt attempt, AttemptStatus status) {
-        relay.ended(attempt, UpstreamResponse.ended(attempt.fetch().id(), status));
+        relay.ended(attempt, UpstreamResponse.ended(attempt.request().id(), status));
     }
 
     @Override
@@ -213,12 +213,12 @@
             withdrawals.drop(attempt);
             return;
         }
-        String id = attempt.fetch().id();
+        String id = attempt.request().id();
         if (c.abort(
                 attempt,
                 () -> loop.post(() -> {
                     c.abortEnded();
-                    withdrawals.ended(id, c).forEach(this::send);
+                    withdrawals.ended(id, c).forEach(this::dispatch);
                 }))) {
             withdrawals.began(id, c);
         }
--- a/src/test/java/petrelplank/analysis/FoldTest.java
+++ b/src/test/java/petrelplank/analysis/FoldTest.java
@@ -48,12 +48,12 @@
         List<Entry> entries = Emulated.of("calm", 1).entries();
         String front = "front-1.branch1";
         long last = entries.stream()
-                .filter(e -> e.front().equals(front))
+                .filter(e -> e.proxy().equals(front))
                 .mapToLong(Entry::number)
                 .max()
                 .orElse(0);
         List<Entry> rest = entries.stream()
-                .filter(e -> !e.front().equals(front) || e.number() < last / 3 || e.number() > last / 2)
+                .filter(e -> !e.proxy().equals(front) || e.number() < last / 3 || e.number() > last / 2)
                 .toList();
         IncidentTimeline course = Emulated.course(rest);
         assertEquals(0, course.unanswered());
@@ -95,12 +95,13 @@
         List<Entry> entries = new ArrayList<>();
         long from = 1_764_576_000_000_000L;
         Event[] events = {
-            new Event.Started("b", List.of("b"), List.of(), null, null, List.of(), 1_000_000, 500_000, 1),
-            new Event.Listed(1, true, List.of(new Event.Server("s", "b", "box", EndpointState.DRAINING, 1, 0))),
+            new Event.ProxyStarted("b", List.of("b"), List.of(), null, null, List.of(), 1_000_000, 500_000, 1),
+            new Event.EndpointsChanged(
+                    1, true, List.of(new Event.ListedEndpoint("s", "b", "box", EndpointState.DRAINING, 1, 0))),
             new Event.Purged(2, null, 7, from / 1000 + 2),
-            new Event.Sent(1, 0, "c", "s", null, 1, 7),
-            new Event.Sent(2, 0, "c", "t", "s", 1, 7),
-            new Event.Ended(
+            new Event.AttemptSent(1, 0, "c", "s", null, 1, 7),
+            new Event.AttemptSent(2, 0, "c", "t", "s", 1, 7),
+            new Event.AttemptEnded(
                     1,
                     0,
                     "c",
@@ -163,9 +164,9 @@
     @Test
     void secondFinalAnswerAndAMissingOneAreFound() {
         long from = 1_764_576_000_000_000L;
-        Event taken = new Event.Taken(1, "c", 1, 1);
-        Event answer = new Event.Answered(1, "c", Event.Final.SERVED, 1, 1, 1, true, 0, null);
-        Event[] events = {taken, answer, answer, new Event.Taken(2, "c", 1, 1)};
+        Event taken = new Event.RequestAdmitted(1, "c", 1, 1);
+        Event answer = new Event.RequestCompleted(1, "c", Event.ResponseKind.SERVED, 1, 1, 1, true, 0, null);
+        Event[] events = {taken, answer, answer, new Event.RequestAdmitted(2, "c", 1, 1)};
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < events.length; i++) {
             entries.add(new Entry("f", 1, i, from, events[i]));
--- a/src/test/java/petrelplank/analysis/StoredIncidentTest.java
+++ b/src/test/java/petrelplank/analysis/StoredIncidentTest.java
@@ -22,7 +22,7 @@
         assertEquals(List.of(), reader.troubles());
         assertEquals(466, course.entries());
         assertEquals(106, course.total().asked());
-        assertEquals(106, course.total().count(Event.Final.SERVED));
+        assertEquals(106, course.total().count(Event.ResponseKind.SERVED));
         assertEquals(103, course.total().inTime());
         assertEquals(139.0, course.total().worthAsked());
         assertEquals(136.6, course.total().worthEarned());
--- a/src/test/java/petrelplank/analysis/TruthTest.java
+++ b/src/test/java/petrelplank/analysis/TruthTest.java
@@ -140,7 +140,9 @@
         }
         // Refused and failed, the router said why; the front's own limits turned nobody away in these.
         long why = course.givenUp().values().stream().mapToLong(n -> n).sum();
-        if (why != course.total().count(Event.Final.REJECTED) + course.total().count(Event.Final.FAILED)
+        if (why
+                        != course.total().count(Event.ResponseKind.REJECTED)
+                                + course.total().count(Event.ResponseKind.FAILED)
                 || !course.turnedAway().isEmpty()) {
             wrong.add("reasons for " + why + " requests: " + course.givenUp() + course.turnedAway());
         }
--- a/src/test/java/petrelplank/cli/LoopbackFixture.java
+++ b/src/test/java/petrelplank/cli/LoopbackFixture.java
@@ -137,19 +137,19 @@
         Set<Long> over = new HashSet<>();
         Set<String> out = new HashSet<>();
         for (Event event : recorded) {
-            if (event instanceof Event.Taken t) {
+            if (event instanceof Event.RequestAdmitted t) {
                 assertTrue(taken.add(t.request()), t.toString());
-            } else if (event instanceof Event.Sent s) {
+            } else if (event instanceof Event.AttemptSent s) {
                 assertTrue(taken.contains(s.request()) && out.add(s.request() + " " + s.attempt()), s.toString());
-            } else if (event instanceof Event.Ended e) {
+            } else if (event instanceof Event.AttemptEnded e) {
                 assertTrue(out.remove(e.request() + " " + e.attempt()), e.toString());
-            } else if (event instanceof Event.Answered a) {
+            } else if (event instanceof Event.RequestCompleted a) {
                 assertTrue(taken.contains(a.request()) && over.add(a.request()), a.toString());
-            } else if (event instanceof Event.Left l) {
+            } else if (event instanceof Event.ClientDisconnected l) {
                 assertTrue(taken.contains(l.request()) && over.add(l.request()), l.toString());
             }
         }
-        assertTrue(recorded.get(0) instanceof Event.Started);
+        assertTrue(recorded.get(0) instanceof Event.ProxyStarted);
     }
 
     /** What a client tells of a request for the usual object, as pairs of name and value. */
--- a/src/test/java/petrelplank/cli/LoopbackGoneClientsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackGoneClientsTest.java
@@ -58,7 +58,7 @@
 
     @Test
     void requestOfAClientThatClosedIsNotRouted() throws IOException, InterruptedException {
-        holdAt(Event.Taken.class);
+        holdAt(Event.RequestAdmitted.class);
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         reached.await();
         try (FcgiClient gone = new FcgiClient(front.address())) {
@@ -68,12 +68,13 @@
         goOn.countDown();
         assertThat(cache.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         nothingWasSentForIt();
-        assertThat(recorded.stream().filter(Event.Taken.class::isInstance)).hasSize(2);
+        assertThat(recorded.stream().filter(Event.RequestAdmitted.class::isInstance))
+                .hasSize(2);
     }
 
     @Test
     void attemptOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
-        holdAt(Event.Sent.class);
+        holdAt(Event.AttemptSent.class);
         try (FcgiClient gone = new FcgiClient(front.address())) {
             askOn(gone, REMOVED);
             reached.await();
@@ -85,7 +86,7 @@
 
     @Test
     void attemptOfACancelledRequestIsNotWritten() throws IOException, InterruptedException {
-        holdAt(Event.Sent.class);
+        holdAt(Event.AttemptSent.class);
         try (FcgiClient gone = new FcgiClient(front.address())) {
             askOn(gone, REMOVED);
             reached.await();
@@ -102,7 +103,7 @@
         try (FcgiClient gone = new FcgiClient(front.address())) {
             askOn(gone, REMOVED);
             FakeServer.Line first = cache.next();
-            holdAt(Event.Ended.class);
+            holdAt(Event.AttemptEnded.class);
             first.reset();
             reached.await();
         }
--- a/src/test/java/petrelplank/cli/OtherSiteTest.java
+++ b/src/test/java/petrelplank/cli/OtherSiteTest.java
@@ -158,8 +158,11 @@
             Thread.sleep(5);
             List<Event> all = List.copyOf(recorded);
             List<Event> since = all.subList(before, all.size());
-            sent = (int) since.stream().filter(e -> e instanceof Event.Sent).count();
-            over = (int) since.stream().filter(e -> e instanceof Event.Answered).count();
+            sent = (int)
+                    since.stream().filter(e -> e instanceof Event.AttemptSent).count();
+            over = (int) since.stream()
+                    .filter(e -> e instanceof Event.RequestCompleted)
+                    .count();
         }
         assertThat(sent + over).isEqualTo(12);
         for (int i = 0; i < over; i++) {
--- a/src/test/java/petrelplank/record/RecordTest.java
+++ b/src/test/java/petrelplank/record/RecordTest.java
@@ -116,7 +116,7 @@
     @Test
     void whatIsNoRecordFileIsNamedAndTheRestIsRead() throws IOException {
         DirectSink sink = new DirectSink(settings(), "front-1", 42);
-        sink.record(FROM, new Event.Finished());
+        sink.record(FROM, new Event.ProxyStopped());
         sink.close();
         Files.writeString(folder.resolve("notes.txt"), "not one of ours");
         Files.write(folder.resolve("zero"), new byte[0]);
@@ -131,7 +131,7 @@
         RecordSettings small = new RecordSettings(folder, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
         RecordFileWriter log = new RecordFileWriter(small, "front-1", 42);
         for (int i = 0; i < 20_000; i++) {
-            log.append(new Entry("front-1", 42, i, FROM + i, new Event.Left(i * 0x9e3779b97f4a7c15L)));
+            log.append(new Entry("front-1", 42, i, FROM + i, new Event.ClientDisconnected(i * 0x9e3779b97f4a7c15L)));
         }
         log.close();
         long total = 0;
@@ -143,8 +143,8 @@
         assertEquals(19_999, back.get(back.size() - 1).number());
         assertTrue(back.get(0).number() > 0);
         RecordFileWriter next = new RecordFileWriter(RecordSettings.in(folder.resolve("aged")), "front-1", 43);
-        next.append(new Entry("front-1", 43, 0, FROM, new Event.Finished()));
-        next.append(new Entry("front-1", 43, 1, FROM + 3_600_000_001L, new Event.Finished()));
+        next.append(new Entry("front-1", 43, 0, FROM, new Event.ProxyStopped()));
+        next.append(new Entry("front-1", 43, 1, FROM + 3_600_000_001L, new Event.ProxyStopped()));
         next.close();
         try (Stream<Path> aged = Files.list(folder.resolve("aged"))) {
             assertEquals(2, aged.count());
@@ -166,20 +166,20 @@
         });
         FileSink sink = new FileSink(tight.queued(), "front-1", 42, stuck);
         for (int i = 0; i < 1000; i++) {
-            sink.record(FROM + i, new Event.Left(i));
+            sink.record(FROM + i, new Event.ClientDisconnected(i));
         }
         go.countDown();
         long lost = -1;
         for (int tries = 0; lost < 0; tries++) {
             // Room comes as the writer goes on; the next event then carries the count.
-            sink.record(FROM + 2000 + tries, new Event.Returned("box"));
+            sink.record(FROM + 2000 + tries, new Event.EndpointRecovered("box"));
             lost = sink.unsaid() > 0 ? -1 : 0;
         }
         sink.close();
         List<Entry> back = read(folder, new ArrayList<>());
         long told = back.stream()
-                .filter(e -> e.event() instanceof Event.Lost)
-                .mapToLong(e -> ((Event.Lost) e.event()).events())
+                .filter(e -> e.event() instanceof Event.EventsLost)
+                .mapToLong(e -> ((Event.EventsLost) e.event()).events())
                 .sum();
         long last = back.get(back.size() - 1).number();
         assertTrue(told >= 1000 - 2 * 16 - 512, "told " + told);
@@ -191,21 +191,21 @@
     void onlyTheFrontsOwnOldFilesGo() throws IOException {
         RecordSettings small = new RecordSettings(folder, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
         RecordFileWriter other = new RecordFileWriter(small, "front-1.branch1", 7);
-        other.append(new Entry("front-1.branch1", 7, 0, FROM, new Event.Finished()));
+        other.append(new Entry("front-1.branch1", 7, 0, FROM, new Event.ProxyStopped()));
         other.close();
         RecordFileWriter log = new RecordFileWriter(small, "front", 42);
         for (int i = 0; i < 20_000; i++) {
-            log.append(new Entry("front", 42, i, FROM + i, new Event.Left(i * 0x9e3779b97f4a7c15L)));
+            log.append(new Entry("front", 42, i, FROM + i, new Event.ClientDisconnected(i * 0x9e3779b97f4a7c15L)));
         }
         log.close();
         List<Entry> back = read(folder, new ArrayList<>());
-        assertEquals(1, back.stream().filter(e -> e.life() == 7).count());
+        assertEquals(1, back.stream().filter(e -> e.incarnation() == 7).count());
         assertTrue(back.size() < 20_000);
         RecordFileWriter odd = new RecordFileWriter(RecordSettings.in(folder.resolve("odd")), "../a b", 1);
-        odd.append(new Entry("../a b", 1, 0, FROM, new Event.Finished()));
+        odd.append(new Entry("../a b", 1, 0, FROM, new Event.ProxyStopped()));
         odd.close();
         assertEquals(
-                "../a b", read(folder.resolve("odd"), new ArrayList<>()).get(0).front());
+                "../a b", read(folder.resolve("odd"), new ArrayList<>()).get(0).proxy());
     }
 
     @Test
@@ -256,7 +256,7 @@
         for (int i = 0; i < 3000; i++) {
             full[0] = i >= 1000 && i < 2000;
             try {
-                log.append(new Entry("front-1", 42, i, FROM + i * 100_000L, new Event.Finished()));
+                log.append(new Entry("front-1", 42, i, FROM + i * 100_000L, new Event.ProxyStopped()));
             } catch (IOException e) {
                 assertEquals("No space left on device", e.getMessage());
                 failed++;
@@ -284,17 +284,17 @@
         });
         FileSink sink = new FileSink(quick.queued(), "front-1", 42, log);
         for (int i = 0; i < 40; i++) {
-            sink.record(FROM + i, new Event.Left(i));
+            sink.record(FROM + i, new Event.ClientDisconnected(i));
         }
         while (sink.unsaid() < 40) {
             Thread.onSpinWait();
         }
         full.set(false);
-        sink.record(FROM + 2_000_000, new Event.Finished());
+        sink.record(FROM + 2_000_000, new Event.ProxyStopped());
         sink.close();
         List<Entry> back = read(folder, new ArrayList<>());
         assertEquals(
-                List.of(new Event.Lost(40), new Event.Finished()),
+                List.of(new Event.EventsLost(40), new Event.ProxyStopped()),
                 back.stream().map(Entry::event).toList());
     }
 }
--- a/src/test/java/petrelplank/record/Samples.java
+++ b/src/test/java/petrelplank/record/Samples.java
@@ -11,22 +11,23 @@
 public final class Samples {
     /** One of each type, some with what may be absent. */
     public static final List<Event> EVENTS = List.of(
-            new Event.Started(
+            new Event.ProxyStarted(
                     "branch1",
                     List.of("hub1", "branch1"),
-                    List.of(new Event.ClassOf("media", 2, 6_000_000, Idempotency.IDEMPOTENT, false)),
+                    List.of(new Event.ClassInfo("media", 2, 6_000_000, Idempotency.IDEMPOTENT, false)),
                     "hub",
                     null,
                     List.of("x1"),
                     1_000_000,
                     500_000,
                     100_000),
-            new Event.Listed(1, true, List.of(new Event.Server("box-1", "branch1", "box", EndpointState.UP, 6.5, 0))),
+            new Event.EndpointsChanged(
+                    1, true, List.of(new Event.ListedEndpoint("box-1", "branch1", "box", EndpointState.UP, 6.5, 0))),
             new Event.Purged(2, 7L, -1, 1_764_576_000_123L),
             new Event.Purged(3, null, 17, 1_764_576_000_480L),
-            new Event.Taken(0x9b1f03aa5c7e2d41L, "media", -1, 17),
-            new Event.Sent(0x9b1f03aa5c7e2d41L, 0, "media", "box-1", null, -1, 17),
-            new Event.Ended(
+            new Event.RequestAdmitted(0x9b1f03aa5c7e2d41L, "media", -1, 17),
+            new Event.AttemptSent(0x9b1f03aa5c7e2d41L, 0, "media", "box-1", null, -1, 17),
+            new Event.AttemptEnded(
                     0x9b1f03aa5c7e2d41L,
                     0,
                     "media",
@@ -41,17 +42,18 @@
                     1_764_576_000_000L,
                     4096,
                     List.of(0.5, 3.25)),
-            new Event.Answered(0x9b1f03aa5c7e2d41L, "media", Event.Final.SERVED, 12_500, 4096, 2, true, 0, null),
-            new Event.Answered(
-                    1, "media", Event.Final.REJECTED, 9, 0, 0, false, 2000, TerminationReason.FILL_NOT_ALLOWED),
-            new Event.Left(2),
-            new Event.TurnedAway("", "", Event.Final.BAD_REQUEST),
-            new Event.Ejected("box-1", true, 400_000),
-            new Event.Returned("box-1"),
-            new Event.Pulse(3, 0, 1 << 20, 12),
-            new Event.Lost(5),
-            new Event.Draining(9),
-            new Event.Finished());
+            new Event.RequestCompleted(
+                    0x9b1f03aa5c7e2d41L, "media", Event.ResponseKind.SERVED, 12_500, 4096, 2, true, 0, null),
+            new Event.RequestCompleted(
+                    1, "media", Event.ResponseKind.REJECTED, 9, 0, 0, false, 2000, TerminationReason.FILL_NOT_ALLOWED),
+            new Event.ClientDisconnected(2),
+            new Event.RequestRejected("", "", Event.ResponseKind.BAD_REQUEST),
+            new Event.EndpointEjected("box-1", true, 400_000),
+            new Event.EndpointRecovered("box-1"),
+            new Event.Heartbeat(3, 0, 1 << 20, 12),
+            new Event.EventsLost(5),
+            new Event.DrainStarted(9),
+            new Event.ProxyStopped());
 
     private Samples() {}
 }
--- a/src/test/java/petrelplank/record/TraceLinesTest.java
+++ b/src/test/java/petrelplank/record/TraceLinesTest.java
@@ -20,12 +20,12 @@
     void eachEventIsALineOfFieldsAndNothingIsKeptBack() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         TraceLines lines = new TraceLines(new PrintStream(bytes, false, StandardCharsets.UTF_8));
-        entry(lines, 1_000_000, new Event.Taken(0xab, "pages", 0xcd, 7));
-        entry(lines, 1_000_010, new Event.Sent(0xab, 0, "pages", "s-1", null, 0xcd, 7));
+        entry(lines, 1_000_000, new Event.RequestAdmitted(0xab, "pages", 0xcd, 7));
+        entry(lines, 1_000_010, new Event.AttemptSent(0xab, 0, "pages", "s-1", null, 0xcd, 7));
         entry(
                 lines,
                 1_050_000,
-                new Event.Ended(
+                new Event.AttemptEnded(
                         0xab,
                         0,
                         "pages",
@@ -43,10 +43,12 @@
         entry(
                 lines,
                 1_060_000,
-                new Event.Listed(
-                        3, false, List.of(new Event.Server("s-1", "edge", "box", EndpointState.DRAINING, 5, 0))));
-        entry(lines, 1_070_000, new Event.Finished());
-        entry(lines, 1_080_000, new Event.Lost(3));
+                new Event.EndpointsChanged(
+                        3,
+                        false,
+                        List.of(new Event.ListedEndpoint("s-1", "edge", "box", EndpointState.DRAINING, 5, 0))));
+        entry(lines, 1_070_000, new Event.ProxyStopped());
+        entry(lines, 1_080_000, new Event.EventsLost(3));
         lines.close();
         assertEquals("""
             @1000000\ttaken\tab\tpages\tcd\t7
--- a/src/test/java/petrelplank/upstream/LineParserTest.java
+++ b/src/test/java/petrelplank/upstream/LineParserTest.java
@@ -47,10 +47,10 @@
         UpstreamResponse first = answers.get(0);
         assertEquals("r1", first.id());
         assertEquals(CacheStatus.FILLED_FROM_ORIGIN, first.cacheStatus());
-        assertEquals(12_500, first.waitedUs());
+        assertEquals(12_500, first.sourceWaitUs());
         assertArrayEquals(new double[] {7, 0, 0.61}, first.load());
         assertArrayEquals(bytes("a\r\nb\n"), first.body());
-        assertTrue(answers.get(1).still());
+        assertTrue(answers.get(1).notModified());
         assertEquals("4be0", answers.get(1).tag());
     }
 
@@ -126,6 +126,6 @@
     }
 
     private static String text(UpstreamRequest fetch) {
-        return new String(CommandEncoder.fetch(fetch, 900), StandardCharsets.ISO_8859_1);
+        return new String(CommandEncoder.request(fetch, 900), StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/test/java/petrelplank/upstream/WithdrawnTest.java
+++ b/src/test/java/petrelplank/upstream/WithdrawnTest.java
@@ -67,7 +67,7 @@
     }
 
     private boolean abort(Attempt attempt) {
-        return connection.abort(attempt, () -> written.add(attempt.fetch().id()));
+        return connection.abort(attempt, () -> written.add(attempt.request().id()));
     }
 
     /** It used to go out once the server read again, behind the request's final answer, with its abort after it. */
