--- a/src/main/java/petrelplank/upstream/CommandQueue.java
+++ b/src/main/java/petrelplank/upstream/CommandQueue.java
@@ -23,7 +23,7 @@
     @Override
     public WriteRequest poll(IoSession session) {
         WriteRequest next = waiting.poll();
-        while (next instanceof Command command && !command.take(session)) {
+        while (next instanceof EncodedCommand command && !command.take(session)) {
             ((AbstractIoSession) session).decreaseScheduledBytesAndMessages(next);
             next = waiting.poll();
         }
--- a/src/main/java/petrelplank/upstream/Command.java
+++ b/src/main/java/petrelplank/upstream/EncodedCommand.java
@@ -11,7 +11,7 @@
  * One command between being queued for its connection and being written. The I/O thread takes it when its turn to be
  * written has come, the event thread may withdraw it before; whoever is first has decided.
  */
-final class Command extends DefaultWriteRequest {
+final class EncodedCommand extends DefaultWriteRequest {
     private enum State {
         QUEUED,
         TAKEN,
@@ -31,7 +31,7 @@
      * @param written told of its end; null where nobody asks
      * @param wanted whether it is to be written still, asked in the I/O thread as its turn comes
      */
-    Command(byte[] bytes, WriteFuture written, BooleanSupplier wanted) {
+    EncodedCommand(byte[] bytes, WriteFuture written, BooleanSupplier wanted) {
         super(IoBuffer.wrap(bytes), written);
         this.length = bytes.length;
         this.wanted = wanted;
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -19,7 +19,7 @@
     private static final int ANSWERED_KEPT = 256;
 
     /** An attempt on this connection, and its command; null as long as the connection is not made. */
-    record Open(Attempt attempt, Command command) {}
+    record Open(Attempt attempt, EncodedCommand command) {}
 
     final UpstreamServer server;
     final long createdUs;
@@ -100,8 +100,8 @@
     }
 
     private void write(Attempt attempt, long now) {
-        Command command =
-                new Command(CommandEncoder.request(attempt.request(), attempt.limitMs(now)), null, attempt::isAwaited);
+        EncodedCommand command = new EncodedCommand(
+                CommandEncoder.request(attempt.request(), attempt.limitMs(now)), null, attempt::isAwaited);
         open.put(attempt.request().id(), new Open(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
     }
@@ -128,7 +128,7 @@
             retiring = true;
         }
         DefaultWriteFuture future = new DefaultWriteFuture(session);
-        Command command = new Command(CommandEncoder.abort(id), future, () -> true);
+        EncodedCommand command = new EncodedCommand(CommandEncoder.abort(id), future, () -> true);
         unwrittenAborts++;
         // MINA tells of writes as done, too, where it drops them since the connection is being closed.
         future.addListener(f -> {
--- a/src/test/java/petrelplank/upstream/ServerPoolTest.java
+++ b/src/test/java/petrelplank/upstream/ConnectionLimitsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-class ServerPoolTest {
+class ConnectionLimitsTest {
     /** However many fronts a branch gets, what they keep at one server has a bound: 32, or one each. */
     @Test
     void connectionsOfAllFrontsAtOneServerAreBounded() {
--- a/src/test/java/petrelplank/upstream/LineParserTest.java
+++ b/src/test/java/petrelplank/upstream/ResponseParserTest.java
@@ -20,7 +20,7 @@
 import petrelplank.routing.CacheStatus;
 import petrelplank.wire.Cuts;
 
-class LineParserTest {
+class ResponseParserTest {
     private static final byte[] ANSWERS = bytes("r1 ACK ver=ab,born=17,tell=MISS_ORIGIN,waited=12.5,"
             + "meter=concurrent:7;x1:0.61 5\r\na\r\nb\n\r\nr2 NOMOD ver=4be0,tell=HIT 0\r\n\r\nr3 NOENT - 0\r\n\r\n"
             + "r4 AGAIN tell=UP_BUSY 0\r\n\r\nr5 EIO - 0\r\n\r\nr6 STALE - 0\r\n\r\n");
--- a/src/test/java/petrelplank/upstream/WithdrawnTest.java
+++ b/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
@@ -20,7 +20,7 @@
 import petrelplank.proxy.ResponseChannel;
 
 /** What is given up before it was written never is; what is given up half written goes with its connection. */
-class WithdrawnTest {
+class UpstreamConnectionTest {
     /** A server that reads nothing: what is written to it waits until the test writes it. */
     private static final class Blocked extends DummySession {
         private final CommandQueue waiting = new CommandQueue();
