--- /dev/null
+++ b/src/main/java/petrelplank/upstream/ResponseFields.java
@@ -0,0 +1,134 @@
+package petrelplank.upstream;
+
+import java.util.List;
+import petrelplank.routing.CacheStatus;
+import petrelplank.upstream.MalformedException.Reason;
+
+/** The optional fields of a response header, {@code name=value} with commas between; unknown names are ignored. */
+final class ResponseFields {
+    private static final String NO_FIELDS = "-";
+    private static final int US_PER_MS = 1000;
+    private static final int MAX_TIME_DIGITS = 15;
+
+    private final List<String> loadFieldNames;
+    private CacheStatus cacheStatus = CacheStatus.NONE;
+    private String tag;
+    private long sourceWaitUs;
+    private long bornMs;
+    private double[] load;
+
+    private ResponseFields(List<String> loadFieldNames) {
+        this.loadFieldNames = loadFieldNames;
+    }
+
+    /**
+     * Decodes the fields of a header.
+     *
+     * @param text the fields, or a dash for none
+     * @param loadFieldNames names of the values in a load report, in the order in which they are returned
+     * @throws MalformedException where a field has no value, or a number is expected and none is there
+     */
+    static ResponseFields decode(String text, List<String> loadFieldNames) {
+        ResponseFields fields = new ResponseFields(loadFieldNames);
+        if (!text.equals(NO_FIELDS)) {
+            for (String field : text.split(",", -1)) {
+                int equals = field.indexOf('=');
+                if (equals < 0) {
+                    throw new MalformedException(Reason.FIELD_WITHOUT_VALUE);
+                }
+                fields.set(field.substring(0, equals), field.substring(equals + 1));
+            }
+        }
+        return fields;
+    }
+
+    private void set(String name, String value) {
+        switch (name) {
+            case "tell" -> cacheStatus = cacheStatus(value);
+            case "ver" -> tag = value;
+            case "waited" -> sourceWaitUs = (long) (decimal("waited", value) * US_PER_MS);
+            case "born" -> bornMs = bornMs(value);
+            case "meter" -> load = load(value);
+            default -> {}
+        }
+    }
+
+    /** What the response says about the copy or the fill; {@link CacheStatus#NONE} where it says nothing. */
+    CacheStatus cacheStatus() {
+        return cacheStatus;
+    }
+
+    /** The tag of the copy that the response is about; null where none is given. */
+    String tag() {
+        return tag;
+    }
+
+    /** Time that the cache waited for its fill source. */
+    long sourceWaitUs() {
+        return sourceWaitUs;
+    }
+
+    /** Unix millisecond at which the origin issued the copy; 0 where it is not given. */
+    long bornMs() {
+        return bornMs;
+    }
+
+    /** The load report, in the order of the load fields' names; null where there is none. */
+    double[] load() {
+        return load;
+    }
+
+    /** The one mapping from cache status words on the wire to the router's; a word of a newer server says nothing. */
+    private static CacheStatus cacheStatus(String word) {
+        return switch (word) {
+            case "HIT" -> CacheStatus.HIT;
+            case "MISS" -> CacheStatus.FILLED;
+            case "MISS_ORIGIN" -> CacheStatus.FILLED_FROM_ORIGIN;
+            case "COLLAPSED" -> CacheStatus.COALESCED;
+            case "STALE" -> CacheStatus.STALE;
+            case "UP_BUSY" -> CacheStatus.SOURCE_REJECTED;
+            case "UP_DOWN" -> CacheStatus.SOURCE_UNREACHABLE;
+            case "UP_MISS" -> CacheStatus.SOURCE_MISS;
+            case "NO_FILL" -> CacheStatus.FILL_LIMIT_REACHED;
+            case "ORIGIN_ERR" -> CacheStatus.ORIGIN_FAILED;
+            default -> CacheStatus.NONE;
+        };
+    }
+
+    private double[] load(String report) {
+        double[] values = new double[loadFieldNames.size()];
+        for (String pair : report.split(";")) {
+            int colon = pair.indexOf(':');
+            int index = colon < 0 ? -1 : loadFieldNames.indexOf(pair.substring(0, colon));
+            if (index >= 0) {
+                values[index] = decimal("meter", pair.substring(colon + 1));
+            }
+        }
+        return values;
+    }
+
+    /** Only records use it, so an unreadable time counts as not given and is no reason to end a connection. */
+    private static long bornMs(String text) {
+        return isDigits(text, MAX_TIME_DIGITS) ? Long.parseLong(text) : 0;
+    }
+
+    private static double decimal(String field, String text) {
+        double value;
+        try {
+            value = Double.parseDouble(text);
+        } catch (NumberFormatException e) {
+            throw new MalformedException(Reason.NOT_A_FINITE_NUMBER, field);
+        }
+        if (!Double.isFinite(value)) {
+            throw new MalformedException(Reason.NOT_A_FINITE_NUMBER, field);
+        }
+        return value;
+    }
+
+    /** Whether a text is a decimal number without sign of at most so many digits. */
+    static boolean isDigits(String text, int maxDigits) {
+        return !text.isEmpty()
+                && text.length() <= maxDigits
+                && text.chars().allMatch(character -> character >= '0' && character <= '9');
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/upstream/ResponseHeader.java
@@ -0,0 +1,79 @@
+package petrelplank.upstream;
+
+import java.util.List;
+import petrelplank.proxy.UpstreamResponse;
+import petrelplank.routing.AttemptStatus;
+import petrelplank.upstream.MalformedException.Reason;
+
+/**
+ * The header line of a response: request id, status word, fields and body length, with a space between two of them.
+ *
+ * @param id the request's id
+ * @param status how the attempt ended
+ * @param notModified the client's copy is still current, and no body comes
+ * @param fields the optional fields
+ * @param bodyLength bytes of the body, CR LF behind it not counted
+ */
+record ResponseHeader(String id, AttemptStatus status, boolean notModified, ResponseFields fields, int bodyLength) {
+    private static final int WORDS = 4;
+    private static final String NOT_MODIFIED = "NOMOD";
+    private static final int MAX_LENGTH_DIGITS = 9;
+
+    /**
+     * Decodes a header line.
+     *
+     * @param line the line without its CR LF
+     * @param loadFieldNames names of the values in a load report, in the order in which they are returned
+     * @throws MalformedException where the line is no header
+     */
+    static ResponseHeader decode(String line, List<String> loadFieldNames) {
+        String[] words = line.split(" ", -1);
+        if (words.length != WORDS) {
+            throw new MalformedException(Reason.WRONG_WORD_COUNT, Integer.toString(words.length));
+        }
+        if (words[0].isEmpty()) {
+            throw new MalformedException(Reason.EMPTY_REQUEST_ID);
+        }
+        int bodyLength = bodyLength(words[3]);
+        AttemptStatus status = status(words[1]);
+        ResponseFields fields = ResponseFields.decode(words[2], loadFieldNames);
+        return new ResponseHeader(words[0], status, words[1].equals(NOT_MODIFIED), fields, bodyLength);
+    }
+
+    /** The whole response, once its body has come. */
+    UpstreamResponse withBody(byte[] body) {
+        return new UpstreamResponse(
+                id,
+                status,
+                notModified,
+                fields.tag(),
+                fields.cacheStatus(),
+                fields.sourceWaitUs(),
+                fields.bornMs(),
+                fields.load(),
+                body);
+    }
+
+    /** The one mapping from status words on the wire to the router's. */
+    private static AttemptStatus status(String word) {
+        return switch (word) {
+            case "ACK", NOT_MODIFIED, "READY" -> AttemptStatus.OK;
+            case "NOENT" -> AttemptStatus.MISS;
+            case "AGAIN" -> AttemptStatus.REJECTED;
+            case "EIO", "AILING" -> AttemptStatus.ERROR;
+            case "STALE" -> AttemptStatus.NOT_SENT;
+            default -> throw new MalformedException(Reason.UNKNOWN_STATUS);
+        };
+    }
+
+    private static int bodyLength(String text) {
+        if (!ResponseFields.isDigits(text, MAX_LENGTH_DIGITS)) {
+            throw new MalformedException(Reason.INVALID_BODY_LENGTH);
+        }
+        int length = Integer.parseInt(text);
+        if (length > ResponseParser.MAX_BODY_LENGTH) {
+            throw new MalformedException(Reason.INVALID_BODY_LENGTH);
+        }
+        return length;
+    }
+}
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -101,7 +101,7 @@
 
     private void write(Attempt attempt, long now) {
         EncodedCommand command = new EncodedCommand(
-                CommandEncoder.request(attempt.request(), attempt.limitMs(now)), null, attempt::isAwaited);
+                CommandEncoder.fetch(attempt.request(), attempt.limitMs(now)), null, attempt::isAwaited);
         open.put(attempt.request().id(), new Open(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
     }
--- a/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
+++ b/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
@@ -32,7 +32,7 @@
         ResponseParser parser = (ResponseParser) session.getAttribute(ResponseParser.class);
         try {
             parser.feed(((IoBuffer) message).buf(), answers::add);
-            c.insideAt = parser.inside() ? session.getReadBytes() : 0;
+            c.insideAt = parser.insideResponse() ? session.getReadBytes() : 0;
         } catch (MalformedException e) {
             session.closeNow();
             loop.post(() -> pool.malformed(c, e));
