--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -105,7 +105,7 @@
                 c.streams(),
                 Math.max(LEAST_CONNECT_US, c.settings().connectTimeoutUs()),
                 c.idleUs(),
-                ConnectionLimits.perServer(c.settings().zoneGatewayCount()),
+                ConnectionLimits.maxPerServer(c.settings().zoneGatewayCount()),
                 c.settings().permissions().hedging());
         front = new EdgeProxy(loop, c.settings(), c.seed(), OPEN_PER_MB * c.memoryMb(), sink, (l, relay) -> {
             pool = new UpstreamConnectionPool(
--- a/src/main/java/petrelplank/upstream/CommandQueue.java
+++ b/src/main/java/petrelplank/upstream/CommandQueue.java
@@ -8,9 +8,9 @@
 import org.apache.mina.core.write.WriteRequest;
 import org.apache.mina.core.write.WriteRequestQueue;
 
-/** What waits to be written on one connection; passes over commands that were withdrawn meanwhile. */
+/** Commands that wait to be written on one connection; those withdrawn meanwhile are skipped when polled. */
 final class CommandQueue implements WriteRequestQueue {
-    /** Gives each connection of a connector such a queue. */
+    /** Gives each connection of a connector a queue of its own. */
     static final class Factory extends DefaultIoSessionDataStructureFactory {
         @Override
         public WriteRequestQueue getWriteRequestQueue(IoSession session) {
--- a/src/main/java/petrelplank/upstream/StalledConnections.java
+++ b/src/main/java/petrelplank/upstream/StalledConnections.java
@@ -1,28 +1,23 @@
 package petrelplank.upstream;
 
+import java.util.Collection;
 import java.util.List;
-import java.util.Set;
 import petrelplank.proxy.EventLoop;
 
 /**
- * Closes connections on which nothing moves any more. An answer that stops short hides all that comes behind it, while
+ * Closes connections on which nothing moves any more. A response that stops short hides all that comes behind it while
  * the connection stays open; a server that reads nothing gets no abort, and closing the connection gives up what is
- * open on it. Event thread only.
+ * in flight on it. Event thread only.
  */
 final class StalledConnections {
-    /** An answer of which nothing more comes over so many sweeps has stopped short; 36 ms were seen on good days. */
-    private static final int STUCK_SWEEPS = 4;
-    /** An abort is written in the I/O thread's next turn unless the server reads nothing: not so at two sweeps. */
-    private static final int BLOCKED_SWEEPS = 2;
-
-    private static final long SWEEP_US = 75_000;
+    private static final long SWEEP_INTERVAL_US = 75_000;
 
     private final EventLoop loop;
-    private final Set<UpstreamConnection> connections;
+    private final Collection<UpstreamConnection> connections;
     private final UpstreamFaultLog faults;
 
-    /** Watches a set of connections, which its owner adds to and takes from. */
-    StalledConnections(EventLoop loop, Set<UpstreamConnection> connections, UpstreamFaultLog faults) {
+    /** Watches a collection of connections, which its owner adds to and removes from. */
+    StalledConnections(EventLoop loop, Collection<UpstreamConnection> connections, UpstreamFaultLog faults) {
         this.loop = loop;
         this.connections = connections;
         this.faults = faults;
@@ -34,15 +29,23 @@
     }
 
     private void sweep() {
-        for (UpstreamConnection c : List.copyOf(connections)) {
-            if (c.stuck(STUCK_SWEEPS)) {
-                faults.stuck(c.server.id);
-                c.close();
-            } else if (c.blocked(BLOCKED_SWEEPS)) {
-                faults.blocked(c.server.id);
-                c.close();
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            check(connection);
+        }
+        loop.at(loop.now() + SWEEP_INTERVAL_US, this::sweep);
+    }
+
+    private void check(UpstreamConnection connection) {
+        switch (connection.stallDetector().sweep()) {
+            case NONE -> {}
+            case INCOMPLETE_RESPONSE -> {
+                faults.incompleteResponse(connection.server().id());
+                connection.close();
+            }
+            case NOT_READING -> {
+                faults.notReading(connection.server().id());
+                connection.close();
             }
         }
-        loop.at(loop.now() + SWEEP_US, this::sweep);
     }
 }
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -2,147 +2,165 @@
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import org.apache.mina.core.future.DefaultWriteFuture;
 import org.apache.mina.core.session.IoSession;
 import petrelplank.proxy.Attempt;
 
-/** One connection to a server, from its first use to its close, with what is open on it. Event thread only. */
+/**
+ * One connection to a server, from the start of its connect to its close, with the attempts open on it. Attempts sent
+ * before it is made wait for that. Event thread only, but for the {@link StallDetector}.
+ */
 final class UpstreamConnection {
-    /** Bytes that a peer may leave unread before nothing more is written to it. */
-    private static final long MOST_UNREAD = 1 << 20;
+    /** Bytes that a server may leave unread before nothing more is sent to it. */
+    private static final long MAX_UNREAD_BYTES = 1 << 20;
+    /** A connection is retired once it remembers more aborted requests than this many times its streams. */
+    private static final int MAX_ABORTED_PER_STREAM = 4;
 
-    /** Ids of answered attempts that are remembered: a doubled answer comes some milliseconds behind the first. */
-    private static final int ANSWERED_KEPT = 256;
-
-    /** An attempt on this connection, and its command; null as long as the connection is not made. */
-    record Open(Attempt attempt, EncodedCommand command) {}
+    /**
+     * An attempt on this connection.
+     *
+     * @param attempt the attempt
+     * @param command its command; null as long as the connection is not made
+     */
+    record OpenAttempt(Attempt attempt, EncodedCommand command) {}
+
+    private final UpstreamServer server;
+    private final int maxStreams;
+    private final long createdUs;
+    private long lastActivityUs;
+    /** It accepts nothing new and is closed once no attempt is open on it; also possible before it is made. */
+    private boolean retiring;
+    /** Null until the connection is made. */
+    private IoSession session;
 
-    final UpstreamServer server;
-    final long createdUs;
-    long heardUs;
-    /** It takes nothing new and is closed once nothing is open on it. */
-    boolean retiring;
+    private final Map<String, OpenAttempt> open = new LinkedHashMap<>();
+    private final RequestIdHistory history = new RequestIdHistory();
+    private final StallDetector stallDetector = new StallDetector();
 
-    private IoSession session;
-    private final Map<String, Open> open = new LinkedHashMap<>();
-    /** Ids given up here: a late answer to one must not pass for the answer to a further attempt. */
-    private final Set<String> aborted = new LinkedHashSet<>();
-    /** Ids that no retry is sent under here: a second answer to the last attempt must not pass for its own. */
-    private final Set<String> answered = new LinkedHashSet<>();
+    UpstreamConnection(UpstreamServer server, int maxStreams, long createdUs) {
+        this.server = server;
+        this.maxStreams = maxStreams;
+        this.createdUs = createdUs;
+        this.lastActivityUs = createdUs;
+    }
 
-    private final int streams;
-    /** Aborts that are not known to have been written. */
-    private int unwrittenAborts;
+    UpstreamServer server() {
+        return server;
+    }
 
-    private int abortSweeps;
-    /** Bytes read in all, where an answer has begun and not ended; else 0. Written by the I/O thread. */
-    volatile long insideAt;
+    long createdUs() {
+        return createdUs;
+    }
 
-    private long insideSeen;
-    private int insideSweeps;
+    /** When the server last showed that it is there: when the connection was made, or with a response. */
+    long lastActivityUs() {
+        return lastActivityUs;
+    }
 
-    UpstreamConnection(UpstreamServer server, int streams, long createdUs) {
-        this.server = server;
-        this.streams = streams;
-        this.createdUs = createdUs;
-        this.heardUs = createdUs;
+    StallDetector stallDetector() {
+        return stallDetector;
     }
 
-    /** Whether an attempt under the id was sent on this connection before, so that a late answer could be of either. */
-    boolean carried(String id) {
-        return open.containsKey(id) || aborted.contains(id) || answered.contains(id);
+    boolean isRetiring() {
+        return retiring;
     }
 
-    boolean takes(String id) {
-        return !retiring
-                && open.size() < streams
-                && !carried(id)
-                && (session == null || !session.isClosing() && session.getScheduledWriteBytes() < MOST_UNREAD);
+    boolean isIdle() {
+        return open.isEmpty();
     }
 
-    int load() {
+    int openCount() {
         return open.size();
     }
 
-    boolean idle() {
-        return open.isEmpty();
+    /** Whether an attempt of the request was sent here before, so that a late response could be to either. */
+    boolean hasCarried(String requestId) {
+        return open.containsKey(requestId) || history.contains(requestId);
     }
 
-    /**
-     * Whether an answer has stood half read, with no byte more, over a number of sweeps. Sweeps are counted, not
-     * time: a process that was held up itself must not take the bytes it has not read yet for missing.
-     */
-    boolean stuck(int sweeps) {
-        long at = insideAt;
-        insideSweeps = at > 0 && at == insideSeen ? insideSweeps + 1 : 0;
-        insideSeen = at;
-        return insideSweeps >= sweeps;
+    /** Whether a further attempt may be sent here. */
+    boolean accepts(String requestId) {
+        return !retiring
+                && open.size() < maxStreams
+                && !hasCarried(requestId)
+                && (session == null || !session.isClosing() && session.getScheduledWriteBytes() < MAX_UNREAD_BYTES);
     }
 
-    void connected(IoSession made, long now) {
-        session = made;
-        heardUs = now;
+    /** The connection is made: what waited for it is written. */
+    void connected(IoSession newSession, long nowUs) {
+        session = newSession;
+        lastActivityUs = nowUs;
         List<Attempt> waiting = new ArrayList<>();
-        open.values().forEach(o -> waiting.add(o.attempt()));
-        waiting.forEach(a -> write(a, now));
+        open.values().forEach(held -> waiting.add(held.attempt()));
+        waiting.forEach(attempt -> write(attempt, nowUs));
     }
 
-    void send(Attempt attempt, long now) {
+    /** Responses were received. */
+    void responseReceived(long nowUs) {
+        lastActivityUs = nowUs;
+        server.responseReceived();
+    }
+
+    /** Sends an attempt, at once or when the connection is made. */
+    void send(Attempt attempt, long nowUs) {
         if (session == null) {
-            open.put(attempt.request().id(), new Open(attempt, null));
+            open.put(attempt.request().id(), new OpenAttempt(attempt, null));
         } else {
-            write(attempt, now);
+            write(attempt, nowUs);
         }
     }
 
-    private void write(Attempt attempt, long now) {
-        EncodedCommand command = new EncodedCommand(
-                CommandEncoder.fetch(attempt.request(), attempt.limitMs(now)), null, attempt::isAwaited);
-        open.put(attempt.request().id(), new Open(attempt, command));
+    private void write(Attempt attempt, long nowUs) {
+        byte[] bytes = CommandEncoder.fetch(attempt.request(), attempt.limitMs(nowUs));
+        EncodedCommand command = new EncodedCommand(bytes, null, attempt::isAwaited);
+        open.put(attempt.request().id(), new OpenAttempt(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
     }
 
     /**
-     * Gives an attempt up. A command that was not written yet never will be; one that stands half written, as where the
-     * server reads nothing, can't be taken back and would go out whole later: then the connection is closed.
+     * Gives an attempt up. A command not written yet never is; one written in part, as where the server reads nothing,
+     * can't be taken back and would be completed later: then the connection is closed.
      *
-     * @param written told in the I/O thread that the abort is written; never where the connection closes before
-     * @return whether an abort waits to be written, or the connection is being closed: until then the attempt is out
+     * @param onAbortWritten run in the I/O thread once the abort is written; never where the connection closes before
+     * @return whether an abort waits to be written, or the connection is being closed: until then the attempt is in
+     *     flight
      */
-    boolean abort(Attempt attempt, Runnable written) {
-        String id = attempt.request().id();
-        if (withdraw(attempt) || !open.containsKey(id)) {
+    boolean abort(Attempt attempt, Runnable onAbortWritten) {
+        String requestId = attempt.request().id();
+        if (withdraw(attempt) || !open.containsKey(requestId)) {
             return false;
         }
-        Open held = open.remove(id);
-        if (!held.command().whole(session)) {
+        OpenAttempt aborted = open.remove(requestId);
+        if (!aborted.command().isFullyWritten(session)) {
             close();
             return true;
         }
-        aborted.add(id);
-        if (aborted.size() > 4 * streams) {
+        history.addAborted(requestId);
+        if (history.abortedCount() > MAX_ABORTED_PER_STREAM * maxStreams) {
             retiring = true;
         }
+        writeAbort(requestId, onAbortWritten);
+        return true;
+    }
+
+    private void writeAbort(String requestId, Runnable onWritten) {
         DefaultWriteFuture future = new DefaultWriteFuture(session);
-        EncodedCommand command = new EncodedCommand(CommandEncoder.abort(id), future, () -> true);
-        unwrittenAborts++;
-        // MINA tells of writes as done, too, where it drops them since the connection is being closed.
-        future.addListener(f -> {
-            if (command.whole(session)) {
-                written.run();
+        EncodedCommand command = new EncodedCommand(CommandEncoder.abort(requestId), future, () -> true);
+        stallDetector.abortQueued();
+        // MINA reports a write as done also where it drops it because the connection is being closed.
+        future.addListener(completed -> {
+            if (command.isFullyWritten(session)) {
+                onWritten.run();
             }
         });
         session.getFilterChain().fireFilterWrite(command);
-        return true;
     }
 
     /** Takes back an attempt of which nothing has been written; false where its writing may have begun. */
     boolean withdraw(Attempt attempt) {
-        Open held = open.get(attempt.request().id());
+        OpenAttempt held = open.get(attempt.request().id());
         if (held == null || session != null && !held.command().withdraw()) {
             return false;
         }
@@ -150,51 +168,38 @@
         return true;
     }
 
-    /** An abort was written. */
-    void abortEnded() {
-        unwrittenAborts--;
-    }
-
-    /** Whether an abort has waited to be written over a number of sweeps: the server reads nothing. */
-    boolean blocked(int sweeps) {
-        abortSweeps = unwrittenAborts > 0 ? abortSweeps + 1 : 0;
-        return abortSweeps >= sweeps;
-    }
-
-    /** Takes an answered attempt off; null where none is open under the id. */
-    Attempt answered(String id) {
-        Open held = open.remove(id);
+    /** Removes an answered attempt; null where none is open under the id. */
+    Attempt removeAnswered(String requestId) {
+        OpenAttempt held = open.remove(requestId);
         return held == null ? null : held.attempt();
     }
 
-    /** Keeps a retry of a request off this connection, where a second answer to its last attempt may still come. */
-    void keepRetryOff(String id) {
-        if (answered.add(id) && answered.size() > ANSWERED_KEPT) {
-            answered.remove(answered.iterator().next());
-        }
+    /** Keeps retries of a request off this connection, where a second response to its last attempt may still come. */
+    void refuseRetriesOf(String requestId) {
+        history.addAnswered(requestId);
     }
 
-    /** Takes all attempts off. */
-    List<Open> drop() {
-        List<Open> all = new ArrayList<>(open.values());
+    /** Removes all attempts, in the order in which they were sent. */
+    List<OpenAttempt> removeAll() {
+        List<OpenAttempt> all = new ArrayList<>(open.values());
         open.clear();
         return all;
     }
 
-    /** Whether any byte of a command may have gone out: what was never written at all can't have run. */
-    boolean written(Open held) {
-        return session != null && held.command().begun(session);
+    /** Whether any byte of an attempt's command may have been written: otherwise it can't have been executed. */
+    boolean mayHaveExecuted(OpenAttempt held) {
+        return session != null && held.command().isPartlyWritten(session);
     }
 
-    /** It takes nothing new from now on. */
+    /** Accepts nothing new from now on, and closes once no attempt is open. */
     void retire() {
         retiring = true;
-        closeWhenDone();
+        closeIfDone();
     }
 
-    /** Closes it where it takes nothing new and nothing is open on it. */
-    void closeWhenDone() {
-        if (retiring && idle()) {
+    /** Closes the connection where it is retiring and no attempt is open on it. */
+    void closeIfDone() {
+        if (retiring && isIdle()) {
             close();
         }
     }
--- a/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
+++ b/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
@@ -2,46 +2,46 @@
 
 import java.util.logging.Logger;
 
-/** Counts what goes wrong on the servers' side, and tells of it in few lines. Event thread only. */
+/** Counts faults of upstream servers, and logs one in some of them. Event thread only. */
 final class UpstreamFaultLog {
     private static final Logger LOG = Logger.getLogger(UpstreamConnectionPool.class.getName());
     private static final int LOGGED_ONE_IN = 25;
 
     private long malformed;
-    private long stuck;
-    private long blocked;
-    private long unknown;
+    private long incomplete;
+    private long notReading;
+    private long unsolicited;
 
-    /** Bytes that make no answer. */
-    void malformed(String server, String what) {
+    /** A server sent bytes that are not a response. */
+    void malformed(String server, MalformedException fault) {
         if (malformed++ % LOGGED_ONE_IN == 0) {
-            LOG.warning(
-                    "malformed answer from " + server + ", connection closed: " + what + ", " + malformed + " so far");
+            LOG.warning("malformed response from " + server + ", connection closed: " + fault.getMessage() + ", "
+                    + malformed + " so far");
         }
     }
 
-    /** An answer that stopped within. */
-    void stuck(String server) {
-        if (stuck++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("an answer from " + server + " stopped short, connection closed, " + stuck + " so far");
+    /** A response stopped before its end. */
+    void incompleteResponse(String server) {
+        if (incomplete++ % LOGGED_ONE_IN == 0) {
+            LOG.warning("incomplete response from " + server + ", connection closed, " + incomplete + " so far");
         }
     }
 
-    /** A server that reads nothing of what it is written. */
-    void blocked(String server) {
-        if (blocked++ % LOGGED_ONE_IN == 0) {
-            LOG.warning(server + " reads nothing, connection closed, " + blocked + " so far");
+    /** A server reads nothing of what it is sent. */
+    void notReading(String server) {
+        if (notReading++ % LOGGED_ONE_IN == 0) {
+            LOG.warning(server + " does not read, connection closed, " + notReading + " so far");
         }
     }
 
-    /** An answer that nobody waits for. */
-    void unasked() {
-        unknown++;
+    /** A response came that no attempt waits for. */
+    void unsolicitedResponse() {
+        unsolicited++;
     }
 
-    /** One line of counts. */
+    /** The counts in one line. */
     String counts() {
-        return "malformed " + malformed + ", stopped short " + stuck + ", blocked " + blocked + ", unasked answers "
-                + unknown;
+        return "malformed " + malformed + ", incomplete " + incomplete + ", not reading " + notReading
+                + ", unsolicited responses " + unsolicited;
     }
 }
--- a/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
+++ b/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
@@ -7,53 +7,59 @@
 import org.apache.mina.core.session.IoSession;
 import petrelplank.proxy.EventLoop;
 import petrelplank.proxy.UpstreamResponse;
+import petrelplank.upstream.ConnectionListener.LossCause;
 
-/** MINA's side of the connections to servers: parses, and posts typed values to the event thread. */
+/** The I/O thread's side of upstream connections: parses, and posts typed values to the event thread. */
 final class UpstreamIoHandler extends IoHandlerAdapter {
     private final EventLoop loop;
-    private final UpstreamConnectionPool pool;
-    private final List<String> loadFields;
+    private final ConnectionListener listener;
+    private final List<String> loadFieldNames;
 
-    UpstreamIoHandler(EventLoop loop, UpstreamConnectionPool pool, List<String> loadFields) {
+    UpstreamIoHandler(EventLoop loop, ConnectionListener listener, List<String> loadFieldNames) {
         this.loop = loop;
-        this.pool = pool;
-        this.loadFields = loadFields;
+        this.listener = listener;
+        this.loadFieldNames = loadFieldNames;
+    }
+
+    /** Ties a session that is being made to its connection. */
+    static void bind(IoSession session, UpstreamConnection connection) {
+        session.setAttribute(UpstreamConnection.class, connection);
+    }
+
+    private static UpstreamConnection connection(IoSession session) {
+        return (UpstreamConnection) session.getAttribute(UpstreamConnection.class);
     }
 
     @Override
     public void sessionCreated(IoSession session) {
-        session.setAttribute(ResponseParser.class, new ResponseParser(loadFields));
+        session.setAttribute(ResponseParser.class, new ResponseParser(loadFieldNames));
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-        List<UpstreamResponse> answers = new ArrayList<>();
-        UpstreamConnection c = connection(session);
+        List<UpstreamResponse> responses = new ArrayList<>();
+        UpstreamConnection connection = connection(session);
         ResponseParser parser = (ResponseParser) session.getAttribute(ResponseParser.class);
         try {
-            parser.feed(((IoBuffer) message).buf(), answers::add);
-            c.insideAt = parser.insideResponse() ? session.getReadBytes() : 0;
+            parser.feed(((IoBuffer) message).buf(), responses::add);
+            connection.stallDetector().bytesRead(session.getReadBytes(), parser.insideResponse());
         } catch (MalformedException e) {
             session.closeNow();
-            loop.post(() -> pool.malformed(c, e));
+            loop.post(() -> listener.malformed(connection, e));
         }
-        if (!answers.isEmpty()) {
-            loop.post(() -> pool.answered(c, answers));
+        if (!responses.isEmpty()) {
+            loop.post(() -> listener.responsesReceived(connection, responses));
         }
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-        UpstreamConnection c = connection(session);
-        loop.post(() -> pool.lost(c, true));
+        UpstreamConnection connection = connection(session);
+        loop.post(() -> listener.connectionLost(connection, LossCause.RESET));
     }
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
         session.closeNow();
     }
-
-    private static UpstreamConnection connection(IoSession session) {
-        return (UpstreamConnection) session.getAttribute(UpstreamConnection.class);
-    }
 }
--- a/src/main/java/petrelplank/upstream/UpstreamServer.java
+++ b/src/main/java/petrelplank/upstream/UpstreamServer.java
@@ -4,48 +4,85 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listed server and its connections. */
+/** A listed upstream server and its connections. Event thread only. */
 final class UpstreamServer {
-    final String id;
-    final InetSocketAddress address;
-    final List<UpstreamConnection> connections = new ArrayList<>(2);
-    /** Connections lost in a row, with nothing heard between, whose commands were sent again on a new one. */
-    int renewed;
+    private final String id;
+    private final InetSocketAddress address;
+    private final List<UpstreamConnection> connections = new ArrayList<>(2);
+    private int resetsInARow;
 
     UpstreamServer(String id, InetSocketAddress address) {
         this.id = id;
         this.address = address;
     }
 
+    String id() {
+        return id;
+    }
+
+    InetSocketAddress address() {
+        return address;
+    }
+
+    void add(UpstreamConnection connection) {
+        connections.add(connection);
+    }
+
+    void remove(UpstreamConnection connection) {
+        connections.remove(connection);
+    }
+
     /**
-     * The connection with the least open on it that takes a command; null where none does. What has been idle since
-     * before a time is left, as a guard against a command that crosses the server's own close of it.
+     * The connection with the fewest open attempts that accepts a request; null where none does. A connection idle
+     * since before a time is retired, as a guard against a command that crosses the server's own close of it.
      */
-    UpstreamConnection leastLoaded(String request, long idleSinceUs) {
+    UpstreamConnection leastLoaded(String requestId, long idleSinceUs) {
         UpstreamConnection best = null;
-        for (UpstreamConnection c : List.copyOf(connections)) {
-            if (c.idle() && !c.retiring && c.heardUs < idleSinceUs) {
-                c.retire();
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            if (connection.isIdle() && !connection.isRetiring() && connection.lastActivityUs() < idleSinceUs) {
+                connection.retire();
             }
-            if (c.takes(request) && (best == null || c.load() < best.load())) {
-                best = c;
+            if (connection.accepts(requestId) && (best == null || connection.openCount() < best.openCount())) {
+                best = connection;
             }
         }
         return best;
     }
 
-    /** Whether an attempt under the id was sent on a connection that is still open. */
-    boolean carried(String id) {
-        return connections.stream().anyMatch(c -> c.carried(id));
+    /** Whether an attempt of the request was sent on a connection that is still open. */
+    boolean hasCarried(String requestId) {
+        return connections.stream().anyMatch(connection -> connection.hasCarried(requestId));
     }
 
-    /** Connections that take something new: one that does not must not keep a fresh one out. */
-    long taking() {
-        return connections.stream().filter(c -> !c.retiring).count();
+    /** Connections that accept new attempts: those being retired must not keep a fresh one out. */
+    long unretiredCount() {
+        return connections.stream()
+                .filter(connection -> !connection.isRetiring())
+                .count();
     }
 
-    /** Connections made before a time take nothing new. */
-    void retireOlderThan(long us) {
-        List.copyOf(connections).stream().filter(c -> c.createdUs < us).forEach(UpstreamConnection::retire);
+    /** Retires connections made before a time: they belong to an earlier process of the server. */
+    void retireOlderThan(long unixUs) {
+        List.copyOf(connections).stream()
+                .filter(connection -> connection.createdUs() < unixUs)
+                .forEach(UpstreamConnection::retire);
+    }
+
+    void retireAll() {
+        retireOlderThan(Long.MAX_VALUE);
+    }
+
+    /** A response has come: the server is there. */
+    void responseReceived() {
+        resetsInARow = 0;
+    }
+
+    /**
+     * Counts a connection lost to a reset.
+     *
+     * @return connections lost so in a row, with no response between
+     */
+    int countReset() {
+        return ++resetsInARow;
     }
 }
--- a/src/test/java/petrelplank/upstream/ConnectionLimitsTest.java
+++ b/src/test/java/petrelplank/upstream/ConnectionLimitsTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectionLimitsTest {
-    /** However many fronts a branch gets, what they keep at one server has a bound: 32, or one each. */
+    /** However many proxies a zone gets, the connections that they keep to one server are bounded: 32, or one each. */
     @Test
-    void connectionsOfAllFrontsAtOneServerAreBounded() {
-        int before = 9;
-        for (int fronts = 1; fronts <= 1000; fronts++) {
-            int each = ConnectionLimits.perServer(fronts);
-            assertTrue(each >= 1 && each <= before, "fronts " + fronts + " keep " + each);
-            assertTrue(each * fronts <= Math.max(32, fronts), "fronts " + fronts + " keep " + each);
-            before = each;
+    void connectionsOfAllProxiesToOneServerAreBounded() {
+        int previous = 9;
+        for (int proxies = 1; proxies <= 1000; proxies++) {
+            int each = ConnectionLimits.maxPerServer(proxies);
+            assertTrue(each >= 1 && each <= previous, "proxies " + proxies + " keep " + each);
+            assertTrue(each * proxies <= Math.max(32, proxies), "proxies " + proxies + " keep " + each);
+            previous = each;
         }
-        assertEquals(8, ConnectionLimits.perServer(1));
+        assertEquals(8, ConnectionLimits.maxPerServer(1));
     }
 }
--- /dev/null
+++ b/src/test/java/petrelplank/upstream/PendingAbortsTest.java
@@ -0,0 +1,38 @@
+package petrelplank.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import petrelplank.proxy.Attempt;
+import petrelplank.proxy.Attempts;
+
+class PendingAbortsTest {
+    private static final String REQUEST = "aaaaaaaaaaaaaaaa";
+
+    private final UpstreamServer server = new UpstreamServer("s-1", new InetSocketAddress("127.0.0.1", 1));
+    private final UpstreamConnection connection = new UpstreamConnection(server, 100, 0);
+    private final UpstreamConnection other = new UpstreamConnection(server, 100, 0);
+    private final PendingAborts pendingAborts = new PendingAborts();
+
+    /** Where hedging is not allowed, the next attempt waits for the abort of the last, or its connection's end. */
+    @Test
+    void nextAttemptIsHeldBackUntilTheLastIsAbortedOnTheWire() {
+        Attempt second = Attempts.of(REQUEST, 1);
+        assertFalse(pendingAborts.holdBack(second));
+        pendingAborts.abortQueued(REQUEST, connection);
+        pendingAborts.abortQueued(REQUEST, other);
+        assertTrue(pendingAborts.holdBack(second));
+        assertFalse(pendingAborts.holdBack(Attempts.of("bbbbbbbbbbbbbbbb", 0)));
+        assertEquals(List.of(), pendingAborts.abortWritten(REQUEST, connection));
+        assertEquals(List.of(second), pendingAborts.connectionClosed(other));
+        assertFalse(pendingAborts.holdBack(second));
+        pendingAborts.abortQueued(REQUEST, connection);
+        assertTrue(pendingAborts.holdBack(second));
+        pendingAborts.remove(second);
+        assertEquals(List.of(), pendingAborts.abortWritten(REQUEST, connection));
+    }
+}
--- a/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
@@ -18,24 +18,25 @@
 import petrelplank.proxy.Attempts;
 import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.ResponseChannel;
+import petrelplank.upstream.StallDetector.Stall;
 
-/** What is given up before it was written never is; what is given up half written goes with its connection. */
+/** A command aborted before it was written never is; one aborted half written ends its connection. */
 class UpstreamConnectionTest {
-    /** A server that reads nothing: what is written to it waits until the test writes it. */
-    private static final class Blocked extends DummySession {
-        private final CommandQueue waiting = new CommandQueue();
+    /** A session with a server that reads nothing: commands wait until the test writes them. */
+    private static final class UnreadSession extends DummySession {
+        private final CommandQueue queue = new CommandQueue();
 
-        Blocked() {
-            setWriteRequestQueue(waiting);
+        UnreadSession() {
+            setWriteRequestQueue(queue);
             suspendWrite();
         }
 
-        /** Writes some bytes of what waits, as the I/O thread does; whole commands where {@code bytes} reach. */
-        String write(int bytes) {
+        /** Writes up to so many bytes of what waits, as the I/O thread does; the bytes written. */
+        String write(int maxBytes) {
             StringBuilder out = new StringBuilder();
-            for (WriteRequest next = waiting.poll(this); next != null; next = waiting.poll(this)) {
+            for (WriteRequest next = queue.poll(this); next != null; next = queue.poll(this)) {
                 IoBuffer buffer = (IoBuffer) next.getMessage();
-                int count = Math.min(bytes - out.length(), buffer.remaining());
+                int count = Math.min(maxBytes - out.length(), buffer.remaining());
                 byte[] part = new byte[count];
                 buffer.get(part);
                 increaseWrittenBytes(count, 0);
@@ -50,10 +51,10 @@
     }
 
     private static final int ALL = Integer.MAX_VALUE;
-    private final Blocked session = new Blocked();
+    private final UnreadSession session = new UnreadSession();
     private final UpstreamConnection connection =
             new UpstreamConnection(new UpstreamServer("s-1", new InetSocketAddress("127.0.0.1", 1)), 100, 0);
-    private final List<String> written = new ArrayList<>();
+    private final List<String> writtenAborts = new ArrayList<>();
 
     @BeforeEach
     void connect() {
@@ -67,47 +68,48 @@
     }
 
     private boolean abort(Attempt attempt) {
-        return connection.abort(attempt, () -> written.add(attempt.request().id()));
+        return connection.abort(
+                attempt, () -> writtenAborts.add(attempt.request().id()));
     }
 
-    /** It used to go out once the server read again, behind the request's final answer, with its abort after it. */
+    /** It used to be written once the server read again, after the request's final response, with its abort behind it. */
     @Test
-    void commandGivenUpWhileItWaitsIsNeverWritten() {
+    void commandAbortedWhileQueuedIsNeverWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
-        assertFalse(abort(first), "an abort of what was never written");
+        assertFalse(abort(first), "an abort of a command that was never written");
         String out = session.write(ALL);
         assertTrue(out.startsWith("fetch bbbbbbbbbbbbbbbb ") && !out.contains("aaaaaaaaaaaaaaaa"), out);
         assertEquals(0, session.getScheduledWriteBytes(), "the bytes withdrawn are still counted");
     }
 
     @Test
-    void commandGivenUpAfterItWasWrittenIsOutUntilItsAbortIsWritten() {
+    void attemptAbortedAfterItWasWrittenIsInFlightUntilItsAbortIsWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         session.write(ALL);
         assertTrue(abort(first));
-        assertEquals(List.of(), written);
-        assertFalse(connection.blocked(2));
-        assertTrue(connection.blocked(2), "an abort that waits over two sweeps tells of a server that reads nothing");
+        assertEquals(List.of(), writtenAborts);
+        assertEquals(Stall.NONE, connection.stallDetector().sweep());
+        assertEquals(Stall.NOT_READING, connection.stallDetector().sweep(), "an abort waits over two sweeps");
         assertEquals("abort aaaaaaaaaaaaaaaa\r\n", session.write(ALL));
-        assertEquals(List.of("aaaaaaaaaaaaaaaa"), written);
-        connection.abortEnded();
-        assertFalse(connection.blocked(2));
+        assertEquals(List.of("aaaaaaaaaaaaaaaa"), writtenAborts);
+        connection.stallDetector().abortWritten();
+        assertEquals(Stall.NONE, connection.stallDetector().sweep());
     }
 
-    /** The next attempt went out before the close that gives this one up: MINA closes behind all that is to be written. */
+    /** The next attempt used to be sent before the close that aborts this one: MINA closes after all queued writes. */
     @Test
-    void abortThatIsDroppedWithItsConnectionDoesNotCountAsWritten() {
+    void abortDroppedWithItsConnectionDoesNotCountAsWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         session.write(ALL);
         assertTrue(abort(first));
         connection.close();
         assertTrue(session.isClosing());
-        assertEquals(List.of(), written);
+        assertEquals(List.of(), writtenAborts);
     }
 
     @Test
-    void commandGivenUpHalfWrittenEndsItsConnection() {
+    void commandAbortedHalfWrittenClosesItsConnection() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         session.write(10);
         assertTrue(abort(first));
@@ -115,73 +117,52 @@
     }
 
     @Test
-    void onlyWhatHasBegunToBeWrittenMayHaveRun() {
+    void onlyPartlyWrittenCommandsMayHaveExecuted() {
         send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
         session.write(10);
-        List<UpstreamConnection.Open> open = connection.drop();
-        assertTrue(connection.written(open.get(0)));
-        assertFalse(connection.written(open.get(1)));
+        List<UpstreamConnection.OpenAttempt> open = connection.removeAll();
+        assertTrue(connection.mayHaveExecuted(open.get(0)));
+        assertFalse(connection.mayHaveExecuted(open.get(1)));
     }
 
-    /** Where settings allow no cancellation nothing withdraws a command whose client has left; it is not written. */
+    /** Where settings allow no cancellation, nothing withdraws the command of a disconnected client; it is not written. */
     @Test
-    void commandWhoseClientHasLeftIsNeverWritten() {
-        AtomicBoolean left = new AtomicBoolean();
-        Attempt first = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(left));
+    void commandOfADisconnectedClientIsNeverWritten() {
+        AtomicBoolean disconnected = new AtomicBoolean();
+        Attempt first = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
         connection.send(first, 0);
-        left.set(true);
+        disconnected.set(true);
         assertEquals("", session.write(ALL));
-        assertTrue(connection.withdraw(first), "what was passed over counts as never written");
+        assertTrue(connection.withdraw(first), "a skipped command counts as never written");
         assertFalse(connection.withdraw(first));
     }
 
-    /** The connection comes up late: what it was made for is written only where somebody still waits. */
+    /** The connection is made late: commands that wait for it are written only where their clients still wait. */
     @Test
-    void whatNobodyWaitsForIsNotWrittenAsTheConnectionComesUp() {
-        UpstreamConnection late = new UpstreamConnection(connection.server, 100, 0);
-        AtomicBoolean left = new AtomicBoolean();
-        Attempt gone = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(left));
-        late.send(gone, 0);
+    void commandOfADisconnectedClientIsNotWrittenWhenTheConnectionIsMade() {
+        UpstreamConnection late = new UpstreamConnection(connection.server(), 100, 0);
+        AtomicBoolean disconnected = new AtomicBoolean();
+        Attempt abandoned = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
+        late.send(abandoned, 0);
         late.send(Attempts.of("bbbbbbbbbbbbbbbb", 0), 0);
-        left.set(true);
-        Blocked made = new Blocked();
+        disconnected.set(true);
+        UnreadSession made = new UnreadSession();
         late.connected(made, 0);
         String out = made.write(ALL);
         assertTrue(out.startsWith("fetch bbbbbbbbbbbbbbbb ") && !out.contains("aaaaaaaaaaaaaaaa"), out);
-        assertTrue(late.withdraw(gone));
+        assertTrue(late.withdraw(abandoned));
     }
 
-    private static ResponseChannel channel(AtomicBoolean left) {
+    private static ResponseChannel channel(AtomicBoolean disconnected) {
         return new ResponseChannel() {
             @Override
             public void answer(ClientResponse answer) {}
 
             @Override
             public boolean isOpen() {
-                return !left.get();
+                return !disconnected.get();
             }
         };
     }
-
-    /** Where no second copies are allowed, the next attempt waits for the abort before it, or its connection's end. */
-    @Test
-    void nextAttemptWaitsUntilTheLastIsGivenUpOnTheWire() {
-        PendingAborts withdrawals = new PendingAborts();
-        UpstreamConnection other = new UpstreamConnection(connection.server, 100, 0);
-        String id = "aaaaaaaaaaaaaaaa";
-        Attempt second = Attempts.of(id, 1);
-        assertFalse(withdrawals.hold(second));
-        withdrawals.began(id, connection);
-        withdrawals.began(id, other);
-        assertTrue(withdrawals.hold(second));
-        assertFalse(withdrawals.hold(Attempts.of("bbbbbbbbbbbbbbbb", 0)));
-        assertEquals(List.of(), withdrawals.ended(id, connection));
-        assertEquals(List.of(second), withdrawals.closed(other));
-        assertFalse(withdrawals.hold(second));
-        withdrawals.began(id, connection);
-        assertTrue(withdrawals.hold(second));
-        withdrawals.drop(second);
-        assertEquals(List.of(), withdrawals.ended(id, connection));
-    }
 }
