--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -94,7 +94,7 @@
         int sockets = Math.max(1, c.sockets() * SOCKET_PARTS / 5);
         DescriptorBudget ofClients = new DescriptorBudget(sockets);
         DescriptorBudget ofServers = new DescriptorBudget(sockets);
-        io.share(toServers, ofServers);
+        io.setDescriptorBudget(toServers, ofServers);
         acceptor = new BoundedAcceptor(io, ofClients);
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getSessionConfig().setMinReadBufferSize(CLIENT_READ_BUFFER);
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -69,14 +69,14 @@
             clients.ready(false);
             front.closeAt(from + answerAllUs);
             loop.at(from + LISTEN_ON_US, clients::stopListening);
-            loop.at(from + Math.min(TAKE_ON_US, answerAllUs), () -> endWhenDone(latest, io.looks() + 2, ended));
+            loop.at(from + Math.min(TAKE_ON_US, answerAllUs), () -> endWhenDone(latest, io.selections() + 2, ended));
         });
         return (latest - from + 2 * FLUSH_US) / MS;
     }
 
     /** Once nothing is owed, and what may have lain unread when the time to take it was over has been read. */
     private void endWhenDone(long latest, long looks, Runnable ended) {
-        boolean unread = io.looks() < looks;
+        boolean unread = io.selections() < looks;
         if ((unread || front.hasPendingRequests() || acceptor.getScheduledWriteBytes() > 0) && loop.now() < latest) {
             loop.at(loop.now() + FLUSH_US / 5, () -> endWhenDone(latest, looks, ended));
             return;
--- a/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
+++ b/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
@@ -38,7 +38,8 @@
         if (!forRoom) {
             silent++;
         } else if (crowded++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("near " + share.most() + " client connections, the quietest closed, " + crowded + " so far");
+            LOG.warning(
+                    "near " + share.capacity() + " client connections, the quietest closed, " + crowded + " so far");
         }
     }
 
--- a/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
@@ -60,7 +60,7 @@
         this.share = share;
         this.memory = memory;
         acceptor.setHandler(new Handler());
-        acceptor.whenCrowded(this::makeRoom);
+        acceptor.onNearlyFull(this::makeRoom);
     }
 
     /**
@@ -94,7 +94,7 @@
      */
     private void makeRoom() {
         long now = loop.clock();
-        while (share.free() + leaving.get() <= acceptor.reserve()) {
+        while (share.available() + leaving.get() <= acceptor.reserve()) {
             FastCgiConnection longest = null;
             for (FastCgiConnection c : connections) {
                 if (c.state.get() == State.OPEN && c.spare(now) && (longest == null || c.quietUs < longest.quietUs)) {
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -117,7 +117,7 @@
             session.closeNow();
             return;
         }
-        owner.acceptor.closeSpare(session, () -> unused() && quietUs == quiet && halfSinceUs == half, () -> {
+        owner.acceptor.closeIfIdle(session, () -> unused() && quietUs == quiet && halfSinceUs == half, () -> {
             if (state.compareAndSet(State.LEAVING, State.OPEN)) {
                 owner.leaving.decrementAndGet();
             }
@@ -223,7 +223,7 @@
 
     @Override
     public void management(FastCgiRecord record) {
-        write(ManagementRecords.reply(record, owner.share.most()));
+        write(ManagementRecords.reply(record, owner.share.capacity()));
     }
 
     void write(byte[] bytes) {
--- a/src/main/java/petrelplank/transport/BoundedAcceptor.java
+++ b/src/main/java/petrelplank/transport/BoundedAcceptor.java
@@ -8,46 +8,49 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * An acceptor that takes no connection off the machine's queue before it has a place for it. MINA's own accepts all
- * that wait, in a thread of its own, and hands them to the I/O loop: while that loop waits for its turn, hundreds of
- * sockets that no count sees may use up the descriptors, and what was taken then can't be answered.
+ * An acceptor that accepts no connection before it has a place for it in its {@link DescriptorBudget}. MINA's own
+ * accepts all that wait, in a thread of its own, and hands them to the I/O thread: while that thread waits for the
+ * processor, hundreds of sockets that nothing counts may use up the descriptors, and connections accepted after that
+ * can't be served. Here they wait in the kernel's accept queue.
  */
 public final class BoundedAcceptor extends NioSocketAcceptor {
     /** How long the accepting thread waits for a place before it looks at its other duties. */
-    private static final long WAIT_MS = 5;
+    private static final long MAX_ACQUIRE_WAIT_MS = 5;
+    /** One place in so many is kept free. */
+    private static final int RESERVE_ONE_IN = 16;
 
     private final SharedProcessor processor;
-    private final DescriptorBudget share;
-    private volatile Runnable crowded = () -> {};
+    private final DescriptorBudget budget;
+    private volatile Runnable onNearlyFull = () -> {};
 
     /**
-     * An acceptor; its sockets hold places of the share.
+     * An acceptor whose sockets hold places of a budget.
      *
-     * @param processor the I/O loop
-     * @param share places for its sockets
+     * @param processor the I/O processor
+     * @param budget places for its sockets
      */
-    public BoundedAcceptor(SharedProcessor processor, DescriptorBudget share) {
+    public BoundedAcceptor(SharedProcessor processor, DescriptorBudget budget) {
         super(processor);
         this.processor = processor;
-        this.share = share;
-        processor.share(this, share);
+        this.budget = budget;
+        processor.setDescriptorBudget(this, budget);
     }
 
     /**
-     * Sets what is done where places run short; called in the accepting thread, and again while they do.
+     * Sets what is done where only the reserve is left; run in the accepting thread, before each accept while it is so.
      *
-     * @param task closes what can be spared
+     * @param task closes connections that can be spared
      */
-    public void whenCrowded(Runnable task) {
-        crowded = task;
+    public void onNearlyFull(Runnable task) {
+        onNearlyFull = task;
     }
 
     @Override
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
-        if (share.free() <= reserve()) {
-            crowded.run();
+        if (budget.available() <= reserve()) {
+            onNearlyFull.run();
         }
-        if (!share.take(WAIT_MS)) {
+        if (!budget.tryAcquire(MAX_ACQUIRE_WAIT_MS)) {
             return null;
         }
         NioSession session = null;
@@ -56,13 +59,13 @@
             return session;
         } finally {
             if (session == null) {
-                share.release();
+                budget.release();
             }
         }
     }
 
     /**
-     * The turns of the I/O loop.
+     * Turns of the I/O loop.
      *
      * @return see {@link SharedProcessor#turns}
      */
@@ -71,7 +74,7 @@
     }
 
     /**
-     * Since when what is being read may have lain in the machine.
+     * Since when what is being read may have lain in the kernel's buffers.
      *
      * @return see {@link SharedProcessor#unreadSinceUs}
      */
@@ -80,32 +83,32 @@
     }
 
     /**
-     * Closes a connection that nothing is open on.
+     * Closes a connection that has no open request; see {@link SharedProcessor#closeIfIdle}.
      *
      * @param session the connection
-     * @param notModified see {@link SharedProcessor#closeSpare}
-     * @param kept see there
+     * @param stillIdle whether it may still be closed
+     * @param onKept run where the connection is kept
      */
-    public void closeSpare(IoSession session, BooleanSupplier still, Runnable kept) {
-        processor.closeSpare(session, still, kept);
+    public void closeIfIdle(IoSession session, BooleanSupplier stillIdle, Runnable onKept) {
+        processor.closeIfIdle(session, stillIdle, onKept);
     }
 
     /**
-     * Ends the sending side of a connection.
+     * Ends the sending side of a connection; see {@link SharedProcessor#shutdownOutput}.
      *
      * @param session the connection
-     * @param done see {@link SharedProcessor#shutdownOutput}
+     * @param isDone whether nothing more is to be written
      */
-    public void shutdownOutput(IoSession session, BooleanSupplier done) {
-        processor.shutdownOutput(session, done);
+    public void shutdownOutput(IoSession session, BooleanSupplier isDone) {
+        processor.shutdownOutput(session, isDone);
     }
 
     /**
-     * Places kept free, so that a newcomer needn't wait until a descriptor has been closed.
+     * Places kept free, so that a new client needn't wait until a descriptor has been closed.
      *
-     * @return a sixteenth of the share, at least 1
+     * @return a sixteenth of the budget, at least 1
      */
     public int reserve() {
-        return Math.max(1, share.most() / 16);
+        return Math.max(1, budget.capacity() / RESERVE_ONE_IN);
     }
 }
--- a/src/main/java/petrelplank/transport/DescriptorBudget.java
+++ b/src/main/java/petrelplank/transport/DescriptorBudget.java
@@ -4,68 +4,68 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A share of the process's descriptors. A place is taken before a socket exists and given back once its descriptor
- * is closed for sure, so that sockets which wait to be counted, or to be closed, hold their places too. Any thread.
+ * A part of the process's file descriptors. A place is acquired before a socket exists and released once its descriptor
+ * is closed for sure, so that sockets that wait to be counted, or to be closed, hold their places too. Any thread.
  */
 public final class DescriptorBudget {
-    private final int most;
-    private final Semaphore free;
+    private final int capacity;
+    private final Semaphore places;
 
     /**
-     * A share with all places free.
+     * A budget with all places free.
      *
-     * @param most places, at least 1
+     * @param capacity places, at least 1
      */
-    public DescriptorBudget(int most) {
-        if (most < 1) {
-            throw new IllegalArgumentException("a share of " + most + " descriptors");
+    public DescriptorBudget(int capacity) {
+        if (capacity < 1) {
+            throw new IllegalArgumentException("a budget of " + capacity + " descriptors");
         }
-        this.most = most;
-        this.free = new Semaphore(most);
+        this.capacity = capacity;
+        this.places = new Semaphore(capacity);
     }
 
     /**
-     * The size of the share.
+     * The size of the budget.
      *
      * @return places in all
      */
-    public int most() {
-        return most;
+    public int capacity() {
+        return capacity;
     }
 
     /**
-     * What may still be taken.
+     * What may still be acquired.
      *
      * @return free places
      */
-    public int free() {
-        return free.availablePermits();
+    public int available() {
+        return places.availablePermits();
     }
 
     /**
-     * What is taken.
+     * What is acquired.
      *
      * @return places that sockets hold, also those being made or closed
      */
-    public int held() {
-        return most - free();
+    public int inUse() {
+        return capacity - available();
     }
 
     /**
-     * Takes a place without waiting.
+     * Acquires a place without waiting.
      *
      * @return whether there was one
      */
-    public boolean take() {
-        return free.tryAcquire();
+    public boolean tryAcquire() {
+        return places.tryAcquire();
     }
 
-    boolean take(long waitMs) throws InterruptedException {
-        return free.tryAcquire(waitMs, TimeUnit.MILLISECONDS);
+    boolean tryAcquire(long maxWaitMs) throws InterruptedException {
+        return places.tryAcquire(maxWaitMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Gives a place back: its descriptor is closed, or was never opened. */
+    /** Releases a place: its descriptor is closed, or was never opened. */
     public void release() {
-        free.release();
+        places.release();
     }
 }
--- a/src/main/java/petrelplank/upstream/ConnectionSelector.java
+++ b/src/main/java/petrelplank/upstream/ConnectionSelector.java
@@ -42,11 +42,11 @@
 
     private boolean wantsFurther(UpstreamConnection leastLoaded) {
         boolean descriptorsArePlenty =
-                limits.descriptors().held() < limits.descriptors().most() / 2;
+                limits.descriptors().inUse() < limits.descriptors().capacity() / 2;
         return leastLoaded == null || leastLoaded.openCount() >= SHARED_BY_FEW && descriptorsArePlenty;
     }
 
     private boolean hasFreeDescriptor() {
-        return limits.descriptors().free() > 0;
+        return limits.descriptors().available() > 0;
     }
 }
--- a/src/main/java/petrelplank/upstream/EncodedCommand.java
+++ b/src/main/java/petrelplank/upstream/EncodedCommand.java
@@ -12,7 +12,7 @@
  *
  * <p>It waits in the connection's {@link CommandQueue}. Two threads may end the wait: the I/O thread takes it when its
  * turn to be written has come, and the event thread withdraws it when its request is given up. Whichever is first
- * decides, and the decision is final: what was taken may be written in part or whole at any later time, what was
+ * decides, and the decision is final: what was taken may be written in part or completely at any later time, what was
  * withdrawn never is. How much of a taken command has been written follows from the connection's count of bytes.
  */
 final class EncodedCommand extends DefaultWriteRequest {
--- a/src/main/java/petrelplank/upstream/ResponseHeader.java
+++ b/src/main/java/petrelplank/upstream/ResponseHeader.java
@@ -40,7 +40,7 @@
         return new ResponseHeader(words[0], status, words[1].equals(NOT_MODIFIED), fields, bodyLength);
     }
 
-    /** The whole response, once its body has come. */
+    /** The complete response, once its body has come. */
     UpstreamResponse withBody(byte[] body) {
         return new UpstreamResponse(
                 id,
--- a/src/main/java/petrelplank/upstream/UpstreamConnector.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnector.java
@@ -59,7 +59,7 @@
     /** Starts to connect to a server; to be called only where the descriptor budget has a free place. */
     UpstreamConnection connect(UpstreamServer server) {
         // Only the event thread takes places of this budget, so the caller's look at it still holds.
-        limits.descriptors().take();
+        limits.descriptors().tryAcquire();
         UpstreamConnection connection = new UpstreamConnection(server, limits.maxStreams(), loop.now());
         server.add(connection);
         connections.add(connection);
