--- a/src/test/java/petrelplank/cli/FaultRelay.java
+++ b/src/test/java/petrelplank/cli/FaultRelay.java
@@ -12,53 +12,56 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A loopback proxy set between two processes that does to each connection what its timeline says at the moment the
- * connection is made, or while bytes pass: resets it at once, cuts it (holds it open and passes nothing), delays each
- * chunk, or loses chunks at a share drawn from a seed. A test tool: a thread for each direction of a connection.
+ * A loopback relay between two processes that injects faults by a timeline, when a connection is made and while bytes
+ * pass: it resets connections, cuts them (holds them open and passes nothing), delays each chunk, or drops chunks at
+ * random from a seed. A test tool: two threads a connection, one for each direction.
  */
 final class FaultRelay implements AutoCloseable {
-    /** What a span of the timeline does. */
+    private static final int BACKLOG = 200;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
+    private static final int CHUNK_BYTES = 8192;
+
+    /** What the relay does to connections for a time. */
     enum Fault {
+        NONE,
         RESET,
         CUT,
         DELAY,
         LOSE
     }
 
-    /**
-     * From {@code fromMs} to {@code toMs} after the relay was made, {@code fault}; {@code amount} is the delay in ms
-     * or the share lost.
-     */
-    record Span(long fromMs, long toMs, Fault fault, double amount) {}
+    /** From {@code fromMs} until {@code toMs}, a fault; {@code amount} is the delay in ms or the fraction dropped. */
+    record Span(long fromMs, long toMs, Fault fault, double amount) {
+        private static final Span WITHOUT_FAULT = new Span(0, Long.MAX_VALUE, Fault.NONE, 0);
+
+        private boolean contains(long atMs) {
+            return atMs >= fromMs && atMs < toMs;
+        }
+    }
 
     private final ServerSocket listener;
     private final InetSocketAddress target;
-    private volatile List<Span> timeline;
     private final SplittableRandom random;
-    private volatile long startNs = System.nanoTime();
     private final AtomicInteger accepted = new AtomicInteger();
-    private final AtomicInteger[] bySecond = new AtomicInteger[600];
-    private final long madeNs = System.nanoTime();
+    private volatile List<Span> timeline;
+    private volatile long startNs = System.nanoTime();
     private volatile boolean closed;
 
     FaultRelay(InetSocketAddress target, List<Span> timeline, long seed) throws IOException {
         this.target = target;
         this.timeline = List.copyOf(timeline);
         this.random = new SplittableRandom(seed);
-        for (int i = 0; i < bySecond.length; i++) {
-            bySecond[i] = new AtomicInteger();
-        }
-        listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        listener = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
+        startDaemon(this::accept);
     }
 
-    private static void daemon(Runnable task) {
-        Thread t = new Thread(task, "relay");
-        t.setDaemon(true);
-        t.start();
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "relay");
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    /** Plays another timeline, counted from now; the counts by second stay counted from the start. */
+    /** Plays another timeline, counted from now. */
     void play(List<Span> next) {
         startNs = System.nanoTime();
         timeline = List.copyOf(next);
@@ -69,101 +72,69 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Connections made through the relay, whatever became of them. */
+    /** Connections accepted, whatever became of them. */
     int accepted() {
         return accepted.get();
     }
 
-    /** Connections made in each second since the relay was made. */
-    int[] acceptedBySecond() {
-        int[] counts = new int[bySecond.length];
-        for (int i = 0; i < counts.length; i++) {
-            counts[i] = bySecond[i].get();
-        }
-        return counts;
-    }
-
-    private long sinceMs() {
-        return (System.nanoTime() - startNs) / 1_000_000;
-    }
-
-    private Span now() {
-        long at = sinceMs();
-        for (Span s : timeline) {
-            if (at >= s.fromMs() && at < s.toMs()) {
-                return s;
+    private Span activeSpan() {
+        long nowMs = (System.nanoTime() - startNs) / 1_000_000;
+        for (Span span : timeline) {
+            if (span.contains(nowMs)) {
+                return span;
             }
         }
-        return null;
+        return Span.WITHOUT_FAULT;
     }
 
     private void accept() {
-        while (!closed) {
-            try {
-                Socket in = listener.accept();
+        try {
+            while (!closed) {
+                Socket client = listener.accept();
                 accepted.incrementAndGet();
-                bySecond[(int) Math.min(bySecond.length - 1, (System.nanoTime() - madeNs) / 1_000_000_000L)]
-                        .incrementAndGet();
-                Span span = now();
-                if (span != null && span.fault() == Fault.RESET) {
-                    reset(in);
-                    continue;
-                }
-                Socket out = new Socket();
-                try {
-                    out.connect(target, 2_000);
-                } catch (IOException e) {
-                    reset(in);
-                    continue;
+                if (activeSpan().fault() == Fault.RESET) {
+                    reset(client);
+                } else {
+                    connect(client);
                 }
-                daemon(() -> pass(in, out));
-                daemon(() -> pass(out, in));
-            } catch (IOException e) {
-                return;
             }
+        } catch (IOException e) {
+            // closed: the test is over
         }
     }
 
-    private static void reset(Socket s) {
+    private void connect(Socket client) {
+        Socket server = new Socket();
         try {
-            s.setSoLinger(true, 0);
-            s.close();
+            server.connect(target, CONNECT_TIMEOUT_MS);
         } catch (IOException e) {
-            // gone already
+            reset(client);
+            return;
         }
+        startDaemon(() -> relay(client, server));
+        startDaemon(() -> relay(server, client));
     }
 
-    private void pass(Socket from, Socket to) {
-        byte[] chunk = new byte[8192];
+    private static void reset(Socket socket) {
+        try {
+            socket.setSoLinger(true, 0);
+            socket.close();
+        } catch (IOException e) {
+            // closed already
+        }
+    }
+
+    private void relay(Socket from, Socket to) {
         try (InputStream in = from.getInputStream();
                 OutputStream out = to.getOutputStream()) {
-            for (int n = in.read(chunk); n >= 0; n = in.read(chunk)) {
-                Span span = now();
-                if (span != null && span.fault() == Fault.CUT) {
-                    continue;
-                }
-                if (span != null && span.fault() == Fault.RESET) {
-                    reset(from);
-                    reset(to);
-                    return;
-                }
-                if (span != null && span.fault() == Fault.LOSE) {
-                    boolean lost;
-                    synchronized (random) {
-                        lost = random.nextDouble() < span.amount();
-                    }
-                    if (lost) {
-                        continue;
-                    }
-                }
-                if (span != null && span.fault() == Fault.DELAY) {
-                    Thread.sleep((long) span.amount());
-                }
-                out.write(chunk, 0, n);
-                out.flush();
+            boolean endedByFault = relayToEnd(in, out);
+            if (endedByFault) {
+                // Before the streams are closed, which would end the connections in good order.
+                reset(from);
+                reset(to);
             }
         } catch (IOException e) {
-            // one side reset: the other follows
+            // one side was reset: the other follows
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -171,6 +142,43 @@
         reset(to);
     }
 
+    /** Passes chunks on until the sender ends, or a fault resets the connection; whether it was the fault. */
+    private boolean relayToEnd(InputStream in, OutputStream out) throws IOException, InterruptedException {
+        byte[] chunk = new byte[CHUNK_BYTES];
+        for (int count = in.read(chunk); count >= 0; count = in.read(chunk)) {
+            Span span = activeSpan();
+            if (span.fault() == Fault.RESET) {
+                return true;
+            }
+            if (passes(span)) {
+                out.write(chunk, 0, count);
+                out.flush();
+            }
+        }
+        return false;
+    }
+
+    /** Whether a chunk is passed on under a fault; takes the time of a delay. */
+    private boolean passes(Span span) throws InterruptedException {
+        switch (span.fault()) {
+            case CUT -> {
+                return false;
+            }
+            case LOSE -> {
+                synchronized (random) {
+                    return random.nextDouble() >= span.amount();
+                }
+            }
+            case DELAY -> {
+                Thread.sleep((long) span.amount());
+                return true;
+            }
+            default -> {
+                return true;
+            }
+        }
+    }
+
     @Override
     public void close() throws IOException {
         closed = true;
--- a/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
@@ -16,21 +16,26 @@
 import petrelplank.fastcgi.FcgiClient;
 import petrelplank.upstream.FakeServer;
 
-/** Clients' connections and what they may take up, on loopback sockets. */
+/** Timeouts and limits of client connections, on loopback sockets. */
 class LoopbackConnectionsTest extends LoopbackFixture {
+    /** A connection's state in /proc/net/tcp. */
+    private static final String ESTABLISHED = "01";
+
+    private static final String NO_INODE = "0";
+
     @Test
-    void silentAndHalfSentRequestsAreClosedInTimeAndOwedAnswersAreNot() throws IOException, InterruptedException {
+    void silentAndIncompleteConnectionsTimeOutAndPendingRequestsDoNot() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         try (FcgiClient silent = new FcgiClient(front.address());
-                FcgiClient half = new FcgiClient(front.address());
+                FcgiClient incomplete = new FcgiClient(front.address());
                 FcgiClient idle = new FcgiClient(front.address())) {
-            half.raw(new byte[] {1, 1, 0, 1, 0, 8, 0, 0, 0, 1});
+            incomplete.raw(new byte[] {1, 1, 0, 1, 0, 8, 0, 0, 0, 1});
             idle.ask(1, "/_health", NOTHING);
             idle.answer();
             laterUs.addAndGet(2_100_000);
             assertEquals("closed", silent.answer());
-            assertEquals("closed", half.answer());
+            assertEquals("closed", incomplete.answer());
             idle.ask(2, "/_health", NOTHING);
             assertTrue(idle.answer().startsWith("2 Status: 200"));
             laterUs.addAndGet(5_100_000);
@@ -40,9 +45,9 @@
         assertTrue(client.answer().endsWith("one"));
     }
 
-    /** Clients that ask once and stay must not keep others out, nor cost those that are owed an answer theirs. */
+    /** Clients that send one request and stay connected must not keep others out, nor end pending requests. */
     @Test
-    void quietestConnectionMakesRoomAtTheLimit() throws IOException, InterruptedException {
+    void longestIdleConnectionIsClosedAtTheLimit() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         List<FcgiClient> kept = new ArrayList<>();
@@ -54,64 +59,65 @@
         assertEquals("closed", kept.get(0).answer());
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.answer().endsWith("one"));
-        for (FcgiClient one : kept) {
-            one.close();
+        for (FcgiClient connection : kept) {
+            connection.close();
         }
     }
 
     /**
-     * A front that waits for the processor sees a connection as quiet while its next request lies unread in the
-     * machine: to close it then, for room or as idle, loses a request that was taken.
+     * A proxy that waits for the processor sees a connection as idle while its next request lies unread in the kernel:
+     * to close it then, for room or as idle, loses a request that was accepted.
      */
     @Test
-    void quietestConnectionIsKeptWhereItsRequestLiesUnread() throws IOException, InterruptedException {
-        int most = SOCKETS * 2 / 5;
+    void longestIdleConnectionIsKeptWhereItsRequestLiesUnread() throws IOException, InterruptedException {
+        int capacity = SOCKETS * 2 / 5;
         List<FcgiClient> kept = new ArrayList<>();
-        for (int i = 0; i < most - 2; i++) {
+        for (int i = 0; i < capacity - 2; i++) {
             kept.add(new FcgiClient(front.address()));
             kept.get(i).ask(1, "/_health", NOTHING);
             assertTrue(kept.get(i).answer().startsWith("1 Status: 200"));
         }
-        whileTheIoThreadIsHeldUp(kept.get(0), () -> {
+        whileTheIoThreadIsBlocked(kept.get(0), () -> {
             ask(1, "aaaaaaaaaaaaaaaa", "media");
-            // Its place is the last but one, so that the quietest, which is the first client's, shall make room.
+            // It takes the last place but one, so that the longest idle connection, the first client's, has to make
+            // room.
             kept.add(new FcgiClient(front.address()));
-            for (int looks = 0; looks < 2000 && taken() < most; looks++) {
+            for (int polls = 0; polls < 2000 && acceptedConnections() < capacity; polls++) {
                 Thread.sleep(5);
             }
-            assertEquals(most, taken());
+            assertEquals(capacity, acceptedConnections());
         });
-        answersTheRequestThatLayUnread();
-        for (FcgiClient one : kept) {
-            one.close();
+        unreadRequestIsServed();
+        for (FcgiClient connection : kept) {
+            connection.close();
         }
     }
 
     @Test
     void idleConnectionIsKeptWhereItsRequestLiesUnread() throws IOException, InterruptedException {
         try (FcgiClient other = new FcgiClient(front.address())) {
-            whileTheIoThreadIsHeldUp(other, () -> {
+            whileTheIoThreadIsBlocked(other, () -> {
                 ask(1, "aaaaaaaaaaaaaaaa", "media");
                 laterUs.addAndGet(5_100_000);
-                // Longer than the sweep's period; too short a wait would only make this test weaker.
+                // Longer than the sweep interval; too short a wait would only make this test weaker.
                 Thread.sleep(600);
             });
         }
-        answersTheRequestThatLayUnread();
+        unreadRequestIsServed();
     }
 
-    /** A long request takes several reads: the first of them makes nothing whole, and is no junk. */
+    /** A long request takes several reads: the first of them completes no record, and is valid all the same. */
     @Test
-    void idleConnectionIsKeptWhileALongRequestComesInOnIt() throws IOException, InterruptedException {
-        byte[] move = "x".repeat(30_000).getBytes();
+    void idleConnectionIsKeptWhileALongRequestIsReceived() throws IOException, InterruptedException {
+        byte[] body = "x".repeat(30_000).getBytes();
         try (FcgiClient other = new FcgiClient(front.address())) {
-            whileTheIoThreadIsHeldUp(other, () -> {
-                client.begin(1, "/invoke/stock-move", move, headers("aaaaaaaaaaaaaaaa"));
+            whileTheIoThreadIsBlocked(other, () -> {
+                client.begin(1, "/invoke/stock-move", body, headers("aaaaaaaaaaaaaaaa"));
                 laterUs.addAndGet(5_100_000);
                 Thread.sleep(600);
             });
         }
-        // The sweep comes by again, before the two seconds that a half request has.
+        // One more sweep, before the two seconds after which an incomplete request times out.
         Thread.sleep(600);
         client.end(1);
         FakeServer.Line sent = origin.next();
@@ -119,32 +125,32 @@
                 sent.text().startsWith("fetch aaaaaaaaaaaaaaaa ") && sent.text().endsWith(" 30000"), sent.text());
     }
 
-    /** What always has something unread, and never anything whole, is closed in time all the same. */
+    /** A connection that always has unread bytes, and never completes a record, times out all the same. */
     @Test
-    void endlessJunkIsClosedThoughSomeOfItAlwaysLiesUnread() throws IOException {
-        byte[] junk = new byte[8 + 60_000];
-        junk[0] = 1;
-        junk[1] = 5;
-        junk[3] = 77;
-        junk[4] = (byte) (60_000 >> 8);
-        junk[5] = (byte) 60_000;
-        try (FcgiClient bad = new FcgiClient(front.address())) {
-            bad.raw(junk);
+    void endlessInvalidRecordTimesOutThoughSomeOfItAlwaysLiesUnread() throws IOException {
+        byte[] invalid = new byte[8 + 60_000];
+        invalid[0] = 1;
+        invalid[1] = 5;
+        invalid[3] = 77;
+        invalid[4] = (byte) (60_000 >> 8);
+        invalid[5] = (byte) 60_000;
+        try (FcgiClient sender = new FcgiClient(front.address())) {
+            sender.raw(invalid);
             laterUs.addAndGet(2_100_000);
-            long untilNs = System.nanoTime() + 10_000_000_000L;
+            long deadlineNs = System.nanoTime() + 10_000_000_000L;
             assertThrows(IOException.class, () -> {
-                while (System.nanoTime() < untilNs) {
-                    bad.raw(junk);
+                while (System.nanoTime() < deadlineNs) {
+                    sender.raw(invalid);
                 }
             });
         }
     }
 
-    /** A client counts from its sending: what lay unread while the front was held up has so much less time left. */
+    /** A client counts from its sending: the time in which a request lay unread is taken off its timeout. */
     @Test
-    void timeThatARequestLayUnreadIsTakenOffItsPatience() throws IOException, InterruptedException {
+    void timeThatARequestLayUnreadIsTakenOffItsTimeout() throws IOException, InterruptedException {
         try (FcgiClient other = new FcgiClient(front.address())) {
-            whileTheIoThreadIsHeldUp(other, () -> {
+            whileTheIoThreadIsBlocked(other, () -> {
                 ask(1, "aaaaaaaaaaaaaaaa", "media");
                 Thread.sleep(1_000);
             });
@@ -156,68 +162,69 @@
         assertTrue(client.answer().endsWith("one"));
     }
 
-    private void answersTheRequestThatLayUnread() throws IOException, InterruptedException {
+    private void unreadRequestIsServed() throws IOException, InterruptedException {
         cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.answer().endsWith("one"));
     }
 
-    private interface Meanwhile {
-        void happens() throws IOException, InterruptedException;
+    private interface Action {
+        void run() throws IOException, InterruptedException;
     }
 
-    /** The I/O thread is held at the clock while it reads a request of {@code asker}. */
-    private void whileTheIoThreadIsHeldUp(FcgiClient asker, Meanwhile what) throws IOException, InterruptedException {
+    /** Blocks the I/O thread at the clock, while it reads a request of {@code other}. */
+    private void whileTheIoThreadIsBlocked(FcgiClient other, Action action) throws IOException, InterruptedException {
         ioTurn.acquire();
         try {
-            asker.ask(2, "/_health", NOTHING);
+            other.ask(2, "/_health", NOTHING);
             while (!ioTurn.hasQueuedThreads()) {
                 Thread.sleep(1);
             }
-            what.happens();
+            action.run();
         } finally {
             ioTurn.release();
         }
     }
 
     /**
-     * On a crowded machine, the accepting thread took all that came while the I/O thread waited for its turn, until
-     * the process had no descriptor left. The sockets that the front has taken are counted from outside.
+     * On a busy machine, the accepting thread used to accept all connections while the I/O thread waited for the
+     * processor, until the process had no descriptor left. The sockets accepted are counted from outside.
      */
     @Test
-    void connectionsTakenStayWithinTheShareWhileTheIoThreadIsHeldUp() throws IOException, InterruptedException {
-        int most = SOCKETS * 2 / 5;
+    void acceptedConnectionsStayWithinTheBudgetWhileTheIoThreadIsBlocked() throws IOException, InterruptedException {
+        int capacity = SOCKETS * 2 / 5;
         ioTurn.acquire();
-        List<FcgiClient> crowd = new ArrayList<>();
-        long held;
+        List<FcgiClient> clients = new ArrayList<>();
+        long accepted;
         try {
-            for (int i = 0; i < 4 * most; i++) {
-                crowd.add(new FcgiClient(front.address()));
-                crowd.get(i).ask(1, "/_health", NOTHING);
+            for (int i = 0; i < 4 * capacity; i++) {
+                clients.add(new FcgiClient(front.address()));
+                clients.get(i).ask(1, "/_health", NOTHING);
             }
-            // The share fills; the longer look after that is for what must not come.
-            for (int looks = 0; looks < 4000 && taken() < most - 1; looks++) {
+            // The budget fills; the longer wait after that is for connections that must not be accepted.
+            for (int polls = 0; polls < 4000 && acceptedConnections() < capacity - 1; polls++) {
                 Thread.sleep(5);
             }
             Thread.sleep(200);
-            held = taken();
+            accepted = acceptedConnections();
         } finally {
             ioTurn.release();
         }
-        assertTrue(held <= most && held >= most - 1, held + " taken of a share of " + most);
-        for (FcgiClient one : crowd) {
-            String answer = one.answer();
-            assertTrue(answer.startsWith("1 Status: 200"), "number " + crowd.indexOf(one) + ": " + answer);
-            one.close();
+        assertTrue(accepted <= capacity && accepted >= capacity - 1, accepted + " accepted of a budget of " + capacity);
+        for (FcgiClient connection : clients) {
+            String answer = connection.answer();
+            assertTrue(answer.startsWith("1 Status: 200"), "number " + clients.indexOf(connection) + ": " + answer);
+            connection.close();
         }
     }
 
-    /** Connections to the front that a process has taken: those still in the machine's queue have no inode. */
-    private long taken() throws IOException {
+    /** Connections to the proxy that a process has accepted: those still in the kernel's accept queue have no inode. */
+    private long acceptedConnections() throws IOException {
         String port = String.format(":%04X", front.address().getPort());
         try (Stream<String> lines = Stream.concat(
                 Files.lines(Path.of("/proc/self/net/tcp")), Files.lines(Path.of("/proc/self/net/tcp6")))) {
             return lines.map(line -> line.trim().split("\\s+"))
-                    .filter(f -> f[1].endsWith(port) && f[3].equals("01") && !f[9].equals("0"))
+                    .filter(fields ->
+                            fields[1].endsWith(port) && fields[3].equals(ESTABLISHED) && !fields[9].equals(NO_INODE))
                     .count();
         }
     }
--- a/src/test/java/petrelplank/cli/LoopbackServersTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackServersTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.api.Test;
 import petrelplank.upstream.FakeServer;
 
-/** Cache nodes that end in the middle of a connection or of an answer, on loopback sockets. */
+/** Upstream servers that fail in the middle of a connection or of a response, on loopback sockets. */
 class LoopbackServersTest extends LoopbackFixture {
     private static final String READ = "aaaaaaaaaaaaaaaa";
     private static final String WRITE = "bbbbbbbbbbbbbbbb";
 
-    /** Resets each connection right behind its accept, with nothing read. */
-    private static final class DiesBehindAccept implements AutoCloseable {
+    /** Resets each connection right after its accept, with nothing read. */
+    private static final class ResettingServer implements AutoCloseable {
         private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
 
-        DiesBehindAccept() throws IOException {
+        ResettingServer() throws IOException {
             Thread accepting = new Thread(this::accept);
             accepting.setDaemon(true);
             accepting.start();
@@ -42,42 +42,42 @@
         }
     }
 
-    private void tell(String id, String zone, String kind, DiesBehindAccept at)
+    private void moveEndpoint(String id, String zone, String kind, ResettingServer target)
             throws IOException, InterruptedException {
         String active = entry(id, cache, zone, kind, "active");
         coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                + active.replace(cache.address(), "127.0.0.1:" + at.listener.getLocalPort()) + "]}}");
+                + active.replace(cache.address(), "127.0.0.1:" + target.listener.getLocalPort()) + "]}}");
     }
 
-    private void answerIsServed(FakeServer by, String request) throws IOException, InterruptedException {
-        FakeServer.Line fetch = by.next();
+    private void assertServedBy(FakeServer server, String request) throws IOException, InterruptedException {
+        FakeServer.Line fetch = server.next();
         assertThat(fetch.word(1)).isEqualTo(request);
         fetch.reply(request + " ACK tell=HIT 3\r\none\r\n");
         assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
     }
 
     @Test
-    void readGoesOnWhereItsCacheDiesBehindAccept() throws IOException, InterruptedException {
-        try (DiesBehindAccept dying = new DiesBehindAccept()) {
-            tell("c-1", "edge-1", "box", dying);
+    void readIsRetriedWhereItsCacheResetsAfterAccept() throws IOException, InterruptedException {
+        try (ResettingServer server = new ResettingServer()) {
+            moveEndpoint("c-1", "edge-1", "box", server);
             ask(1, READ, "media");
-            answerIsServed(parent, READ);
+            assertServedBy(parent, READ);
         }
     }
 
-    /** An answer that is cut behind its header is none; the read is sent again. */
+    /** A response that ends after its header is none; the read is retried. */
     @Test
-    void readIsSentAgainWhereItsAnswerIsCutBehindTheHeader() throws IOException, InterruptedException {
+    void readIsRetriedWhereItsResponseEndsAfterTheHeader() throws IOException, InterruptedException {
         ask(1, READ, "media");
-        FakeServer.Line cut = cache.next();
-        cut.reply(READ + " ACK tell=HIT 3\r\n");
-        cut.socket().close();
-        answerIsServed(parent, READ);
+        FakeServer.Line truncated = cache.next();
+        truncated.reply(READ + " ACK tell=HIT 3\r\n");
+        truncated.socket().close();
+        assertServedBy(parent, READ);
     }
 
-    /** A single-shot write whose command came whole may have run, also where its answer is cut: it is not sent again. */
+    /** A write that is not idempotent may have been executed, also where its response is truncated: no retry. */
     @Test
-    void singleShotIsNotSentAgainWhereItsAnswerIsCut() throws IOException, InterruptedException {
+    void nonIdempotentWriteIsNotRetriedWhereItsResponseIsTruncated() throws IOException, InterruptedException {
         ask(1, WRITE, "stock-move");
         FakeServer.Line first = origin.next();
         assertThat(first.word(1)).isEqualTo(WRITE);
@@ -88,15 +88,15 @@
         assertThat(cache.quiet() && parent.quiet() && origin.quiet()).isTrue();
     }
 
-    /** A second answer some time after the first reaches nobody, on a connection that goes on. */
+    /** A second response some time after the first is discarded, and the connection stays in use. */
     @Test
-    void doubledAnswerReachesNobody() throws IOException, InterruptedException {
+    void duplicateResponseIsDiscarded() throws IOException, InterruptedException {
         ask(1, READ, "media");
         FakeServer.Line fetch = cache.next();
-        String answer = READ + " ACK tell=HIT 3\r\none\r\n";
-        fetch.reply(answer);
+        String response = READ + " ACK tell=HIT 3\r\none\r\n";
+        fetch.reply(response);
         assertThat(client.answer()).startsWith("1 Status: 200");
-        fetch.reply(answer);
+        fetch.reply(response);
         ask(2, "cccccccccccccccc", "media");
         FakeServer.Line next = cache.next();
         assertThat(next.socket()).isSameAs(fetch.socket());
--- a/src/test/java/petrelplank/cli/LoopbackWritesTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackWritesTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import petrelplank.upstream.FakeServer;
 
-/** Requests that may not simply be repeated, on loopback sockets. */
+/** Requests that are not idempotent, or only with a key, on loopback sockets. */
 class LoopbackWritesTest extends LoopbackFixture {
     @Test
-    void resetOrFailedSingleShotIsFailedAtOnceAndNeverSentAgain() throws IOException, InterruptedException {
+    void nonIdempotentWriteThatWasResetOrFailedIsNeverRetried() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "stock-move");
         FakeServer.Line sent = origin.next();
         assertTrue(
@@ -30,21 +30,21 @@
         assertTrue(origin.quiet() && parent.quiet() && cache.quiet());
     }
 
-    /** The key is what the origin drops repeats by: the same with every attempt; without one nothing may be sent. */
+    /** The origin recognises repeats by the key: it is the same in every attempt, and required. */
     @Test
-    void keyOfAKeyedWriteIsPassedOnUnchangedWithEveryAttempt() throws IOException, InterruptedException {
+    void idempotencyKeyIsTheSameInEveryAttempt() throws IOException, InterruptedException {
         String key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
         askKeyed(1, "aaaaaaaaaaaaaaaa", key);
         FakeServer.Line first = origin.next();
         assertTrue(
                 first.text().contains(",nonce=" + key) && origin.next().text().equals("mark"), first.text());
         first.reset();
-        FakeServer.Line again = parent.next();
+        FakeServer.Line retry = parent.next();
         assertTrue(
-                again.text().startsWith("fetch aaaaaaaaaaaaaaaa ")
-                        && again.text().contains(",nonce=" + key),
-                again.text());
-        again.reply("aaaaaaaaaaaaaaaa ACK - 2\r\nok\r\n");
+                retry.text().startsWith("fetch aaaaaaaaaaaaaaaa ")
+                        && retry.text().contains(",nonce=" + key),
+                retry.text());
+        retry.reply("aaaaaaaaaaaaaaaa ACK - 2\r\nok\r\n");
         assertTrue(client.answer().endsWith("ok"));
         for (String bad : new String[] {null, "", "a b", "a,b", "a=b", "a\r\nb", "\u00e9"}) {
             askKeyed(2, "bbbbbbbbbbbbbbbb", bad);
@@ -61,9 +61,9 @@
         client.ask(id, "/invoke/receipt", "mark".getBytes(), headers.toArray(String[]::new));
     }
 
-    /** Nothing ran, so a further way is allowed; where there is none, the client may come again. */
+    /** Nothing was executed, so another server is tried; where that rejects it, the client may retry. */
     @Test
-    void singleShotThatWasNeverWrittenIsNotFailed() throws IOException, InterruptedException {
+    void nonIdempotentWriteThatWasNeverSentIsRetriedElsewhere() throws IOException, InterruptedException {
         origin.refuse();
         ask(1, "aaaaaaaaaaaaaaaa", "stock-move");
         FakeServer.Line other = parent.next();
@@ -72,9 +72,9 @@
         assertTrue(client.answer().contains("Status: 503"));
     }
 
-    /** An idle connection may be reset by the next command, and a shared one by another's; it can't be sent again. */
+    /** An idle connection may be reset by the next command, and a shared one by another's; a retry isn't allowed. */
     @Test
-    void singleShotGoesOutOnANewConnectionAlone() throws IOException, InterruptedException {
+    void nonIdempotentWriteIsSentOnADedicatedConnection() throws IOException, InterruptedException {
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
             ask(i + 1, "c00000000000000" + i, "stock-move");
--- a/src/test/java/petrelplank/upstream/FakeServer.java
+++ b/src/test/java/petrelplank/upstream/FakeServer.java
@@ -12,20 +12,20 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A peer that writes down the lines it gets, on a free port, for loopback tests. */
+/** A server on a free port that queues the lines it receives, for loopback tests to read and reply to. */
 public final class FakeServer implements AutoCloseable {
-    private static final int PATIENCE_S = 20;
+    private static final int MAX_WAIT_S = 20;
 
-    /** One line, and the connection it came by. */
+    /** One line, and the connection on which it was received. */
     public record Line(Socket socket, String text) {
-        /** The word at a place. */
-        public String word(int place) {
-            return text.split(" ")[place];
+        /** The word at an index, from 0. */
+        public String word(int index) {
+            return text.split(" ")[index];
         }
 
-        /** Writes text back as it is. */
-        public void reply(String answer) throws IOException {
-            socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+        /** Writes text to the line's connection, as it is. */
+        public void reply(String response) throws IOException {
+            socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         /** Resets the connection. */
@@ -43,10 +43,10 @@
     /** Listens on a free port. */
     public FakeServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        accepting = daemon(this::accept);
+        accepting = startDaemon(this::accept);
     }
 
-    private static Thread daemon(Runnable task) {
+    private static Thread startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
@@ -57,7 +57,7 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                daemon(() -> read(socket));
+                startDaemon(() -> read(socket));
             }
         } catch (IOException e) {
             // closed: the test is over
@@ -84,21 +84,21 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** The next line, from whatever connection. */
+    /** Waits for the next line, on any connection. */
     public Line next() throws InterruptedException {
-        Line line = lines.poll(PATIENCE_S, TimeUnit.SECONDS);
+        Line line = lines.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         if (line == null) {
-            throw new AssertionError("no line came");
+            throw new AssertionError("no line was received");
         }
         return line;
     }
 
-    /** The next connection that has ended. */
+    /** Waits for the next connection that ends. */
     public Socket ended() throws InterruptedException {
-        return ended.poll(PATIENCE_S, TimeUnit.SECONDS);
+        return ended.poll(MAX_WAIT_S, TimeUnit.SECONDS);
     }
 
-    /** Whether no line is waiting. */
+    /** Whether no line is queued. */
     public boolean quiet() {
         return lines.isEmpty();
     }
@@ -108,10 +108,10 @@
         int port = listener.getLocalPort();
         listener.close();
         accepting.join();
-        try (Socket taken = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
-            throw new AssertionError("still taken at " + taken.getPort());
+        try (Socket accepted = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
+            throw new AssertionError("still accepted at " + accepted.getPort());
         } catch (ConnectException e) {
-            // as it should be
+            // as expected
         }
     }
 
