--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -94,7 +94,7 @@
         int sockets = Math.max(1, c.sockets() * SOCKET_PARTS / 5);
         DescriptorBudget ofClients = new DescriptorBudget(sockets);
         DescriptorBudget ofServers = new DescriptorBudget(sockets);
-        io.share(toServers, ofServers);
+        io.setDescriptorBudget(toServers, ofServers);
         acceptor = new BoundedAcceptor(io, ofClients);
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getSessionConfig().setMinReadBufferSize(CLIENT_READ_BUFFER);
@@ -105,7 +105,7 @@
                 c.streams(),
                 Math.max(LEAST_CONNECT_US, c.settings().connectTimeoutUs()),
                 c.idleUs(),
-                ConnectionLimits.perServer(c.settings().zoneGatewayCount()),
+                ConnectionLimits.maxPerServer(c.settings().zoneGatewayCount()),
                 c.settings().permissions().hedging());
         front = new EdgeProxy(loop, c.settings(), c.seed(), OPEN_PER_MB * c.memoryMb(), sink, (l, relay) -> {
             pool = new UpstreamConnectionPool(
