--- a/src/main/java/petrelplank/proxy/AdmissionController.java
+++ b/src/main/java/petrelplank/proxy/AdmissionController.java
@@ -20,12 +20,13 @@
     private final int most;
     private final RoutingStage route;
     private final RequestCompletion book;
-    private final EventRecorder scribe;
+    private final SinkEventRecorder scribe;
     private long closeAtUs = Long.MAX_VALUE;
     /** What was taken and may not be routed yet; null where nothing has to wait. */
     private Set<Exchange> waiting;
 
-    AdmissionController(EventLoop loop, int most, RoutingStage route, RequestCompletion book, EventRecorder scribe) {
+    AdmissionController(
+            EventLoop loop, int most, RoutingStage route, RequestCompletion book, SinkEventRecorder scribe) {
         this.loop = loop;
         this.most = most;
         this.route = route;
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -13,7 +13,7 @@
     private final EventLoop loop;
     private final UpstreamClient servers;
     private final ResponseForwarder relay;
-    private final EventRecorder scribe;
+    private final SinkEventRecorder scribe;
     /** The classes that may not be sent again at will. */
     private final Set<String> guarded;
 
@@ -22,7 +22,7 @@
             RouterSettings settings,
             UpstreamClient servers,
             ResponseForwarder relay,
-            EventRecorder scribe) {
+            SinkEventRecorder scribe) {
         this.loop = loop;
         this.servers = servers;
         this.relay = relay;
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -16,7 +16,7 @@
     private final EventLoop loop;
     private final UpstreamClient servers;
     private final Router router;
-    private final EventRecorder scribe;
+    private final SinkEventRecorder scribe;
     private final RequestCompletion book;
     private final AdmissionController admit;
     private final RequestValidator takeIn;
@@ -41,7 +41,7 @@
             EventSink sink,
             BiFunction<EventLoop, ResponseForwarder, UpstreamClient> connect) {
         this.loop = loop;
-        this.scribe = new EventRecorder(loop, settings, sink);
+        this.scribe = new SinkEventRecorder(loop, settings, sink);
         this.book = new RequestCompletion(loop, scribe);
         ResponseForwarder relay = new ResponseForwarder(loop, book, scribe);
         RoutingStage route = new RoutingStage(loop, settings);
@@ -50,7 +50,7 @@
         this.admit = new AdmissionController(loop, mostOpen, route, book, scribe);
         this.takeIn = new RequestValidator(admit, settings, scribe);
         book.admit(admit);
-        ProxyRouterActions actions = new ProxyRouterActions(loop, admit, send, book, scribe);
+        RouterHost actions = new RouterHost(loop, admit, send, book, scribe);
         this.router = new RequestRouter(settings, seed, actions);
         actions.router(router);
         route.router(router);
--- a/src/main/java/petrelplank/proxy/RequestCompletion.java
+++ b/src/main/java/petrelplank/proxy/RequestCompletion.java
@@ -14,11 +14,11 @@
     private long overdue;
     private long left;
     private final EventLoop loop;
-    private final EventRecorder scribe;
+    private final SinkEventRecorder scribe;
     private AdmissionController admit;
     private Router router;
 
-    RequestCompletion(EventLoop loop, EventRecorder scribe) {
+    RequestCompletion(EventLoop loop, SinkEventRecorder scribe) {
         this.loop = loop;
         this.scribe = scribe;
     }
--- a/src/main/java/petrelplank/proxy/RequestValidator.java
+++ b/src/main/java/petrelplank/proxy/RequestValidator.java
@@ -20,13 +20,13 @@
     private static final int LAST_GROUP = 255;
 
     private final AdmissionController admit;
-    private final EventRecorder scribe;
+    private final SinkEventRecorder scribe;
     /** How long clients wait at most, by class. */
     private final Map<String, Long> longest;
     /** The classes whose requests carry a key, by which the origin drops repeats. */
     private final Set<String> keyed;
 
-    RequestValidator(AdmissionController admit, RouterSettings settings, EventRecorder scribe) {
+    RequestValidator(AdmissionController admit, RouterSettings settings, SinkEventRecorder scribe) {
         this.admit = admit;
         this.scribe = scribe;
         this.longest =
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -10,10 +10,10 @@
 public final class ResponseForwarder {
     private final EventLoop loop;
     private final RequestCompletion book;
-    private final EventRecorder scribe;
+    private final SinkEventRecorder scribe;
     private Router router;
 
-    ResponseForwarder(EventLoop loop, RequestCompletion book, EventRecorder scribe) {
+    ResponseForwarder(EventLoop loop, RequestCompletion book, SinkEventRecorder scribe) {
         this.loop = loop;
         this.book = book;
         this.scribe = scribe;
--- a/src/main/java/petrelplank/proxy/ProxyRouterActions.java
+++ b/src/main/java/petrelplank/proxy/RouterHost.java
@@ -7,7 +7,7 @@
 import petrelplank.routing.TerminationReason;
 
 /** Carries the router's decisions out: attempts, final answers, timers. Event thread only. */
-final class ProxyRouterActions implements Actions {
+final class RouterHost implements Actions {
     private static final Logger LOG = Logger.getLogger(EdgeProxy.class.getName());
     private static final long LEAST_TIMER_US = 1000;
 
@@ -15,15 +15,15 @@
     private final AdmissionController admit;
     private final AttemptDispatcher send;
     private final RequestCompletion book;
-    private final EventRecorder scribe;
+    private final SinkEventRecorder scribe;
     private Router router;
 
-    ProxyRouterActions(
+    RouterHost(
             EventLoop loop,
             AdmissionController admit,
             AttemptDispatcher send,
             RequestCompletion book,
-            EventRecorder scribe) {
+            SinkEventRecorder scribe) {
         this.loop = loop;
         this.admit = admit;
         this.send = send;
--- a/src/main/java/petrelplank/proxy/EventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -13,7 +13,7 @@
 import petrelplank.routing.TerminationReason;
 
 /** Makes events of what the stages do, where records are on; else does nothing. Event thread only. */
-final class EventRecorder {
+final class SinkEventRecorder {
     private static final long PULSE_US = 1_000_000;
 
     private final EventLoop loop;
@@ -25,7 +25,7 @@
     private String givenUp;
     private TerminationReason why;
 
-    EventRecorder(EventLoop loop, RouterSettings settings, EventSink sink) {
+    SinkEventRecorder(EventLoop loop, RouterSettings settings, EventSink sink) {
         this.loop = loop;
         this.sink = sink;
         this.classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
