--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -59,7 +59,8 @@
         if (records != null && !records.isDirectory() && !records.mkdirs()) {
             return unusable(records + ": no such directory can be made");
         }
-        Simulation world = new Simulation(played, seed, (name, life) -> records == null ? null : sink(name, life));
+        Simulation world =
+                new Simulation(played, seed, (name, life) -> records == null ? EventSink.NONE : sink(name, life));
         Map<String, Object> happened;
         try {
             happened = world.run();
--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -80,7 +80,7 @@
      *
      * @param c what the front was told
      * @param clock the Unix clock in microseconds
-     * @param sink takes the front's records; null for none
+     * @param sink takes the front's records; EventSink.NONE for none
      */
     ProxyServer(Configuration c, LongSupplier clock, EventSink sink) {
         this.sink = sink;
@@ -231,9 +231,7 @@
                     ending = true;
                 },
                 () -> {
-                    if (sink != null) {
-                        sink.close();
-                    }
+                    sink.close();
                     ended.run();
                 });
     }
--- a/src/main/java/petrelplank/cli/RecordSinks.java
+++ b/src/main/java/petrelplank/cli/RecordSinks.java
@@ -18,6 +18,6 @@
         Section file = Yaml.read(operator.toPath());
         RecordSettings settings = OperatorRecords.read(file.section("records"));
         file.done();
-        return settings == null ? null : new FileSink(settings, name, new SecureRandom().nextLong());
+        return settings == null ? EventSink.NONE : new FileSink(settings, name, new SecureRandom().nextLong());
     }
 }
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -48,7 +48,7 @@
             }
             EventSink sink = trace
                     ? FileSink.trace(System.err, c.name())
-                    : operator == null ? null : RecordSinks.sink(operator, c.name());
+                    : operator == null ? EventSink.NONE : RecordSinks.sink(operator, c.name());
             front = new ProxyServer(c, ServeCommand::unixUs, sink);
             if (!Signals.on("HUP", () -> reload(front, new File(config)))) {
                 LOG.warning("started with SIGHUP ignored (nohup?): a new configuration will not be read");
--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -102,9 +102,7 @@
     /** Killed outright: nothing more happens, and what it had taken is lost. */
     void kill() {
         alive = false;
-        if (sink != null) {
-            sink.close();
-        }
+        sink.close();
     }
 
     /** Ends in order at the end of the emulation. */
--- a/src/main/java/petrelplank/emulator/Simulation.java
+++ b/src/main/java/petrelplank/emulator/Simulation.java
@@ -283,6 +283,7 @@
                         0,
                         null,
                         item.type().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? id : null,
+                        null,
                         new byte[0]),
                 answer -> {
                     items.remove(id);
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -8,77 +8,86 @@
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.ServiceClass;
 
-/** Stage 4: turns the router's orders into attempts, and watches their time. */
+/** Stage 4: sends the attempts that the router orders, and ends those whose time is up. */
 final class AttemptDispatcher {
+    private static final int US_PER_MS = 1000;
+
     private final EventLoop loop;
-    private final UpstreamClient servers;
-    private final ResponseForwarder relay;
-    private final SinkEventRecorder scribe;
-    /** The classes that may not be sent again at will. */
-    private final Set<String> guarded;
+    private final UpstreamClient upstream;
+    private final ResponseForwarder forwarder;
+    private final EventRecorder recorder;
+    /** Names of the classes whose requests can't be repeated freely. */
+    private final Set<String> nonIdempotentClasses;
 
     AttemptDispatcher(
             EventLoop loop,
             RouterSettings settings,
-            UpstreamClient servers,
-            ResponseForwarder relay,
-            SinkEventRecorder scribe) {
+            UpstreamClient upstream,
+            ResponseForwarder forwarder,
+            EventRecorder recorder) {
         this.loop = loop;
-        this.servers = servers;
-        this.relay = relay;
-        this.scribe = scribe;
-        this.guarded = settings.classes().stream()
-                .filter(c -> c.idempotency() != Idempotency.IDEMPOTENT)
+        this.upstream = upstream;
+        this.forwarder = forwarder;
+        this.recorder = recorder;
+        this.nonIdempotentClasses = settings.classes().stream()
+                .filter(type -> type.idempotency() != Idempotency.IDEMPOTENT)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
     }
 
-    void send(Exchange exchange, AttemptPlan order) {
-        ClientRequest asked = exchange.asked;
+    void send(Exchange exchange, AttemptPlan plan) {
         long now = loop.now();
-        long untilUs = now + order.timeoutUs();
-        UpstreamRequest fetch = new UpstreamRequest(
-                asked.id(),
-                asked.serviceClass(),
-                asked.object(),
-                asked.part(),
-                order.source().equals(order.server()) ? null : order.source(),
-                order.rank(),
-                oldestMs(order.maxAgeUs()),
-                order.coalesce(),
-                order.onlyIfCached(),
-                order.staleWhileRevalidate(),
-                asked.tag(),
-                asked.key(),
-                asked.body(),
-                guarded.contains(asked.serviceClass()));
-        Attempt attempt = new Attempt(exchange, exchange.attempts.size(), order.server(), fetch, now, untilUs);
+        long timeoutAtUs = now + plan.timeoutUs();
+        Attempt attempt = new Attempt(
+                exchange,
+                exchange.attempts.size(),
+                plan.server(),
+                upstreamRequest(exchange.request, plan),
+                now,
+                timeoutAtUs);
         exchange.attempts.add(attempt);
-        attempt.timer = loop.at(untilUs, () -> timeout(attempt));
-        scribe.sent(attempt);
-        servers.send(attempt);
+        attempt.startTimeout(loop.at(timeoutAtUs, () -> abort(attempt, AttemptStatus.TIMEOUT)));
+        recorder.attemptSent(attempt);
+        upstream.send(attempt);
+    }
+
+    private UpstreamRequest upstreamRequest(ClientRequest request, AttemptPlan plan) {
+        boolean fills = !plan.source().equals(plan.server());
+        return new UpstreamRequest(
+                request.id(),
+                request.serviceClass(),
+                request.object(),
+                request.part(),
+                fills ? plan.source() : null,
+                plan.rank(),
+                maxAgeMs(plan.maxAgeUs()),
+                plan.coalesce(),
+                plan.onlyIfCached(),
+                plan.staleWhileRevalidate(),
+                request.tag(),
+                request.key(),
+                request.body(),
+                nonIdempotentClasses.contains(request.serviceClass()));
     }
 
     /** Guards the purge rule: rounded down, and never to 0, which would stand for the class's own limit. */
-    static long oldestMs(long maxAgeUs) {
-        return maxAgeUs <= 0 ? 0 : Math.max(1, maxAgeUs / 1000);
+    static long maxAgeMs(long maxAgeUs) {
+        return maxAgeUs <= 0 ? 0 : Math.max(1, maxAgeUs / US_PER_MS);
     }
 
+    /** Cancels an attempt by its number; nothing happens where it has ended or was never sent. */
     void cancel(Exchange exchange, int number) {
-        if (number >= 0 && number < exchange.attempts.size() && !exchange.attempts.get(number).ended) {
-            withdraw(exchange.attempts.get(number), AttemptStatus.CANCELLED);
+        if (number >= 0 && number < exchange.attempts.size()) {
+            abort(exchange.attempts.get(number), AttemptStatus.CANCELLED);
         }
     }
 
-    private void timeout(Attempt attempt) {
-        if (!attempt.ended) {
-            withdraw(attempt, AttemptStatus.TIMEOUT);
+    private void abort(Attempt attempt, AttemptStatus status) {
+        if (attempt.hasEnded()) {
+            return;
         }
-    }
-
-    private void withdraw(Attempt attempt, AttemptStatus status) {
-        servers.abort(attempt);
-        loop.post(() ->
-                relay.ended(attempt, UpstreamResponse.ended(attempt.request().id(), status)));
+        upstream.abort(attempt);
+        UpstreamResponse end = UpstreamResponse.ended(attempt.request().id(), status);
+        loop.post(() -> forwarder.ended(attempt, end));
     }
 }
--- a/src/main/java/petrelplank/proxy/ClientResponse.java
+++ b/src/main/java/petrelplank/proxy/ClientResponse.java
@@ -1,26 +1,26 @@
 package petrelplank.proxy;
 
 /**
- * A final answer to a client.
+ * The final response to a client.
  *
- * @param kind what it says
+ * @param kind the outcome
  * @param body the bytes of the part; empty where there are none
- * @param retryAfterMs for refusals: how long to stay away; 0 for no advice
+ * @param retryAfterMs for rejected requests: when the client should come back; 0 for no advice
  */
 public record ClientResponse(Kind kind, byte[] body, long retryAfterMs) {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_BODY = new byte[0];
 
-    /** What an answer says. */
+    /** The outcome of a request. */
     public enum Kind {
         /** The bytes of the part. */
         SERVED("served"),
-        /** The client's own copy is the one that would be served. */
+        /** The client's own copy is current. */
         NOT_MODIFIED("still"),
-        /** Nothing may have run; trying again is harmless. */
+        /** Nothing was executed; a retry is harmless. */
         REJECTED("refused"),
-        /** Not served, with no promise. */
+        /** Not served; it may have been executed. */
         FAILED("failed"),
-        /** The request can't be understood; nothing ran, and trying again won't help. */
+        /** The request is malformed; nothing was executed, and a retry won't help. */
         BAD_REQUEST("bad_request");
 
         private final String label;
@@ -44,22 +44,22 @@
     }
 
     /**
-     * An answer without bytes.
+     * A response without a body.
      *
-     * @param kind what it says
-     * @return the answer
+     * @param kind the outcome
+     * @return the response
      */
     public static ClientResponse of(Kind kind) {
-        return new ClientResponse(kind, NOTHING, 0);
+        return new ClientResponse(kind, NO_BODY, 0);
     }
 
     /**
-     * A refusal.
+     * The response to a request that is rejected.
      *
-     * @param retryAfterMs how long the client shall stay away; 0 for no advice
-     * @return the answer
+     * @param retryAfterMs when the client should come back; 0 for no advice
+     * @return the response
      */
     public static ClientResponse refused(long retryAfterMs) {
-        return new ClientResponse(Kind.REJECTED, NOTHING, retryAfterMs);
+        return new ClientResponse(Kind.REJECTED, NO_BODY, retryAfterMs);
     }
 }
--- a/src/main/java/petrelplank/proxy/DiscoveryEvent.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEvent.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import petrelplank.routing.EndpointInfo;
 
-/** A numbered event of the coordinator. */
+/** A numbered event of the discovery service. */
 public sealed interface DiscoveryEvent {
     /**
      * The event's number.
@@ -14,18 +14,18 @@
     long index();
 
     /**
-     * A listed server.
+     * An entry of the endpoint list.
      *
-     * @param member what the router is told
+     * @param member the endpoint as the router sees it
      * @param address where it listens
      */
     record Entry(EndpointInfo member, InetSocketAddress address) {}
 
     /**
-     * The list of servers changed.
+     * The endpoint list changed.
      *
      * @param index the event's number
-     * @param complete the entries are the whole list
+     * @param complete the entries are the complete list
      * @param entries the entries
      */
     record Change(long index, boolean complete, List<Entry> entries) implements DiscoveryEvent {}
@@ -41,14 +41,14 @@
     record Purge(long index, Long object, int group, long unixMs) implements DiscoveryEvent {}
 
     /**
-     * Nothing new: the number of the last event there is.
+     * A heartbeat: nothing new happened.
      *
-     * @param index that number
+     * @param index the number of the last event there is
      */
     record Beat(long index) implements DiscoveryEvent {}
 
     /**
-     * An event of a kind not known here.
+     * An event of a kind that is not known here.
      *
      * @param index the event's number
      */
--- /dev/null
+++ b/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
@@ -0,0 +1,88 @@
+package petrelplank.proxy;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import petrelplank.routing.EndpointInfo;
+import petrelplank.routing.EndpointState;
+import petrelplank.routing.Router;
+
+/** Applies the events of the discovery service to the router and to the upstream connections. Event thread only. */
+final class DiscoveryEventHandler {
+    private static final int US_PER_MS = 1000;
+
+    private final EventLoop loop;
+    private final Router router;
+    private final UpstreamClient upstream;
+    private final EventRecorder recorder;
+    /** Ids of the servers that the upstream connections know of. */
+    private final Set<String> listed = new HashSet<>();
+
+    private long lastIndex;
+
+    DiscoveryEventHandler(EventLoop loop, Router router, UpstreamClient upstream, EventRecorder recorder) {
+        this.loop = loop;
+        this.router = router;
+        this.upstream = upstream;
+        this.recorder = recorder;
+    }
+
+    /** Applies an event, unless its number is known already. */
+    void apply(DiscoveryEvent event) {
+        if (event.index() <= lastIndex) {
+            return;
+        }
+        lastIndex = event.index();
+        recorder.discoveryEvent(event);
+        if (event instanceof DiscoveryEvent.Purge purge) {
+            purge(purge);
+        } else if (event instanceof DiscoveryEvent.Change change) {
+            updateEndpoints(change);
+        }
+    }
+
+    /** The number of the last event; 0 before the first. */
+    long lastIndex() {
+        return lastIndex;
+    }
+
+    private void purge(DiscoveryEvent.Purge purge) {
+        long now = loop.now();
+        long ageUs = Math.max(0, now - purge.unixMs() * US_PER_MS);
+        if (purge.object() != null) {
+            router.objectPurged(now, purge.object(), ageUs);
+        } else {
+            router.groupPurged(now, purge.group(), ageUs);
+        }
+    }
+
+    private void updateEndpoints(DiscoveryEvent.Change change) {
+        List<EndpointInfo> endpoints =
+                change.entries().stream().map(DiscoveryEvent.Entry::member).toList();
+        router.endpointsChanged(loop.now(), change.complete(), endpoints);
+        Set<String> removed = removedBy(change);
+        removed.forEach(upstream::endpointRemoved);
+        listed.removeAll(removed);
+        for (DiscoveryEvent.Entry entry : change.entries()) {
+            EndpointInfo endpoint = entry.member();
+            if (endpoint.state() != EndpointState.REMOVED) {
+                listed.add(endpoint.id());
+                upstream.endpointListed(endpoint.id(), entry.address(), endpoint.startedUs());
+            }
+        }
+    }
+
+    /** Ids of the servers that a change removes by name or, where it is a complete list, by leaving them out. */
+    private Set<String> removedBy(DiscoveryEvent.Change change) {
+        Set<String> removed = change.complete() ? new HashSet<>(listed) : new HashSet<>();
+        for (DiscoveryEvent.Entry entry : change.entries()) {
+            EndpointInfo endpoint = entry.member();
+            if (endpoint.state() == EndpointState.REMOVED) {
+                removed.add(endpoint.id());
+            } else {
+                removed.remove(endpoint.id());
+            }
+        }
+        return removed;
+    }
+}
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -1,188 +1,152 @@
 package petrelplank.proxy;
 
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.function.BiFunction;
 import petrelplank.record.EventSink;
-import petrelplank.routing.EndpointInfo;
-import petrelplank.routing.EndpointState;
-import petrelplank.routing.RequestRouter;
 import petrelplank.routing.Router;
 import petrelplank.routing.RouterSettings;
 
-/** The front: the stages, the router and its actions, and the list of servers. Event thread only. */
+/** The request pipeline with its router and its endpoint list, put together. Event thread only. */
 public final class EdgeProxy {
     private final EventLoop loop;
-    private final UpstreamClient servers;
     private final Router router;
-    private final SinkEventRecorder scribe;
-    private final RequestCompletion book;
-    private final AdmissionController admit;
-    private final RequestValidator takeIn;
-    private final Set<String> listed = new HashSet<>();
-    private long listIndex;
+    private final UpstreamClient upstream;
+    private final EventRecorder recorder;
+    private final OpenRequests openRequests = new OpenRequests();
+    private final RequestCompletion completion;
+    private final AdmissionController admission;
+    private final RequestValidator validator;
+    private final DiscoveryEventHandler discovery;
 
     /**
-     * A front without servers; {@link #onEvent} brings them.
+     * A proxy without endpoints; {@link #onEvent} brings them.
      *
      * @param loop the event thread
      * @param settings the settings
      * @param seed for the router's random numbers
-     * @param mostOpen most exchanges open at once
-     * @param sink takes the front's records; null for none
-     * @param connect makes the connections, given the loop and the stage that hears of ends
+     * @param maxOpen the most exchanges open at once
+     * @param sink takes the proxy's events; {@link EventSink#NONE} where records are off
+     * @param upstreamFactory makes the connections to the upstream servers
      */
     public EdgeProxy(
             EventLoop loop,
             RouterSettings settings,
             long seed,
-            int mostOpen,
+            int maxOpen,
             EventSink sink,
-            BiFunction<EventLoop, ResponseForwarder, UpstreamClient> connect) {
+            UpstreamClient.Factory upstreamFactory) {
         this.loop = loop;
-        this.scribe = new SinkEventRecorder(loop, settings, sink);
-        this.book = new RequestCompletion(loop, scribe);
-        ResponseForwarder relay = new ResponseForwarder(loop, book, scribe);
-        RoutingStage route = new RoutingStage(loop, settings);
-        this.servers = connect.apply(loop, relay);
-        AttemptDispatcher send = new AttemptDispatcher(loop, settings, servers, relay, scribe);
-        this.admit = new AdmissionController(loop, mostOpen, route, book, scribe);
-        this.takeIn = new RequestValidator(admit, settings, scribe);
-        book.admit(admit);
-        RouterHost actions = new RouterHost(loop, admit, send, book, scribe);
-        this.router = new RequestRouter(settings, seed, actions);
-        actions.router(router);
-        route.router(router);
-        relay.router(router);
-        book.router(router);
-        loop.post(() -> scribe.pulse(admit));
+        this.recorder = EventRecorder.to(loop, settings, sink);
+        this.completion = new RequestCompletion(openRequests, recorder);
+        RouterHost host = new RouterHost(loop, settings, seed, openRequests, completion, recorder, upstreamFactory);
+        this.router = host.router();
+        this.upstream = host.upstream();
+        RoutingStage routing = new RoutingStage(loop, settings, router);
+        DeadlineGuard deadlineGuard = new DeadlineGuard(loop, router, completion);
+        this.admission =
+                new AdmissionController(loop, maxOpen, openRequests, routing, deadlineGuard, completion, recorder);
+        this.validator = new RequestValidator(admission, settings, recorder);
+        this.discovery = new DiscoveryEventHandler(loop, router, upstream, recorder);
+        loop.post(() -> recorder.heartbeat(openRequests));
     }
 
     /**
-     * A request came in.
+     * Handles a client's request; one whose client has gone meanwhile is dropped.
      *
-     * @param asked the request
-     * @param channel who gets the answer
+     * @param request the request
+     * @param channel gets the final response
      * @param arrivedUs since when its last byte may have been there to be read
      */
-    public void handle(ClientRequest asked, ResponseChannel channel, long arrivedUs) {
+    public void handle(ClientRequest request, ResponseChannel channel, long arrivedUs) {
         if (channel.isOpen()) {
-            takeIn.take(asked, channel, arrivedUs);
+            validator.handle(request, channel, arrivedUs);
         }
     }
 
-    /** Routes nothing for now: the list may lack a drain or a purge. What is taken waits for {@link #resume}. */
+    /** Routes nothing for now: the endpoint list may lack a drain or a purge. Requests wait for {@link #resume}. */
     public void pause() {
-        admit.pause();
+        admission.pause();
     }
 
-    /** The list is as new as it can be: what waits is routed, in the order in which it came. */
+    /** The endpoint list is as new as it can be: the requests that wait are routed, in the order of their arrival. */
     public void resume() {
-        admit.resume();
+        admission.resume();
     }
 
     /**
-     * A client stopped waiting.
+     * A client no longer waits for its response.
      *
      * @param id the request's id
-     * @param channel who asked; another's request of the same id is left alone
+     * @param channel the channel of that request; another client's request of the same id is left alone
      */
     public void clientDisconnected(String id, ResponseChannel channel) {
-        Exchange exchange = admit.find(id);
-        if (exchange != null && exchange.channel == channel && !exchange.over) {
-            book.left(exchange);
+        Exchange exchange = openRequests.find(id);
+        if (exchange != null && exchange.channel == channel && !exchange.isCompleted()) {
+            completion.clientDisconnected(exchange);
             router.clientDisconnected(loop.now(), id);
         }
     }
 
     /**
-     * The coordinator told something.
+     * An event came from the discovery service.
      *
-     * @param event what; numbers already known are passed over
+     * @param event the event; ignored where its number is known already
      */
     public void onEvent(DiscoveryEvent event) {
-        if (event.index() <= listIndex) {
-            return;
-        }
-        listIndex = event.index();
-        scribe.told(event);
-        if (event instanceof DiscoveryEvent.Purge purge) {
-            long now = loop.now();
-            long ageUs = Math.max(0, now - purge.unixMs() * 1000);
-            if (purge.object() != null) {
-                router.objectPurged(now, purge.object(), ageUs);
-            } else {
-                router.groupPurged(now, purge.group(), ageUs);
-            }
-        } else if (event instanceof DiscoveryEvent.Change change) {
-            List<EndpointInfo> members =
-                    change.entries().stream().map(DiscoveryEvent.Entry::member).toList();
-            router.endpointsChanged(loop.now(), change.complete(), members);
-            connections(change);
-        }
-    }
-
-    private void connections(DiscoveryEvent.Change change) {
-        Set<String> left = change.complete() ? new HashSet<>(listed) : new HashSet<>();
-        for (DiscoveryEvent.Entry entry : change.entries()) {
-            if (entry.member().state() == EndpointState.REMOVED) {
-                left.add(entry.member().id());
-            } else {
-                left.remove(entry.member().id());
-            }
-        }
-        left.forEach(servers::endpointRemoved);
-        listed.removeAll(left);
-        for (DiscoveryEvent.Entry entry : change.entries()) {
-            if (entry.member().state() != EndpointState.REMOVED) {
-                listed.add(entry.member().id());
-                servers.endpointListed(
-                        entry.member().id(), entry.address(), entry.member().startedUs());
-            }
-        }
+        discovery.apply(event);
     }
 
     /**
-     * The number of the last event heard.
+     * The number of the last discovery event.
      *
      * @return 0 before the first
      */
     public long lastEventIndex() {
-        return listIndex;
+        return discovery.lastIndex();
     }
 
-    /** From a time on ({@code atUs}, Unix) nothing more is taken, and all that is then open is answered as failed. */
+    /**
+     * Starts to drain.
+     *
+     * @param atUs Unix time from which nothing more is admitted, and at which all that is then open fails
+     */
     public void closeAt(long atUs) {
-        scribe.draining(atUs);
-        admit.closeAt(atUs);
+        recorder.drainStarted(atUs);
+        admission.closeAt(atUs);
     }
 
-    /** Whatever still comes is refused at once, and nothing is sent any more. */
+    /** From now on requests are rejected at once, and nothing is sent upstream any more. */
     public void close() {
-        admit.closeAt(loop.now());
+        admission.closeAt(loop.now());
     }
 
-    /** The planned end has come: the last record. */
+    /** Records that the planned shutdown is complete: the last event. */
     public void finished() {
-        scribe.finished();
+        recorder.proxyStopped();
     }
 
     /**
-     * Whether a request is still owed its answer.
+     * Whether any client still waits for its final response.
      *
-     * @return whether one is open
+     * @return whether one does
      */
     public boolean hasPendingRequests() {
-        return admit.hasPendingRequests();
+        return openRequests.hasPendingRequests();
     }
 
     /**
-     * What was answered so far, in one line.
+     * The outcomes of requests so far, in one line.
      *
      * @return the counts
      */
     public String counts() {
-        return book.counts();
+        return completion.counts();
+    }
+
+    /**
+     * The state and the faults of the connections to upstream servers, in one line.
+     *
+     * @return the counts
+     */
+    public String upstreamCounts() {
+        return upstream.counts();
     }
 }
--- a/src/main/java/petrelplank/proxy/RequestCompletion.java
+++ b/src/main/java/petrelplank/proxy/RequestCompletion.java
@@ -1,81 +1,51 @@
 package petrelplank.proxy;
 
-import java.util.logging.Logger;
-import petrelplank.routing.Router;
-
-/** Stage 6: gives each exchange its one final answer, keeps the counts, and forgets what is over. */
+/** Stage 6: gives each exchange its one final response, counts the outcomes, and forgets what is finished. */
 final class RequestCompletion {
-    private static final Logger LOG = Logger.getLogger(RequestCompletion.class.getName());
-
-    private static final int LOGGED_ONE_IN = 25;
-
-    private final long[] answered = new long[ClientResponse.Kind.values().length];
-    private long turnedAway;
-    private long overdue;
-    private long left;
-    private final EventLoop loop;
-    private final SinkEventRecorder scribe;
-    private AdmissionController admit;
-    private Router router;
-
-    RequestCompletion(EventLoop loop, SinkEventRecorder scribe) {
-        this.loop = loop;
-        this.scribe = scribe;
-    }
-
-    void router(Router chosen) {
-        router = chosen;
-    }
+    private final OpenRequests openRequests;
+    private final EventRecorder recorder;
+    private final long[] answeredByKind = new long[ClientResponse.Kind.values().length];
+    private long rejectedBeforeRouting;
+    private long disconnected;
+    private long deadlineExceeded;
 
-    void admit(AdmissionController stage) {
-        admit = stage;
+    RequestCompletion(OpenRequests openRequests, EventRecorder recorder) {
+        this.openRequests = openRequests;
+        this.recorder = recorder;
     }
 
-    /** The final answer; anything after the first is passed over, since a second one loses the request. */
-    void answer(Exchange exchange, ClientResponse answer) {
-        if (exchange.over) {
+    /** Sends the final response; any after the first is ignored, since a second one would void the request. */
+    void answer(Exchange exchange, ClientResponse response) {
+        if (exchange.isCompleted()) {
             return;
         }
-        exchange.over = true;
-        exchange.guard.cancel();
-        answered[answer.kind().ordinal()]++;
-        scribe.answered(exchange, answer);
-        exchange.channel.answer(answer);
+        exchange.complete();
+        answeredByKind[response.kind().ordinal()]++;
+        recorder.requestCompleted(exchange, response);
+        exchange.channel.answer(response);
         release(exchange);
     }
 
-    /** The client left or broke off: nothing is owed any more. */
-    void left(Exchange exchange) {
-        exchange.over = true;
-        exchange.guard.cancel();
-        left++;
-        scribe.left(exchange);
+    /** The client closed its connection or cancelled the request: no response is owed any more. */
+    void clientDisconnected(Exchange exchange) {
+        exchange.complete();
+        disconnected++;
+        recorder.clientDisconnected(exchange);
         release(exchange);
     }
 
+    /** Forgets an exchange if it is finished. */
     void release(Exchange exchange) {
-        admit.release(exchange);
+        openRequests.removeIfFinished(exchange);
     }
 
-    /**
-     * Guards against an answer that was never given, whatever forgot it. The router hears first, that the request is
-     * over: it calls off what is out, and would else send it on after the final answer.
-     */
-    void overdue(Exchange exchange) {
-        if (!exchange.over) {
-            if (overdue++ % LOGGED_ONE_IN == 0) {
-                LOG.warning("no answer by the deadline, failed: " + exchange.asked.id() + ", " + overdue + " so far");
-            }
-            try {
-                router.clientDisconnected(loop.now(), exchange.asked.id());
-            } finally {
-                answer(exchange, ClientResponse.of(ClientResponse.Kind.FAILED));
-            }
-        }
+    void countRejectedBeforeRouting() {
+        rejectedBeforeRouting++;
     }
 
-    void turnedAway() {
-        turnedAway++;
+    /** Counts an exchange that had no response by its deadline; returns how many there were so far. */
+    long countDeadlineExceeded() {
+        return ++deadlineExceeded;
     }
 
     /** One line of counts. */
@@ -84,9 +54,10 @@
         for (ClientResponse.Kind kind : ClientResponse.Kind.values()) {
             line.append(kind.label())
                     .append(' ')
-                    .append(answered[kind.ordinal()])
+                    .append(answeredByKind[kind.ordinal()])
                     .append(", ");
         }
-        return line + "turned away " + turnedAway + ", clients left " + left + ", overdue " + overdue;
+        return line + "rejected before routing " + rejectedBeforeRouting + ", clients disconnected " + disconnected
+                + ", deadline exceeded " + deadlineExceeded;
     }
 }
--- a/src/main/java/petrelplank/proxy/RequestValidator.java
+++ b/src/main/java/petrelplank/proxy/RequestValidator.java
@@ -8,68 +8,80 @@
 import petrelplank.routing.ServiceClass;
 
 /**
- * Stage 1: makes an exchange of what a client asked. What can't be passed on as it is, is answered here, since
- * a command with unusable fields would void more than the one request.
+ * Stage 1: makes an exchange of a client's request. A request with fields that can't be passed on upstream is answered
+ * here, since a malformed command would void others on its connection too.
  */
 final class RequestValidator {
-    /** Taken off a client's patience, so that the answer given at the deadline still reaches it. */
-    static final long MARGIN_US = 25_000;
+    /** Subtracted from the time that a client waits, so that a response at the deadline still reaches it. */
+    private static final long RESPONSE_MARGIN_US = 25_000;
+    /** The margin is at most this part of the time that a client waits. */
+    private static final int MARGIN_DIVISOR = 4;
 
-    private static final int LONGEST_NAME = 128;
+    private static final int MAX_TOKEN_LENGTH = 128;
     private static final int HEX_DIGITS = 16;
-    private static final int LAST_GROUP = 255;
+    private static final int HEX_RADIX = 16;
+    private static final int MAX_GROUP = 255;
+    private static final char ASCII_DELETE = 0x7f;
 
-    private final AdmissionController admit;
-    private final SinkEventRecorder scribe;
-    /** How long clients wait at most, by class. */
-    private final Map<String, Long> longest;
-    /** The classes whose requests carry a key, by which the origin drops repeats. */
-    private final Set<String> keyed;
+    private final AdmissionController admission;
+    private final EventRecorder recorder;
+    /** The longest that a client waits, by class name. */
+    private final Map<String, Long> deadlineUsByClass;
+    /** Names of the classes whose requests carry an idempotency key, by which the origin drops duplicates. */
+    private final Set<String> keyedClasses;
 
-    RequestValidator(AdmissionController admit, RouterSettings settings, SinkEventRecorder scribe) {
-        this.admit = admit;
-        this.scribe = scribe;
-        this.longest =
+    RequestValidator(AdmissionController admission, RouterSettings settings, EventRecorder recorder) {
+        this.admission = admission;
+        this.recorder = recorder;
+        this.deadlineUsByClass =
                 settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, ServiceClass::deadlineUs));
-        this.keyed = settings.classes().stream()
-                .filter(c -> c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY)
+        this.keyedClasses = settings.classes().stream()
+                .filter(type -> type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
     }
 
-    /** Takes a request that arrived whole at {@code arrivedUs}; null where it was answered at once. */
-    Exchange take(ClientRequest asked, ResponseChannel channel, long arrivedUs) {
-        if (!usable(asked)) {
-            scribe.turnedAway(asked, ClientResponse.Kind.BAD_REQUEST);
+    /** Handles a request that was complete at {@code arrivedUs}. */
+    void handle(ClientRequest request, ResponseChannel channel, long arrivedUs) {
+        if (!isValid(request)) {
+            recorder.requestRejected(request, ClientResponse.Kind.BAD_REQUEST);
             channel.answer(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
-            return null;
+            return;
         }
-        // Guards against a wait beyond all clients', which would hold its place and memory for as long.
-        long waitUs = Math.min(asked.timeoutUs(), longest.get(asked.serviceClass()));
-        long marginUs = Math.min(MARGIN_US, waitUs / 4);
-        return admit.admit(new Exchange(asked, channel, arrivedUs, arrivedUs + waitUs - marginUs));
+        // Guards against a time-out longer than any client's, which would hold its place and memory for as long.
+        long waitUs = Math.min(request.timeoutUs(), deadlineUsByClass.get(request.serviceClass()));
+        long marginUs = Math.min(RESPONSE_MARGIN_US, waitUs / MARGIN_DIVISOR);
+        admission.admit(new Exchange(request, channel, arrivedUs, arrivedUs + waitUs - marginUs));
     }
 
-    private boolean usable(ClientRequest asked) {
-        return hex(asked.id())
-                && hex(asked.object())
-                && asked.timeoutUs() > 0
-                && longest.containsKey(asked.serviceClass())
-                && asked.part() >= 0
-                && asked.group() >= 0
-                && asked.group() <= LAST_GROUP
-                && (asked.tag() == null || word(asked.tag()))
-                && (asked.key() == null ? !keyed.contains(asked.serviceClass()) : word(asked.key()));
+    private boolean isValid(ClientRequest request) {
+        return isHexId(request.id())
+                && isHexId(request.object())
+                && request.timeoutUs() > 0
+                && deadlineUsByClass.containsKey(request.serviceClass())
+                && request.part() >= 0
+                && isGroup(request.group())
+                && (request.tag() == null || isToken(request.tag()))
+                && hasValidKey(request);
     }
 
-    private static boolean hex(String text) {
-        return text.length() == HEX_DIGITS && text.chars().allMatch(c -> c < 0x7f && Character.digit(c, 16) >= 0);
+    private boolean hasValidKey(ClientRequest request) {
+        return request.key() == null ? !keyedClasses.contains(request.serviceClass()) : isToken(request.key());
     }
 
-    /** One word that may stand in a command line or a field list. */
-    private static boolean word(String text) {
+    private static boolean isGroup(int group) {
+        return group >= 0 && group <= MAX_GROUP;
+    }
+
+    private static boolean isHexId(String text) {
+        return text.length() == HEX_DIGITS
+                && text.chars().allMatch(c -> c < ASCII_DELETE && Character.digit(c, HEX_RADIX) >= 0);
+    }
+
+    /** Whether a text may stand as one word in a command line or in a list of fields. */
+    private static boolean isToken(String text) {
         return !text.isEmpty()
-                && text.length() <= LONGEST_NAME
-                && text.chars().allMatch(c -> c > ' ' && c < 0x7f && c != ',' && c != '=');
+                && text.length() <= MAX_TOKEN_LENGTH
+                && text.chars().allMatch(c -> c > ' ' && c < ASCII_DELETE && c != ',' && c != '=');
     }
 }
--- a/src/main/java/petrelplank/proxy/ResponseChannel.java
+++ b/src/main/java/petrelplank/proxy/ResponseChannel.java
@@ -1,17 +1,17 @@
 package petrelplank.proxy;
 
-/** The way back to the client that sent a request: takes its one final answer. */
+/** The way back to the client that sent a request: takes its one final response. */
 public interface ResponseChannel {
     /**
-     * Sends the final answer, without waiting; nothing is sent where the client has left meanwhile.
+     * Sends the final response, without waiting; nothing is sent where the client has disconnected meanwhile.
      *
-     * @param answer the answer
+     * @param response the response
      */
-    void answer(ClientResponse answer);
+    void answer(ClientResponse response);
 
     /**
-     * Whether the client still waits for its answer. The I/O thread knows of a close or a cancellation before the
-     * event thread has come to hear of it. Any thread.
+     * Whether the client still waits for its response. The I/O thread knows of a close or a cancellation before the
+     * event thread does. Any thread.
      *
      * @return false once the client has closed its connection or cancelled the request, or was answered
      */
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -4,72 +4,74 @@
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.Router;
 
-/**
- * Stage 5: the first served answer goes to the client; the router hears of every end.
- */
+/** Stage 5: forwards the first usable response to the client, and notifies the router of each attempt's end. */
 public final class ResponseForwarder {
+    private static final double BYTES_PER_KB = 1024.0;
+
     private final EventLoop loop;
-    private final RequestCompletion book;
-    private final SinkEventRecorder scribe;
-    private Router router;
+    private final Router router;
+    private final RequestCompletion completion;
+    private final EventRecorder recorder;
 
-    ResponseForwarder(EventLoop loop, RequestCompletion book, SinkEventRecorder scribe) {
+    ResponseForwarder(EventLoop loop, Router router, RequestCompletion completion, EventRecorder recorder) {
         this.loop = loop;
-        this.book = book;
-        this.scribe = scribe;
-    }
-
-    void router(Router chosen) {
-        router = chosen;
+        this.router = router;
+        this.completion = completion;
+        this.recorder = recorder;
     }
 
     /**
-     * An attempt ended; an end after the first is passed over.
+     * An attempt ended; any end after its first is ignored. Event thread only.
      *
      * @param attempt which
-     * @param answered how
+     * @param received the response, or how it ended without one
      */
-    public void ended(Attempt attempt, UpstreamResponse answered) {
-        if (attempt.ended) {
+    public void ended(Attempt attempt, UpstreamResponse received) {
+        if (attempt.hasEnded()) {
             return;
         }
-        // Guards the client against "your copy holds" of another copy than its own, or of none.
-        boolean named = answered.tag() != null && answered.tag().equals(attempt.exchange.asked.tag());
-        UpstreamResponse answer = answered.notModified() && !named
-                ? UpstreamResponse.ended(answered.id(), AttemptStatus.ERROR)
-                : answered;
-        attempt.ended = true;
-        if (attempt.timer != null) {
-            attempt.timer.cancel();
-        }
+        attempt.end();
         Exchange exchange = attempt.exchange;
-        scribe.ended(attempt, answer, loop.now() - attempt.sentUs());
-        boolean serves = answer.status() == AttemptStatus.OK && !exchange.over;
+        UpstreamResponse response = verified(exchange.request, received);
+        recorder.attemptEnded(attempt, response, loop.now() - attempt.sentUs());
+        boolean serves = response.status() == AttemptStatus.OK && !exchange.isCompleted();
         long now = loop.now();
         try {
-            // Before the answer goes out: a copy that waits to be written must not follow it.
-            router.attemptEnded(
-                    now,
-                    new AttemptOutcome(
-                            exchange.asked.id(),
-                            attempt.number,
-                            answer.status(),
-                            now - attempt.sentUs(),
-                            exchange.over || serves,
-                            answer.cacheStatus(),
-                            answer.sourceWaitUs(),
-                            answer.load(),
-                            answer.body().length / 1024.0));
+            // Before the response goes out: a hedged request that still waits to be sent must not follow it.
+            router.attemptEnded(now, outcome(attempt, response, now, exchange.isCompleted() || serves));
         } finally {
             if (serves) {
-                exchange.served = answer.cacheStatus();
-                book.answer(
-                        exchange,
-                        answer.notModified()
-                                ? ClientResponse.of(ClientResponse.Kind.NOT_MODIFIED)
-                                : ClientResponse.served(answer.body()));
+                exchange.servedFrom = response.cacheStatus();
+                completion.answer(exchange, clientResponse(response));
             }
-            book.release(exchange);
+            completion.release(exchange);
         }
     }
+
+    /** Guards the client against "not modified" that is about another copy than its own, or about none. */
+    private static UpstreamResponse verified(ClientRequest request, UpstreamResponse response) {
+        boolean namesClientsCopy = response.tag() != null && response.tag().equals(request.tag());
+        return response.notModified() && !namesClientsCopy
+                ? UpstreamResponse.ended(response.id(), AttemptStatus.ERROR)
+                : response;
+    }
+
+    private static AttemptOutcome outcome(Attempt attempt, UpstreamResponse response, long now, boolean completed) {
+        return new AttemptOutcome(
+                attempt.exchange.request.id(),
+                attempt.number,
+                response.status(),
+                now - attempt.sentUs(),
+                completed,
+                response.cacheStatus(),
+                response.sourceWaitUs(),
+                response.load(),
+                response.body().length / BYTES_PER_KB);
+    }
+
+    private static ClientResponse clientResponse(UpstreamResponse response) {
+        return response.notModified()
+                ? ClientResponse.of(ClientResponse.Kind.NOT_MODIFIED)
+                : ClientResponse.served(response.body());
+    }
 }
--- a/src/main/java/petrelplank/proxy/RouterHost.java
+++ b/src/main/java/petrelplank/proxy/RouterHost.java
@@ -2,99 +2,118 @@
 
 import java.util.logging.Logger;
 import petrelplank.routing.AttemptPlan;
+import petrelplank.routing.RequestRouter;
 import petrelplank.routing.Router;
-import petrelplank.routing.Router.Actions;
+import petrelplank.routing.RouterSettings;
 import petrelplank.routing.TerminationReason;
 
-/** Carries the router's decisions out: attempts, final answers, timers. Event thread only. */
-final class RouterHost implements Actions {
+/**
+ * Owns the router and carries its decisions out: attempts, final responses, timers. Event thread only.
+ *
+ * <p>The router orders attempts, and the ends of these attempts come back to the router: this class closes that circle.
+ * It hands itself to the router as its {@link Router.Actions} and then builds, on the finished router, the stages that
+ * carry the orders out. That is safe because a router calls no action while it is constructed, but for
+ * {@link #watchEndpoints}, which does nothing here.
+ */
+final class RouterHost implements Router.Actions {
     private static final Logger LOG = Logger.getLogger(EdgeProxy.class.getName());
-    private static final long LEAST_TIMER_US = 1000;
+    private static final long MIN_TIMER_US = 1000;
+    private static final int US_PER_MS = 1000;
 
     private final EventLoop loop;
-    private final AdmissionController admit;
-    private final AttemptDispatcher send;
-    private final RequestCompletion book;
-    private final SinkEventRecorder scribe;
-    private Router router;
+    private final OpenRequests openRequests;
+    private final RequestCompletion completion;
+    private final EventRecorder recorder;
+    private final Router router;
+    private final UpstreamClient upstream;
+    private final AttemptDispatcher dispatcher;
 
     RouterHost(
             EventLoop loop,
-            AdmissionController admit,
-            AttemptDispatcher send,
-            RequestCompletion book,
-            SinkEventRecorder scribe) {
+            RouterSettings settings,
+            long seed,
+            OpenRequests openRequests,
+            RequestCompletion completion,
+            EventRecorder recorder,
+            UpstreamClient.Factory upstreamFactory) {
         this.loop = loop;
-        this.admit = admit;
-        this.send = send;
-        this.book = book;
-        this.scribe = scribe;
+        this.openRequests = openRequests;
+        this.completion = completion;
+        this.recorder = recorder;
+        this.router = new RequestRouter(settings, seed, this);
+        ResponseForwarder forwarder = new ResponseForwarder(loop, router, completion, recorder);
+        this.upstream = upstreamFactory.create(loop, forwarder);
+        this.dispatcher = new AttemptDispatcher(loop, settings, upstream, forwarder, recorder);
     }
 
-    /** Names the router whose timers these are. */
-    void router(Router chosen) {
-        router = chosen;
+    Router router() {
+        return router;
+    }
+
+    UpstreamClient upstream() {
+        return upstream;
     }
 
     @Override
-    public void send(String request, AttemptPlan order) {
-        send.send(admit.find(request), order);
+    public void send(String request, AttemptPlan plan) {
+        dispatcher.send(openRequests.find(request), plan);
     }
 
     @Override
     public void reject(String request, long retryAfterUs) {
-        book.answer(admit.find(request), ClientResponse.refused((retryAfterUs + 999) / 1000));
+        long retryAfterMs = (retryAfterUs + US_PER_MS - 1) / US_PER_MS;
+        completion.answer(openRequests.find(request), ClientResponse.refused(retryAfterMs));
     }
 
     @Override
     public void fail(String request) {
-        book.answer(admit.find(request), ClientResponse.of(ClientResponse.Kind.FAILED));
+        completion.answer(openRequests.find(request), ClientResponse.of(ClientResponse.Kind.FAILED));
     }
 
     @Override
-    public void terminated(String request, TerminationReason why) {
-        scribe.terminated(request, why);
+    public void terminated(String request, TerminationReason reason) {
+        recorder.requestTerminated(request, reason);
     }
 
     @Override
-    public void ejected(String server, boolean trial, long pauseUs) {
-        scribe.ejected(server, trial, pauseUs);
+    public void ejected(String server, boolean healthCheckFailed, long pauseUs) {
+        recorder.endpointEjected(server, healthCheckFailed, pauseUs);
     }
 
     @Override
     public void recovered(String server) {
-        scribe.recovered(server);
+        recorder.endpointRecovered(server);
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        Exchange exchange = admit.find(request);
+        Exchange exchange = openRequests.find(request);
         if (exchange != null) {
-            send.cancel(exchange, attempt);
+            dispatcher.cancel(exchange, attempt);
         }
     }
 
     @Override
     public void healthCheck(String server) {
-        LOG.warning("the router asked for a probe, which the front does not send");
+        LOG.warning("the router asked for a health check, which the proxy does not send");
     }
 
     @Override
     public void gossip(int gateway, byte[] data) {
-        LOG.warning("the router has a message for another front, which the front does not send");
+        LOG.warning("the router has gossip for another proxy, which this proxy does not send");
     }
 
     /** Guards the event thread: as in the simulator, a timer never fires in the turn that set it. */
     @Override
     public void setTimer(long token, long atUs) {
-        loop.at(Math.max(atUs, loop.now() + LEAST_TIMER_US), () -> router.timerFired(loop.now(), token));
+        loop.at(Math.max(atUs, loop.now() + MIN_TIMER_US), () -> router.timerFired(loop.now(), token));
     }
 
-    /** The front follows the coordinator from its start. */
+    /** The proxy follows the discovery service from its start. */
     @Override
     public void watchEndpoints() {}
 
-    /** The whole list is in the first event, and nothing is left out after it. */
+    /** The first event holds the complete endpoint list, and none after it is left out. */
     @Override
     public void fetchEndpoints() {}
 
--- a/src/main/java/petrelplank/proxy/RoutingStage.java
+++ b/src/main/java/petrelplank/proxy/RoutingStage.java
@@ -7,38 +7,39 @@
 import petrelplank.routing.RoutingRequest;
 import petrelplank.routing.ServiceClass;
 
-/** Stage 3: asks the router, which answers by its actions before this returns. */
+/** Stage 3: hands a request to the router, which responds through its actions before this returns. */
 final class RoutingStage {
+    /** Clients do not mark their retries. */
+    private static final boolean MARKED_AS_RETRY = false;
+
     private final EventLoop loop;
-    private final Set<String> writes;
-    private Router router;
+    private final Router router;
+    /** Names of the classes that run at the origin. */
+    private final Set<String> writeClasses;
 
-    RoutingStage(EventLoop loop, RouterSettings settings) {
+    RoutingStage(EventLoop loop, RouterSettings settings, Router router) {
         this.loop = loop;
-        this.writes = settings.classes().stream()
+        this.router = router;
+        this.writeClasses = settings.classes().stream()
                 .filter(ServiceClass::write)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
     }
 
-    void router(Router chosen) {
-        router = chosen;
-    }
-
     void route(Exchange exchange) {
-        ClientRequest asked = exchange.asked;
+        ClientRequest request = exchange.request;
         router.requestReceived(
                 loop.now(),
                 new RoutingRequest(
-                        asked.id(),
+                        request.id(),
                         exchange.object,
-                        asked.part(),
-                        asked.group(),
-                        asked.serviceClass(),
+                        request.part(),
+                        request.group(),
+                        request.serviceClass(),
                         exchange.deadlineUs,
-                        asked.sizeKb(),
-                        writes.contains(asked.serviceClass()),
-                        false,
-                        asked.tenant()));
+                        request.sizeKb(),
+                        writeClasses.contains(request.serviceClass()),
+                        MARKED_AS_RETRY,
+                        request.tenant()));
     }
 }
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -12,46 +12,63 @@
 import petrelplank.routing.ServiceClass;
 import petrelplank.routing.TerminationReason;
 
-/** Makes events of what the stages do, where records are on; else does nothing. Event thread only. */
-final class SinkEventRecorder {
-    private static final long PULSE_US = 1_000_000;
+/** Makes events of what the stages do, and hands them to a sink. Event thread only. */
+final class SinkEventRecorder implements EventRecorder {
+    private static final long HEARTBEAT_US = 1_000_000;
+    private static final int NO_GROUP = -1;
 
     private final EventLoop loop;
-    /** Null where records are off. */
     private final EventSink sink;
-
     private final Map<String, ServiceClass> classes;
     private final double flowKbPerSecond;
-    private String givenUp;
-    private TerminationReason why;
+    private String terminatedRequest;
+    private TerminationReason terminationReason;
 
     SinkEventRecorder(EventLoop loop, RouterSettings settings, EventSink sink) {
         this.loop = loop;
         this.sink = sink;
         this.classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
         this.flowKbPerSecond = settings.flowKbPerSecond();
-        if (sink != null) {
-            record(new Event.ProxyStarted(
-                    settings.zone(),
-                    settings.zones(),
-                    settings.classes().stream()
-                            .map(c -> new Event.ClassInfo(
-                                    c.name(), c.priorityWeight(), c.deadlineUs(), c.idempotency(), c.write()))
-                            .toList(),
-                    settings.parentKind(),
-                    settings.originKind(),
-                    settings.reportFields(),
-                    settings.rules().drainGraceUs(),
-                    settings.rules().purgeGraceUs(),
-                    settings.connectTimeoutUs()));
-        }
+        record(proxyStarted(settings));
+    }
+
+    private static Event.ProxyStarted proxyStarted(RouterSettings settings) {
+        return new Event.ProxyStarted(
+                settings.zone(),
+                settings.zones(),
+                settings.classes().stream()
+                        .map(type -> new Event.ClassInfo(
+                                type.name(),
+                                type.priorityWeight(),
+                                type.deadlineUs(),
+                                type.idempotency(),
+                                type.write()))
+                        .toList(),
+                settings.parentKind(),
+                settings.originKind(),
+                settings.reportFields(),
+                settings.rules().drainGraceUs(),
+                settings.rules().purgeGraceUs(),
+                settings.connectTimeoutUs());
     }
 
     private void record(Event event) {
         sink.record(loop.now(), event);
     }
 
-    private static Event.ResponseKind kind(ClientResponse.Kind kind) {
+    @Override
+    public void requestAdmitted(Exchange exchange) {
+        ClientRequest request = exchange.request;
+        record(new Event.RequestAdmitted(exchange.requestId, request.serviceClass(), exchange.object, request.group()));
+    }
+
+    @Override
+    public void requestRejected(ClientRequest request, ClientResponse.Kind kind) {
+        String knownClass = classes.containsKey(request.serviceClass()) ? request.serviceClass() : "";
+        record(new Event.RequestRejected(request.id(), knownClass, recorded(kind)));
+    }
+
+    private static Event.ResponseKind recorded(ClientResponse.Kind kind) {
         return switch (kind) {
             case SERVED -> Event.ResponseKind.SERVED;
             case NOT_MODIFIED -> Event.ResponseKind.NOT_MODIFIED;
@@ -61,158 +78,146 @@
         };
     }
 
-    void taken(Exchange e) {
-        if (sink != null) {
-            ClientRequest asked = e.asked;
-            record(new Event.RequestAdmitted(e.id, asked.serviceClass(), e.object, asked.group()));
-        }
-    }
-
-    void turnedAway(ClientRequest asked, ClientResponse.Kind told) {
-        if (sink != null) {
-            record(new Event.RequestRejected(
-                    asked.id(), classes.containsKey(asked.serviceClass()) ? asked.serviceClass() : "", kind(told)));
-        }
-    }
-
-    void sent(Attempt a) {
-        if (sink != null) {
-            UpstreamRequest f = a.request();
-            record(new Event.AttemptSent(
-                    a.exchange.id,
-                    a.number,
-                    f.serviceClass(),
-                    a.server(),
-                    f.source(),
-                    a.exchange.object,
-                    a.exchange.asked.group()));
-        }
-    }
-
-    void ended(Attempt a, UpstreamResponse answer, long latencyUs) {
-        if (sink != null) {
-            UpstreamRequest f = a.request();
-            record(new Event.AttemptEnded(
-                    a.exchange.id,
-                    a.number,
-                    f.serviceClass(),
-                    a.server(),
-                    f.source(),
-                    a.exchange.object,
-                    a.exchange.asked.group(),
-                    answer.status(),
-                    answer.cacheStatus(),
-                    latencyUs,
-                    answer.sourceWaitUs(),
-                    answer.bornMs(),
-                    answer.body().length,
-                    load(answer.load())));
-        }
-    }
-
-    private static List<Double> load(double[] load) {
+    @Override
+    public void attemptSent(Attempt attempt) {
+        Exchange exchange = attempt.exchange;
+        UpstreamRequest request = attempt.request();
+        record(new Event.AttemptSent(
+                exchange.requestId,
+                attempt.number,
+                request.serviceClass(),
+                attempt.server(),
+                request.source(),
+                exchange.object,
+                exchange.request.group()));
+    }
+
+    @Override
+    public void attemptEnded(Attempt attempt, UpstreamResponse response, long latencyUs) {
+        Exchange exchange = attempt.exchange;
+        UpstreamRequest request = attempt.request();
+        record(new Event.AttemptEnded(
+                exchange.requestId,
+                attempt.number,
+                request.serviceClass(),
+                attempt.server(),
+                request.source(),
+                exchange.object,
+                exchange.request.group(),
+                response.status(),
+                response.cacheStatus(),
+                latencyUs,
+                response.sourceWaitUs(),
+                response.bornMs(),
+                response.body().length,
+                boxed(response.load())));
+    }
+
+    private static List<Double> boxed(double[] load) {
         if (load == null) {
             return List.of();
         }
-        Double[] boxed = new Double[load.length];
+        Double[] values = new Double[load.length];
         for (int i = 0; i < load.length; i++) {
-            boxed[i] = load[i];
-        }
-        return List.of(boxed);
-    }
-
-    /** Why the router gives up the request that it answers next. */
-    void terminated(String request, TerminationReason reason) {
-        givenUp = request;
-        why = reason;
-    }
-
-    void answered(Exchange e, ClientResponse answer) {
-        if (sink != null) {
-            ServiceClass type = classes.get(e.asked.serviceClass());
-            long latencyUs = loop.now() - e.arrivedUs;
-            boolean served =
-                    answer.kind() == ClientResponse.Kind.SERVED || answer.kind() == ClientResponse.Kind.NOT_MODIFIED;
-            boolean inTime = served && latencyUs <= latencyObjectiveUs(type, answer.body().length);
-            double worth = !served
-                    ? 0
-                    : type.priorityWeight()
-                            * (inTime ? 1 : type.lateWeightFactor())
-                            * (e.served == CacheStatus.STALE ? type.staleWeightFactor() : 1);
-            record(new Event.RequestCompleted(
-                    e.id,
-                    e.asked.serviceClass(),
-                    kind(answer.kind()),
-                    latencyUs,
-                    answer.body().length,
-                    worth,
-                    inTime,
-                    answer.retryAfterMs(),
-                    served || !e.asked.id().equals(givenUp) ? null : why));
-        }
-    }
-
-    /** An answer within this earns the whole worth: the class's aim, and more for its sending time. */
+            values[i] = load[i];
+        }
+        return List.of(values);
+    }
+
+    @Override
+    public void requestTerminated(String request, TerminationReason reason) {
+        terminatedRequest = request;
+        terminationReason = reason;
+    }
+
+    @Override
+    public void requestCompleted(Exchange exchange, ClientResponse response) {
+        ClientRequest request = exchange.request;
+        ServiceClass type = classes.get(request.serviceClass());
+        int bytes = response.body().length;
+        long latencyUs = loop.now() - exchange.arrivedUs;
+        boolean served =
+                response.kind() == ClientResponse.Kind.SERVED || response.kind() == ClientResponse.Kind.NOT_MODIFIED;
+        boolean inTime = served && latencyUs <= latencyObjectiveUs(type, bytes);
+        boolean terminatedByRouter = !served && request.id().equals(terminatedRequest);
+        record(new Event.RequestCompleted(
+                exchange.requestId,
+                request.serviceClass(),
+                recorded(response.kind()),
+                latencyUs,
+                bytes,
+                served ? earnedWeight(type, inTime, exchange.servedFrom) : 0,
+                inTime,
+                response.retryAfterMs(),
+                terminatedByRouter ? terminationReason : null));
+    }
+
+    private static double earnedWeight(ServiceClass type, boolean inTime, CacheStatus servedFrom) {
+        return type.priorityWeight()
+                * (inTime ? 1 : type.lateWeightFactor())
+                * (servedFrom == CacheStatus.STALE ? type.staleWeightFactor() : 1);
+    }
+
+    /** A response within this earns the full weight: the class's latency objective, and more for its transfer time. */
     private double latencyObjectiveUs(ServiceClass type, int bytes) {
-        double sendingUs = flowKbPerSecond > 0 ? bytes / 1024.0 / flowKbPerSecond * 1e6 : 0;
-        return Math.min(type.deadlineUs(), type.latencyObjectiveUs() + type.objectiveSizeFactor() * sendingUs);
+        double transferUs = flowKbPerSecond > 0 ? bytes / 1024.0 / flowKbPerSecond * 1e6 : 0;
+        return Math.min(type.deadlineUs(), type.latencyObjectiveUs() + type.objectiveSizeFactor() * transferUs);
     }
 
-    void left(Exchange e) {
-        if (sink != null) {
-            record(new Event.ClientDisconnected(e.id));
-        }
+    @Override
+    public void clientDisconnected(Exchange exchange) {
+        record(new Event.ClientDisconnected(exchange.requestId));
     }
 
-    void told(DiscoveryEvent event) {
-        if (sink == null) {
-            return;
-        }
-        if (event instanceof DiscoveryEvent.Purge p) {
-            record(new Event.Purged(p.index(), p.object(), p.object() != null ? -1 : p.group(), p.unixMs()));
-        } else if (event instanceof DiscoveryEvent.Change c) {
+    @Override
+    public void discoveryEvent(DiscoveryEvent event) {
+        if (event instanceof DiscoveryEvent.Purge purge) {
+            boolean wholeGroup = purge.object() == null;
+            record(new Event.Purged(
+                    purge.index(), purge.object(), wholeGroup ? purge.group() : NO_GROUP, purge.unixMs()));
+        } else if (event instanceof DiscoveryEvent.Change change) {
             record(new Event.EndpointsChanged(
-                    c.index(),
-                    c.complete(),
-                    c.entries().stream()
-                            .map(entry -> {
-                                EndpointInfo m = entry.member();
-                                return new Event.ListedEndpoint(
-                                        m.id(), m.zone(), m.kind(), m.state(), m.weight(), m.startedUs());
-                            })
+                    change.index(),
+                    change.complete(),
+                    change.entries().stream()
+                            .map(entry -> listed(entry.member()))
                             .toList()));
         }
     }
 
-    void ejected(String server, boolean trial, long pauseUs) {
-        if (sink != null) {
-            record(new Event.EndpointEjected(server, trial, pauseUs));
-        }
+    private static Event.ListedEndpoint listed(EndpointInfo endpoint) {
+        return new Event.ListedEndpoint(
+                endpoint.id(),
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.state(),
+                endpoint.weight(),
+                endpoint.startedUs());
     }
 
-    void recovered(String server) {
-        if (sink != null) {
-            record(new Event.EndpointRecovered(server));
-        }
+    @Override
+    public void endpointEjected(String server, boolean healthCheckFailed, long pauseUs) {
+        record(new Event.EndpointEjected(server, healthCheckFailed, pauseUs));
     }
 
-    /** Writes down how the front is, once a second from now on. */
-    void pulse(AdmissionController admit) {
-        if (sink != null) {
-            record(new Event.Heartbeat(admit.size(), loop.size(), sink.heapBytes(), loop.latestLateUs()));
-            loop.at(loop.now() + PULSE_US, () -> pulse(admit));
-        }
+    @Override
+    public void endpointRecovered(String server) {
+        record(new Event.EndpointRecovered(server));
     }
 
-    void draining(long answerAllUs) {
-        if (sink != null) {
-            record(new Event.DrainStarted(answerAllUs));
-        }
+    @Override
+    public void heartbeat(OpenRequests openRequests) {
+        record(new Event.Heartbeat(openRequests.size(), loop.size(), sink.heapBytes(), loop.latestLateUs()));
+        loop.at(loop.now() + HEARTBEAT_US, () -> heartbeat(openRequests));
     }
 
-    void finished() {
-        if (sink != null) {
-            record(new Event.ProxyStopped());
-        }
+    @Override
+    public void drainStarted(long answerAllUs) {
+        record(new Event.DrainStarted(answerAllUs));
+    }
+
+    @Override
+    public void proxyStopped() {
+        record(new Event.ProxyStopped());
     }
 }
--- a/src/main/java/petrelplank/proxy/UpstreamClient.java
+++ b/src/main/java/petrelplank/proxy/UpstreamClient.java
@@ -2,8 +2,20 @@
 
 import java.net.InetSocketAddress;
 
-/** The connections to caches, parents and the origin, as the front uses them; all calls from the event thread. */
+/** The connections to caches, parents and the origin, as the proxy uses them. Event thread only. */
 public interface UpstreamClient {
+    /** Makes the connections of one proxy. */
+    interface Factory {
+        /**
+         * Makes the connections; none is opened yet.
+         *
+         * @param loop the event thread
+         * @param forwarder is told of the ends of attempts
+         * @return the connections
+         */
+        UpstreamClient create(EventLoop loop, ResponseForwarder forwarder);
+    }
+
     /**
      * Sends an attempt; its end is reported by {@link ResponseForwarder#ended}, never before this returns.
      *
@@ -12,14 +24,14 @@
     void send(Attempt attempt);
 
     /**
-     * Gives an attempt up; nothing more is reported of it.
+     * Aborts an attempt; nothing more is reported of it.
      *
      * @param attempt the attempt
      */
     void abort(Attempt attempt);
 
     /**
-     * A server is listed.
+     * A server is on the endpoint list.
      *
      * @param id its id
      * @param address where it listens
@@ -28,9 +40,18 @@
     void endpointListed(String id, InetSocketAddress address, long startedUs);
 
     /**
-     * A server is gone for good.
+     * A server was removed for good.
      *
      * @param id its id
      */
     void endpointRemoved(String id);
+
+    /**
+     * Connections and their faults so far, in one line for the log.
+     *
+     * @return the counts; empty where none are kept
+     */
+    default String counts() {
+        return "";
+    }
 }
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -233,11 +233,7 @@
         faults.malformed(c.server.id, e.getMessage());
     }
 
-    /**
-     * What went wrong on the servers' side, in one line.
-     *
-     * @return the counts
-     */
+    @Override
     public String counts() {
         return "server connections " + connections.size() + ", " + faults.counts();
     }
--- a/src/test/java/petrelplank/analysis/FleetDays.java
+++ b/src/test/java/petrelplank/analysis/FleetDays.java
@@ -10,6 +10,7 @@
 import petrelplank.emulator.BundledScenarios;
 import petrelplank.emulator.Scenario;
 import petrelplank.emulator.Simulation;
+import petrelplank.record.EventSink;
 
 /**
  * The incidents of a fleet of many fronts, in simulated time: what was earned, by the number of fronts. Run as a
@@ -35,7 +36,7 @@
     static Day play(String name, int frontsPerBranch, long seed) throws IOException {
         FRONTS.setLevel(Level.OFF);
         Scenario scenario = Scenario.of(name).withFrontsPerBranch(frontsPerBranch);
-        Map<String, Object> truth = new Simulation(scenario, seed, (front, life) -> null).run();
+        Map<String, Object> truth = new Simulation(scenario, seed, (front, life) -> EventSink.NONE).run();
         Map<?, ?> total = (Map<?, ?>) truth.get("total");
         double worst = 1;
         for (Object second : ((Map<?, ?>) truth.get("seconds")).values()) {
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Files;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
+import petrelplank.record.EventSink;
 import petrelplank.settings.Configuration;
 import petrelplank.upstream.FakeServer;
 
@@ -17,7 +18,7 @@
     void drainEndsBeforeTheKillThatTheSettingsTell() throws IOException {
         assertTrue(front.drain(() -> {}) <= 3_700);
         Files.writeString(file, Files.readString(file).replace("\"deadline-us\":60000000", "\"deadline-us\":900000"));
-        ProxyServer shorter = new ProxyServer(Configuration.read(file.toFile()), () -> 0, null);
+        ProxyServer shorter = new ProxyServer(Configuration.read(file.toFile()), () -> 0, EventSink.NONE);
         assertTrue(shorter.drain(() -> {}) <= 1_600);
         shorter.close();
     }
--- a/src/test/java/petrelplank/proxy/Attempts.java
+++ b/src/test/java/petrelplank/proxy/Attempts.java
@@ -11,8 +11,8 @@
 
     /** The same, of a request that is to be answered by a channel. */
     public static Attempt of(String request, int number, ResponseChannel channel) {
-        ClientRequest asked =
-                new ClientRequest(request, 1_000_000, "media", "7f3a9c21e0b4d655", 0, 0, 0, null, null, new byte[0]);
+        ClientRequest asked = new ClientRequest(
+                request, 1_000_000, "media", "7f3a9c21e0b4d655", 0, 0, 0, null, null, null, new byte[0]);
         return new Attempt(
                 new Exchange(asked, channel, 0, 1_000_000),
                 number,
--- a/src/test/java/petrelplank/proxy/EventLoopTest.java
+++ b/src/test/java/petrelplank/proxy/EventLoopTest.java
@@ -72,9 +72,9 @@
     /** Rounded to 0, a purge's age limit would stand for the class's own limit. */
     @Test
     void ageLimitIsRoundedDownButNeverToNothing() {
-        assertEquals(0, AttemptDispatcher.oldestMs(0));
-        assertEquals(1, AttemptDispatcher.oldestMs(1));
-        assertEquals(1, AttemptDispatcher.oldestMs(1999));
-        assertEquals(2, AttemptDispatcher.oldestMs(2000));
+        assertEquals(0, AttemptDispatcher.maxAgeMs(0));
+        assertEquals(1, AttemptDispatcher.maxAgeMs(1));
+        assertEquals(1, AttemptDispatcher.maxAgeMs(1999));
+        assertEquals(2, AttemptDispatcher.maxAgeMs(2000));
     }
 }
