--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -4,207 +4,128 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
 import java.util.function.LongSupplier;
-import java.util.logging.Level;
 import java.util.logging.Logger;
-import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import petrelplank.discovery.DiscoveryClient;
 import petrelplank.discovery.DiscoveryEventDecoder;
 import petrelplank.fastcgi.FastCgiAcceptor;
-import petrelplank.fastcgi.ListenerWarmup;
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.proxy.RouterWarmup;
 import petrelplank.record.EventSink;
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.RouterSettings;
-import petrelplank.routing.ServiceClass;
 import petrelplank.settings.Configuration;
 import petrelplank.settings.JsonFields;
-import petrelplank.transport.BoundedAcceptor;
-import petrelplank.transport.DescriptorBudget;
-import petrelplank.transport.SharedProcessor;
 import petrelplank.upstream.ConnectionLimits;
 import petrelplank.upstream.UpstreamConnectionPool;
 
-/** All parts of one front, put together: one I/O thread for all sockets, and one event thread. */
+/** One proxy, with all its parts wired: one I/O thread for all sockets, and one event thread. */
 final class ProxyServer {
     private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
-    private static final long MS = 1000;
-    private static final long LEAST_CONNECT_US = 50 * MS;
-    /** Requests open at once for each MB of memory: bounds what a jam holds, 2,048 of them at 128 MB. */
-    private static final int OPEN_PER_MB = 16;
+    private static final long MIN_CONNECT_TIMEOUT_US = 50_000;
+    /** Bounds what an overload holds in memory: 2,048 open requests at 128 MB. */
+    private static final int OPEN_REQUESTS_PER_MB = 16;
 
-    private static final int BACKLOG = 1024;
-    /** Descriptors of the clients and of the servers, each of five parts; the rest is the process's own. */
-    private static final int SOCKET_PARTS = 2;
-    /** MINA shrinks what it reads at once down to 64 bytes: a request without a body then took several turns. */
-    private static final int CLIENT_READ_BUFFER = 2_048;
-
-    private static final int READ_BUFFER = 16_384;
-    private static final int MOST_READ_BUFFER = 65_536;
-
-    private static final int DECISIONS = 1500;
-    private static final int ASK_ROUNDS = 60;
-    /**
-     * Longest wait for the coordinator's first beat before saying ready: it beats once a second, and the follower
-     * counts a connection silent for this long as dead, so a front that has heard nothing by then waits in vain.
-     */
-    private static final long CATCH_UP_US = 2_500 * MS;
-
-    private static final long CATCH_UP_LOOK_US = 20 * MS;
+    private static final int BYTES_PER_MB_SHIFT = 20;
 
     private final EventLoop loop;
-    private final RouterSettings settings;
-    private final List<EndpointInfo> list = new ArrayList<>();
-    private final Shutdown shutdown;
-    private final EdgeProxy front;
-    private final DiscoveryClient follower;
-    /** Told to end (SIGTERM); ready never again. Event thread. */
-    private boolean ending;
-
-    private final FastCgiAcceptor clients;
-    private final ExecutorService ioThread = Executors.newCachedThreadPool();
-    private final SharedProcessor io;
-    private final NioSocketConnector toServers;
-    private final NioSocketConnector toCoordinator;
-    private final BoundedAcceptor acceptor;
+    private final ProxyTransport transport;
     private final EventSink sink;
-    private UpstreamConnectionPool pool;
+    private final EdgeProxy proxy;
+    private final DiscoveryClient discovery;
+    private final FastCgiAcceptor clients;
+    private final Readiness readiness;
+    private final Warmup warmup;
+    private final Shutdown shutdown;
 
     /**
-     * Puts the parts together and knows the list, but opens nothing yet.
+     * Wires the parts and applies the events that the configuration knows, but opens nothing yet.
      *
-     * @param c what the front was told
+     * @param configuration the configuration
      * @param clock the Unix clock in microseconds
-     * @param sink takes the front's records; EventSink.NONE for none
+     * @param sink takes the proxy's events; {@link EventSink#NONE} where records are off
      */
-    ProxyServer(Configuration c, LongSupplier clock, EventSink sink) {
+    ProxyServer(Configuration configuration, LongSupplier clock, EventSink sink) {
+        RouterSettings settings = configuration.settings();
         this.sink = sink;
         loop = new EventLoop(clock);
-        io = new SharedProcessor(ioThread, clock);
-        toServers = new NioSocketConnector(io);
-        toCoordinator = new NioSocketConnector(io);
-        toServers.getSessionConfig().setTcpNoDelay(true);
-        toServers.getSessionConfig().setReadBufferSize(READ_BUFFER);
-        toServers.getSessionConfig().setMaxReadBufferSize(MOST_READ_BUFFER);
-        int sockets = Math.max(1, c.sockets() * SOCKET_PARTS / 5);
-        DescriptorBudget ofClients = new DescriptorBudget(sockets);
-        DescriptorBudget ofServers = new DescriptorBudget(sockets);
-        io.share(toServers, ofServers);
-        acceptor = new BoundedAcceptor(io, ofClients);
-        acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.getSessionConfig().setMinReadBufferSize(CLIENT_READ_BUFFER);
-        acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
+        transport = new ProxyTransport(configuration.sockets(), clock);
+        proxy = proxy(configuration);
+        List<EndpointInfo> endpoints = applyKnownEvents(configuration.known());
+        discovery = new DiscoveryClient(
+                loop, proxy, transport.discoveryConnector(), configuration.coordinator(), configuration.seed());
+        clients = new FastCgiAcceptor(
+                loop,
+                proxy,
+                transport.acceptor(),
+                transport.clientBudget(),
+                (long) configuration.memoryMb() << BYTES_PER_MB_SHIFT,
+                configuration.sizeScale());
+        readiness = new Readiness(loop, proxy, discovery, clients, transport.acceptor());
+        warmup = new Warmup(settings, endpoints, transport.acceptor());
+        shutdown = new Shutdown(loop, proxy, clients, transport, readiness, settings);
+    }
+
+    private EdgeProxy proxy(Configuration configuration) {
+        RouterSettings settings = configuration.settings();
         ConnectionLimits limits = new ConnectionLimits(
-                ofServers,
-                c.streams(),
-                Math.max(LEAST_CONNECT_US, c.settings().connectTimeoutUs()),
-                c.idleUs(),
-                ConnectionLimits.perServer(c.settings().zoneGatewayCount()),
-                c.settings().permissions().hedging());
-        front = new EdgeProxy(loop, c.settings(), c.seed(), OPEN_PER_MB * c.memoryMb(), sink, (l, relay) -> {
-            pool = new UpstreamConnectionPool(
-                    l, relay, toServers, limits, c.settings().reportFields());
-            return pool;
-        });
-        settings = c.settings();
-        for (JsonFields known : c.known()) {
-            DiscoveryEvent event = DiscoveryEventDecoder.decode(known);
-            front.onEvent(event);
+                transport.upstreamBudget(),
+                configuration.streams(),
+                Math.max(MIN_CONNECT_TIMEOUT_US, settings.connectTimeoutUs()),
+                configuration.idleUs(),
+                ConnectionLimits.perServer(settings.zoneGatewayCount()),
+                settings.permissions().hedging());
+        return new EdgeProxy(
+                loop,
+                settings,
+                configuration.seed(),
+                OPEN_REQUESTS_PER_MB * configuration.memoryMb(),
+                sink,
+                (events, forwarder) -> new UpstreamConnectionPool(
+                        events, forwarder, transport.upstreamConnector(), limits, settings.reportFields()));
+    }
+
+    /** Returns the endpoints of the complete lists among the events. */
+    private List<EndpointInfo> applyKnownEvents(List<JsonFields> known) {
+        List<EndpointInfo> endpoints = new ArrayList<>();
+        for (JsonFields fields : known) {
+            DiscoveryEvent event = DiscoveryEventDecoder.decode(fields);
+            proxy.onEvent(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
-                change.entries().forEach(e -> list.add(e.member()));
+                change.entries().forEach(entry -> endpoints.add(entry.member()));
             }
         }
-        follower = new DiscoveryClient(loop, front, toCoordinator, c.coordinator(), c.seed());
-        clients = new FastCgiAcceptor(loop, front, acceptor, ofClients, (long) c.memoryMb() << 20, c.sizeScale());
-        long longest = c.settings().classes().stream()
-                .mapToLong(ServiceClass::deadlineUs)
-                .max()
-                .orElse(0);
-        shutdown = new Shutdown(loop, front, clients, acceptor, io, longest);
+        return endpoints;
     }
 
-    /** Listens and follows the coordinator; ready once the event thread runs. */
+    /** Listens, and follows the discovery service; ready some time after the event thread runs. */
     void open(InetSocketAddress address) throws IOException {
-        front.pause();
+        proxy.pause();
         clients.listen(address);
-        loop.post(follower::start);
-        loop.post(() -> routeOnceHeard(loop.now() + CATCH_UP_US));
-        Thread warmUp = new Thread(this::warmUp, "warm-up");
-        warmUp.setDaemon(true);
-        warmUp.start();
-    }
-
-    /**
-     * Guards a restarted front against clients that have not noticed its death and ask before it is ready: what they
-     * ask waits for the first word of the coordinator, since a drain or a purge may have come after {@code known}.
-     */
-    private void routeOnceHeard(long untilUs) {
-        if (follower.heard() || loop.now() >= untilUs) {
-            front.resume();
-        } else {
-            loop.at(loop.now() + CATCH_UP_LOOK_US, () -> routeOnceHeard(untilUs));
-        }
-    }
-
-    /**
-     * Guards the first clients, who come all at once: under half a core they would wait for the compiler. Ready
-     * afterwards, and in any case.
-     */
-    private void warmUp() {
-        try {
-            RouterWarmup.run(settings, list, DECISIONS);
-            ListenerWarmup.ask(acceptor.getLocalAddress(), ASK_ROUNDS);
-        } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "warm-up broke off, ready without it", e);
-        }
-        loop.post(() -> readyWhenCaughtUp(loop.now() + CATCH_UP_US));
-    }
-
-    /**
-     * Guards a restarted front against a drain or a purge that came after its {@code known} was written: health says
-     * ready once the coordinator's beat shows that nothing is missing, or when waiting longer would not help.
-     */
-    private void readyWhenCaughtUp(long untilUs) {
-        if (ending) {
-            return;
-        }
-        if (!follower.caughtUp() && loop.now() < untilUs) {
-            loop.at(loop.now() + CATCH_UP_LOOK_US, () -> readyWhenCaughtUp(untilUs));
-            return;
-        }
-        clients.ready(true);
-        String how = "serving at " + acceptor.getLocalAddress() + ", list at " + front.lastEventIndex();
-        if (follower.caughtUp()) {
-            LOG.info(how);
-        } else {
-            LOG.warning(how + "; the coordinator has not beaten yet, so the list may lack what it told lately");
-        }
+        loop.post(discovery::start);
+        loop.post(readiness::resumeOnceDiscoveryHeard);
+        warmup.start(() -> loop.post(readiness::readyOnceCaughtUp));
     }
 
     /**
-     * Follows a coordinator at another address, from the last number heard; from any thread.
+     * Follows a discovery service at another address, from the last event known; from any thread.
      *
      * @param coordinator its address
-     * @param known events of a new configuration; those already heard are passed over
+     * @param known events of a new configuration; those known already are ignored
      */
     void follow(InetSocketAddress coordinator, List<JsonFields> known) {
         List<DiscoveryEvent> events =
                 known.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
-            events.forEach(front::onEvent);
-            LOG.info("SIGHUP: following the coordinator at " + coordinator + " from " + front.lastEventIndex());
-            follower.follow(coordinator);
+            events.forEach(proxy::onEvent);
+            LOG.info("SIGHUP: following the discovery service at " + coordinator + " from " + proxy.lastEventIndex());
+            discovery.follow(coordinator);
         });
     }
 
     InetSocketAddress address() {
-        return acceptor.getLocalAddress();
+        return transport.acceptor().getLocalAddress();
     }
 
     /** The event thread's work; returns after {@link #close}. */
@@ -214,25 +135,19 @@
 
     void close() {
         loop.stop();
-        acceptor.dispose();
-        toServers.dispose();
-        toCoordinator.dispose();
-        io.dispose();
-        ioThread.shutdown();
+        transport.close();
     }
 
-    /** Takes and answers what still comes, then runs {@code ended}; the longest that takes, in milliseconds. */
-    long drain(Runnable ended) {
-        return shutdown.start(
-                loop.clock(),
-                () -> {
-                    LOG.info("SIGTERM: answering what still comes; so far " + front.counts() + "; " + clients.counts()
-                            + "; " + pool.counts());
-                    ending = true;
-                },
-                () -> {
-                    sink.close();
-                    ended.run();
-                });
+    /**
+     * Drains: handles and answers what still comes, then runs a task. From any thread.
+     *
+     * @param onStopped run last, in the event thread
+     * @return the longest that this takes, in milliseconds
+     */
+    long drain(Runnable onStopped) {
+        return shutdown.start(() -> {
+            sink.close();
+            onStopped.run();
+        });
     }
 }
--- /dev/null
+++ b/src/main/java/petrelplank/cli/ProxyTransport.java
@@ -0,0 +1,91 @@
+package petrelplank.cli;
+
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.function.LongSupplier;
+import org.apache.mina.transport.socket.nio.NioSocketConnector;
+import petrelplank.transport.BoundedAcceptor;
+import petrelplank.transport.DescriptorBudget;
+import petrelplank.transport.SharedProcessor;
+
+/** The sockets of one proxy: a single I/O processor that the acceptor and both connectors share. */
+final class ProxyTransport {
+    /** Clients and upstream servers get two fifths of the descriptors each; the process itself needs the rest. */
+    private static final int BUDGET_PARTS = 2;
+
+    private static final int ALL_PARTS = 5;
+    private static final int BACKLOG = 1024;
+    /** MINA shrinks its read buffer down to 64 bytes: a request without a body then took several turns to read. */
+    private static final int MIN_CLIENT_READ_BUFFER = 2_048;
+
+    private static final int UPSTREAM_READ_BUFFER = 16_384;
+    private static final int MAX_UPSTREAM_READ_BUFFER = 65_536;
+
+    private final ExecutorService ioThread = Executors.newCachedThreadPool();
+    private final SharedProcessor processor;
+    private final NioSocketConnector upstreamConnector;
+    private final NioSocketConnector discoveryConnector;
+    private final BoundedAcceptor acceptor;
+    private final DescriptorBudget clientBudget;
+    private final DescriptorBudget upstreamBudget;
+
+    /**
+     * Sets the sockets up, and opens none yet.
+     *
+     * @param maxDescriptors descriptors that the process may hold
+     * @param clock the Unix clock in microseconds
+     */
+    ProxyTransport(int maxDescriptors, LongSupplier clock) {
+        int budget = Math.max(1, maxDescriptors * BUDGET_PARTS / ALL_PARTS);
+        clientBudget = new DescriptorBudget(budget);
+        upstreamBudget = new DescriptorBudget(budget);
+        processor = new SharedProcessor(ioThread, clock);
+        upstreamConnector = new NioSocketConnector(processor);
+        discoveryConnector = new NioSocketConnector(processor);
+        upstreamConnector.getSessionConfig().setTcpNoDelay(true);
+        upstreamConnector.getSessionConfig().setReadBufferSize(UPSTREAM_READ_BUFFER);
+        upstreamConnector.getSessionConfig().setMaxReadBufferSize(MAX_UPSTREAM_READ_BUFFER);
+        processor.share(upstreamConnector, upstreamBudget);
+        acceptor = new BoundedAcceptor(processor, clientBudget);
+        acceptor.getSessionConfig().setTcpNoDelay(true);
+        acceptor.getSessionConfig().setMinReadBufferSize(MIN_CLIENT_READ_BUFFER);
+        acceptor.setReuseAddress(true);
+        acceptor.setBacklog(BACKLOG);
+    }
+
+    SharedProcessor processor() {
+        return processor;
+    }
+
+    /** Makes the connections to caches, parents and the origin. */
+    NioSocketConnector upstreamConnector() {
+        return upstreamConnector;
+    }
+
+    /** Makes the connection to the discovery service. */
+    NioSocketConnector discoveryConnector() {
+        return discoveryConnector;
+    }
+
+    /** Accepts the connections of clients. */
+    BoundedAcceptor acceptor() {
+        return acceptor;
+    }
+
+    DescriptorBudget clientBudget() {
+        return clientBudget;
+    }
+
+    DescriptorBudget upstreamBudget() {
+        return upstreamBudget;
+    }
+
+    /** Closes all sockets, and ends the I/O thread. */
+    void close() {
+        acceptor.dispose();
+        upstreamConnector.dispose();
+        discoveryConnector.dispose();
+        processor.dispose();
+        ioThread.shutdown();
+    }
+}
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -13,9 +13,11 @@
 import petrelplank.settings.FormatException;
 import petrelplank.yaml.YamlException;
 
-/** {@code serve}: one real front. */
+/** {@code serve}: runs one proxy. */
 public final class ServeCommand extends BaseCommand implements Command {
     private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
+    private static final long US_PER_SECOND = 1_000_000;
+    private static final int NS_PER_US = 1000;
 
     @Option(name = "--config", metaVar = "FILE", usage = "the configuration; else $EDGE_CONFIG")
     private String config = System.getenv("EDGE_CONFIG");
@@ -40,21 +42,13 @@
         if (config == null) {
             return unusable("no configuration: give --config or set EDGE_CONFIG");
         }
-        ProxyServer front;
+        ProxyServer server;
         try {
-            Configuration c = Configuration.read(new File(config));
+            Configuration configuration = Configuration.read(new File(config));
             if (operator != null && !operator.isFile()) {
                 return unusable(operator + ": no such file");
             }
-            EventSink sink = trace
-                    ? FileSink.trace(System.err, c.name())
-                    : operator == null ? EventSink.NONE : RecordSinks.sink(operator, c.name());
-            front = new ProxyServer(c, ServeCommand::unixUs, sink);
-            if (!Signals.on("HUP", () -> reload(front, new File(config)))) {
-                LOG.warning("started with SIGHUP ignored (nohup?): a new configuration will not be read");
-            }
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(front), "drain"));
-            front.open(listen == null ? c.listen() : Addresses.parse(listen));
+            server = start(configuration);
         } catch (JsonProcessingException e) {
             return unusable(config + ": not JSON: " + e.getOriginalMessage());
         } catch (YamlException e) {
@@ -62,15 +56,32 @@
         } catch (IOException | FormatException | IllegalArgumentException e) {
             return unusable(config + ": " + e.getMessage());
         }
-        front.run();
+        server.run();
         return 0;
     }
 
-    /** Guards the process: whatever is wrong with the new file, the front goes on with what it has. */
-    static void reload(ProxyServer front, File file) {
+    private ProxyServer start(Configuration configuration) throws IOException {
+        ProxyServer server = new ProxyServer(configuration, ServeCommand::unixUs, sink(configuration.name()));
+        if (!Signals.on("HUP", () -> reload(server, new File(config)))) {
+            LOG.warning("started with SIGHUP ignored (nohup?): a new configuration will not be read");
+        }
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(server), "drain"));
+        server.open(listen == null ? configuration.listen() : Addresses.parse(listen));
+        return server;
+    }
+
+    private EventSink sink(String proxyName) throws IOException {
+        if (trace) {
+            return FileSink.trace(System.err, proxyName);
+        }
+        return operator == null ? EventSink.NONE : RecordSinks.sink(operator, proxyName);
+    }
+
+    /** Guards the process: whatever is wrong with the new file, the server goes on with what it has. */
+    static void reload(ProxyServer server, File file) {
         try {
             Configuration next = Configuration.read(file);
-            front.follow(next.coordinator(), next.known());
+            server.follow(next.coordinator(), next.known());
         } catch (IOException | RuntimeException e) {
             LOG.warning("SIGHUP: " + file + " can't be used, the old configuration stays: "
                     + String.valueOf(e.getMessage()).replace('\n', ' '));
@@ -78,8 +89,8 @@
     }
 
     /** Runs at SIGTERM, while the other threads go on; ends the process itself, with status 0. */
-    private static void drain(ProxyServer front) {
-        long longestMs = front.drain(() -> Runtime.getRuntime().halt(0));
+    private static void drain(ProxyServer server) {
+        long longestMs = server.drain(() -> Runtime.getRuntime().halt(0));
         try {
             Thread.sleep(longestMs);
         } catch (InterruptedException e) {
@@ -90,6 +101,6 @@
 
     private static long unixUs() {
         Instant now = Instant.now();
-        return now.getEpochSecond() * 1_000_000 + now.getNano() / 1000;
+        return now.getEpochSecond() * US_PER_SECOND + now.getNano() / NS_PER_US;
     }
 }
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -4,97 +4,110 @@
 import petrelplank.fastcgi.FastCgiAcceptor;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.transport.BoundedAcceptor;
-import petrelplank.transport.SharedProcessor;
+import petrelplank.routing.RouterSettings;
+import petrelplank.routing.ServiceClass;
 
 /**
- * The planned end of a front, after SIGTERM: it listens and takes requests a while longer, answers all that is open,
- * and closes what clients still hold. State belongs to the event thread.
+ * The graceful shutdown after SIGTERM, in this order: the health check fails; connections, then requests are accepted a
+ * while longer; all that is open is answered; idle connections of clients are closed. Event thread only.
  */
 final class Shutdown {
     private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
-    private static final long MS = 1000;
-    /** After SIGTERM connections come for up to 400 ms and requests for 200 ms more; both counted generously. */
-    private static final long LISTEN_ON_US = 600 * MS;
+    private static final long US_PER_MS = 1000;
+    /** After SIGTERM connections come for up to 400 ms and requests for 200 ms more; both with a generous margin. */
+    private static final long ACCEPT_CONNECTIONS_US = 600 * US_PER_MS;
 
-    private static final long TAKE_ON_US = 900 * MS;
-    /** SIGKILL comes so long after the longest deadline, counted from SIGTERM; longer ones count as the most. */
-    private static final long KILL_AFTER_US = 700 * MS;
+    private static final long ACCEPT_REQUESTS_US = 900 * US_PER_MS;
+    /** SIGKILL comes so long after the longest deadline, counted from SIGTERM; a longer deadline counts as the maximum. */
+    private static final long KILL_AFTER_DEADLINE_US = 700 * US_PER_MS;
 
-    private static final long MOST_DEADLINE_US = 3_000 * MS;
+    private static final long MAX_DEADLINE_US = 3_000 * US_PER_MS;
     /** All is answered so long before SIGKILL. */
-    private static final long KILL_MARGIN_US = 200 * MS;
-    /** For the last bytes to go out, and once more for idle connections to be closed. */
-    private static final long FLUSH_US = 50 * MS;
+    private static final long KILL_MARGIN_US = 200 * US_PER_MS;
+    /** Time for the last bytes to go out, and once more for idle connections to be closed. */
+    private static final long FLUSH_US = 50 * US_PER_MS;
+
+    private static final long POLL_INTERVAL_US = FLUSH_US / 5;
+    /** After so many more turns of the I/O thread, whatever had arrived by then has been read. */
+    private static final int TURNS_UNTIL_READ = 2;
 
     private final EventLoop loop;
-    private final EdgeProxy front;
+    private final EdgeProxy proxy;
     private final FastCgiAcceptor clients;
-    private final BoundedAcceptor acceptor;
-    private final SharedProcessor io;
+    private final ProxyTransport transport;
+    private final Readiness readiness;
     private final long answerAllUs;
 
-    /**
-     * The end of a front that goes on for now.
-     *
-     * @param longestUs the longest deadline of a class, in µs
-     */
     Shutdown(
             EventLoop loop,
-            EdgeProxy front,
+            EdgeProxy proxy,
             FastCgiAcceptor clients,
-            BoundedAcceptor acceptor,
-            SharedProcessor io,
-            long longestUs) {
+            ProxyTransport transport,
+            Readiness readiness,
+            RouterSettings settings) {
         this.loop = loop;
-        this.front = front;
+        this.proxy = proxy;
         this.clients = clients;
-        this.acceptor = acceptor;
-        this.io = io;
-        this.answerAllUs = Math.min(MOST_DEADLINE_US, longestUs) + KILL_AFTER_US - KILL_MARGIN_US;
+        this.transport = transport;
+        this.readiness = readiness;
+        this.answerAllUs =
+                Math.min(MAX_DEADLINE_US, longestDeadlineUs(settings)) + KILL_AFTER_DEADLINE_US - KILL_MARGIN_US;
+    }
+
+    private static long longestDeadlineUs(RouterSettings settings) {
+        return settings.classes().stream()
+                .mapToLong(ServiceClass::deadlineUs)
+                .max()
+                .orElse(0);
     }
 
     /**
-     * Begins; from any thread.
+     * Starts to drain; from any thread.
      *
-     * @param from when the front was told, Unix time in µs
-     * @param told run first, in the event thread
-     * @param ended run last, in the event thread
-     * @return the longest that it takes, in ms
+     * @param onStopped run last, in the event thread
+     * @return the longest that the shutdown takes, in milliseconds
      */
-    long start(long from, Runnable told, Runnable ended) {
-        long latest = from + answerAllUs + FLUSH_US;
+    long start(Runnable onStopped) {
+        long startedUs = loop.clock();
+        long answeredByUs = startedUs + answerAllUs;
+        long flushedByUs = answeredByUs + FLUSH_US;
+        long acceptUntilUs = startedUs + Math.min(ACCEPT_REQUESTS_US, answerAllUs);
         loop.postUrgent(() -> {
-            told.run();
-            clients.ready(false);
-            front.closeAt(from + answerAllUs);
-            loop.at(from + LISTEN_ON_US, clients::stopListening);
-            loop.at(from + Math.min(TAKE_ON_US, answerAllUs), () -> endWhenDone(latest, io.looks() + 2, ended));
+            LOG.info("SIGTERM: draining; so far " + proxy.counts() + "; " + clients.counts() + "; "
+                    + proxy.upstreamCounts());
+            readiness.drainStarted();
+            proxy.closeAt(answeredByUs);
+            loop.at(startedUs + ACCEPT_CONNECTIONS_US, clients::stopListening);
+            loop.at(
+                    acceptUntilUs,
+                    () -> closeOnceAnswered(flushedByUs, transport.processor().looks() + TURNS_UNTIL_READ, onStopped));
         });
-        return (latest - from + 2 * FLUSH_US) / MS;
+        return (flushedByUs - startedUs + 2 * FLUSH_US) / US_PER_MS;
     }
 
-    /** Once nothing is owed, and what may have lain unread when the time to take it was over has been read. */
-    private void endWhenDone(long latest, long looks, Runnable ended) {
-        boolean unread = io.looks() < looks;
-        if ((unread || front.hasPendingRequests() || acceptor.getScheduledWriteBytes() > 0) && loop.now() < latest) {
-            loop.at(loop.now() + FLUSH_US / 5, () -> endWhenDone(latest, looks, ended));
+    /** Waits for the pending responses, and until the I/O thread has read what had arrived in time. */
+    private void closeOnceAnswered(long latestUs, long readAtTurn, Runnable onStopped) {
+        boolean unread = transport.processor().looks() < readAtTurn;
+        boolean unanswered =
+                unread || proxy.hasPendingRequests() || transport.acceptor().getScheduledWriteBytes() > 0;
+        if (unanswered && loop.now() < latestUs) {
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeOnceAnswered(latestUs, readAtTurn, onStopped));
             return;
         }
-        LOG.info("ended: " + front.counts());
-        // Whatever is read from here on is refused, and not sent on: nobody would wait for its end.
-        front.close();
-        closeClients(loop.now() + FLUSH_US, ended);
+        LOG.info("stopped: " + proxy.counts());
+        // Whatever is read from here on is rejected, and not sent upstream: nobody would wait for its response.
+        proxy.close();
+        closeClients(loop.now() + FLUSH_US, onStopped);
     }
 
-    /** Shuts connections down one by one where nothing lies unread, so that no answer goes with a reset. */
-    private void closeClients(long untilUs, Runnable ended) {
-        if (clients.closeUnused() > 0 && loop.now() < untilUs) {
-            loop.at(loop.now() + FLUSH_US / 5, () -> closeClients(untilUs, ended));
+    /** Closes connections one by one where nothing lies unread, so that no response is lost to a reset. */
+    private void closeClients(long latestUs, Runnable onStopped) {
+        if (clients.closeUnused() > 0 && loop.now() < latestUs) {
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeClients(latestUs, onStopped));
             return;
         }
-        // Nothing is left to be answered, and nothing more is taken: now it may wait, for a bounded time.
-        front.finished();
-        ended.run();
+        // Nothing is left to be answered, and nothing more is admitted: closing the records may block, for a while.
+        proxy.finished();
+        onStopped.run();
     }
 }
--- /dev/null
+++ b/src/main/java/petrelplank/cli/Warmup.java
@@ -0,0 +1,55 @@
+package petrelplank.cli;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+import petrelplank.fastcgi.ListenerWarmup;
+import petrelplank.proxy.RouterWarmup;
+import petrelplank.routing.EndpointInfo;
+import petrelplank.routing.RouterSettings;
+import petrelplank.transport.BoundedAcceptor;
+
+/**
+ * Exercises the router and the listener before the proxy is ready. Guards the first clients, which come all at once:
+ * with less than half a core they would wait for the compiler.
+ */
+final class Warmup {
+    private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
+    private static final int ROUTED_REQUESTS = 1500;
+    private static final int LISTENER_ROUNDS = 60;
+
+    private final RouterSettings settings;
+    private final List<EndpointInfo> endpoints;
+    private final BoundedAcceptor acceptor;
+
+    /**
+     * A warm-up of a proxy.
+     *
+     * @param settings the settings in service
+     * @param endpoints the endpoints of the first list
+     * @param acceptor listens by the time that {@link #start} is called
+     */
+    Warmup(RouterSettings settings, List<EndpointInfo> endpoints, BoundedAcceptor acceptor) {
+        this.settings = settings;
+        this.endpoints = endpoints;
+        this.acceptor = acceptor;
+    }
+
+    /** Runs in a thread of its own, and {@code onFinished} there afterwards, even where the warm-up failed. */
+    void start(Runnable onFinished) {
+        Thread thread = new Thread(() -> run(onFinished), "warm-up");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private void run(Runnable onFinished) {
+        try {
+            RouterWarmup.run(settings, endpoints, ROUTED_REQUESTS);
+            ListenerWarmup.ask(acceptor.getLocalAddress(), LISTENER_ROUNDS);
+        } catch (IOException | RuntimeException e) {
+            LOG.log(Level.WARNING, "warm-up failed, ready without it", e);
+        }
+        onFinished.run();
+    }
+}
--- a/src/test/java/petrelplank/cli/FrontSignalsTest.java
+++ b/src/test/java/petrelplank/cli/FrontSignalsTest.java
@@ -29,7 +29,7 @@
     private static void endsInOrder(FrontProcesses fronts) throws IOException, InterruptedException {
         assertThat(fronts.process(0).waitFor(DRAIN_S, TimeUnit.SECONDS)).isTrue();
         assertThat(fronts.process(0).exitValue()).as(fronts.log(0)).isZero();
-        assertThat(fronts.log(0)).contains("ended: ").doesNotContain("Exception");
+        assertThat(fronts.log(0)).contains("stopped: ").doesNotContain("Exception");
     }
 
     /** A second SIGTERM, and SIGHUP, while the drain answers what is open: neither ends it early. */
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -52,7 +52,7 @@
         Handler crossing = new Handler() {
             @Override
             public void publish(LogRecord line) {
-                if (line.getMessage().startsWith("ended: ")) {
+                if (line.getMessage().startsWith("stopped: ")) {
                     askAndSeeItRead();
                     crossed.countDown();
                 }
