--- a/src/main/java/petrelplank/proxy/EventLoop.java
+++ b/src/main/java/petrelplank/proxy/EventLoop.java
@@ -9,16 +9,21 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread that owns the router and all request state. Other threads only post; what the coordinator told
- * is run before whatever else waits, so that a drain or a purge binds requests queued before it was read.
+ * The one thread that owns the router and all request state; other threads only post. Urgent tasks, the events of the
+ * discovery service, run before all others that wait, so that a drain or a purge binds requests queued before it.
  */
 public final class EventLoop implements Runnable {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
+    private static final int LOGGED_ONE_IN = 25;
+    private static final long NS_PER_US = 1_000;
+    private static final long MAX_PARK_US = 1_000_000;
 
-    /** Something to be run at a time. */
+    /** A task to be run at a time. */
     public static final class Timer implements Comparable<Timer> {
         private final long atUs;
+        /** Timers of the same time fire in the order in which they were set. */
         private final long order;
+        /** Null once it is cancelled. */
         private Runnable task;
 
         private Timer(long atUs, long order, Runnable task) {
@@ -27,35 +32,36 @@
             this.task = task;
         }
 
-        /** Takes the timer back. */
+        /** It no longer fires; nothing happens where it has fired. */
         public void cancel() {
             task = null;
         }
 
+        private boolean isCancelled() {
+            return task == null;
+        }
+
         @Override
         public int compareTo(Timer other) {
             return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
         }
     }
 
-    private static final int LOGGED_ONE_IN = 25;
-    private static final long MOST_WAIT_US = 1_000_000;
-
     private final LongSupplier clock;
     private final ReentrantLock lock = new ReentrantLock();
     private final ArrayDeque<Runnable> urgent = new ArrayDeque<>();
     private final ArrayDeque<Runnable> ordinary = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private long timerOrder;
-    private long latestUs = Long.MIN_VALUE;
+    private long lastNowUs = Long.MIN_VALUE;
     private long failures;
-    private long lateUs;
+    private long maxTimerDelayUs;
     private volatile boolean stopped;
-    /** The event thread while it waits, or is about to; null else. */
-    private volatile Thread sleeper;
+    /** The event thread while it is parked, or is about to be; null otherwise. */
+    private volatile Thread parked;
 
     /**
-     * A loop.
+     * A loop without tasks.
      *
      * @param clock the Unix clock in microseconds
      */
@@ -69,8 +75,8 @@
      * @return Unix time in microseconds
      */
     public long now() {
-        latestUs = Math.max(latestUs, clock.getAsLong());
-        return latestUs;
+        lastNowUs = Math.max(lastNowUs, clock.getAsLong());
+        return lastNowUs;
     }
 
     /**
@@ -107,7 +113,7 @@
         } finally {
             lock.unlock();
         }
-        Thread waiting = sleeper;
+        Thread waiting = parked;
         if (waiting != null) {
             LockSupport.unpark(waiting);
         }
@@ -116,8 +122,8 @@
     /**
      * Sets a timer; from the event thread.
      *
-     * @param atUs when
-     * @param task what
+     * @param atUs when it is due, Unix time in microseconds
+     * @param task the task
      * @return the timer
      */
     public Timer at(long atUs, Runnable task) {
@@ -126,7 +132,7 @@
         return timer;
     }
 
-    /** Ends {@link #run} after the task in hand. */
+    /** Ends {@link #run} after the current turn; from any thread. */
     public void stop() {
         stopped = true;
         post(() -> {});
@@ -136,25 +142,28 @@
     public void run() {
         while (!stopped) {
             turn();
-            await();
+            parkUntilNeeded();
         }
     }
 
-    /** Runs what is queued now, then the timers that are due; what the coordinator told comes first throughout. */
+    /** Runs the tasks that are queued now, urgent ones first throughout, and then the timers that are due. */
     public void turn() {
         int queued = size();
         for (int i = 0; i < queued; i++) {
             Runnable task = next();
             if (task != null) {
-                guarded(task);
+                runSafely(task);
             }
         }
-        long now = now();
-        while (!timers.isEmpty() && (timers.peek().task == null || timers.peek().atUs <= now)) {
+        fireTimers(now());
+    }
+
+    private void fireTimers(long now) {
+        while (!timers.isEmpty() && (timers.peek().isCancelled() || timers.peek().atUs <= now)) {
             Timer timer = timers.poll();
-            if (timer.task != null) {
-                lateUs = Math.max(lateUs, now - timer.atUs);
-                guarded(timer.task);
+            if (!timer.isCancelled()) {
+                maxTimerDelayUs = Math.max(maxTimerDelayUs, now - timer.atUs);
+                runSafely(timer.task);
             }
         }
     }
@@ -165,23 +174,23 @@
      * @return Unix time in microseconds; the largest number where none is set
      */
     public long nextDueUs() {
-        while (!timers.isEmpty() && timers.peek().task == null) {
+        while (!timers.isEmpty() && timers.peek().isCancelled()) {
             timers.poll();
         }
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().atUs;
     }
 
-    /** The longest that a timer was late since this was last asked; from the event thread. */
-    long latestLateUs() {
-        long late = lateUs;
-        lateUs = 0;
-        return late;
+    /** The longest delay of a timer since the last call; from the event thread. */
+    long takeMaxTimerDelayUs() {
+        long delayUs = maxTimerDelayUs;
+        maxTimerDelayUs = 0;
+        return delayUs;
     }
 
     /**
-     * What waits for its turn.
+     * How many tasks wait for their turn; from any thread.
      *
-     * @return tasks queued
+     * @return tasks queued, without timers
      */
     public int size() {
         lock.lock();
@@ -201,8 +210,8 @@
         }
     }
 
-    /** Guards the process: a task that fails is one request's harm, which the deadline's guard still answers. */
-    private void guarded(Runnable task) {
+    /** Guards the process: a task that fails harms one request, which is still answered at its deadline. */
+    private void runSafely(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -213,18 +222,18 @@
     }
 
     /**
-     * Guards a front with a part of a core: a condition's timed wait that runs out while it is signalled spins until
-     * the signalling thread goes on, which on one core may take the rest of its turn; parking does not.
+     * Guards a proxy that has less than a core: a condition's timed wait that runs out while it is signalled spins until
+     * the signalling thread goes on, which on one core may take the rest of its time slice; parking does not.
      */
-    private void await() {
-        sleeper = Thread.currentThread();
+    private void parkUntilNeeded() {
+        parked = Thread.currentThread();
         if (size() == 0) {
-            long waitUs = timers.isEmpty() ? MOST_WAIT_US : Math.min(MOST_WAIT_US, timers.peek().atUs - now());
+            long waitUs = timers.isEmpty() ? MAX_PARK_US : Math.min(MAX_PARK_US, timers.peek().atUs - now());
             if (waitUs > 0) {
-                LockSupport.parkNanos(this, waitUs * 1000);
+                LockSupport.parkNanos(this, waitUs * NS_PER_US);
             }
         }
-        sleeper = null;
+        parked = null;
         if (Thread.interrupted()) {
             stopped = true;
         }
--- a/src/main/java/petrelplank/proxy/RouterWarmup.java
+++ b/src/main/java/petrelplank/proxy/RouterWarmup.java
@@ -13,82 +13,105 @@
 import petrelplank.routing.ServiceClass;
 
 /**
- * Lets a router of its own decide on made-up requests, whose orders go nowhere, so that the decisions are compiled
- * when the first clients come. It shares nothing with the router in service.
+ * Lets a router of its own decide on synthetic requests, none of which is sent anywhere, so that the routing code is
+ * compiled when the first clients come. It shares nothing with the router in service.
  */
-public final class RouterWarmup implements Router.Actions {
+public final class RouterWarmup {
+    private static final long SEED = 1;
+    /** Simulated time between a request and the end of its attempt. */
     private static final long STEP_US = 2_000;
 
-    private AttemptPlan order;
+    private static final int OBJECTS = 64;
+    private static final int GROUPS = 16;
+    /** One attempt in so many is a miss that the cache fills. */
+    private static final int FILLED_ONE_IN = 4;
+
+    private final RouterSettings settings;
+    private final LastPlan lastPlan = new LastPlan();
+    private final Router router;
+    private final double[] load;
+    private long nowUs = STEP_US;
+
+    private RouterWarmup(RouterSettings settings) {
+        this.settings = settings;
+        this.router = new RequestRouter(settings, SEED, lastPlan);
+        this.load = new double[settings.reportFields().size()];
+    }
 
     /**
-     * Decides on some requests.
+     * Routes some requests.
      *
      * @param settings the settings in service
-     * @param list the servers of the first list
+     * @param endpoints the endpoints of the first list
      * @param requests how many
      */
-    public static void run(RouterSettings settings, List<EndpointInfo> list, int requests) {
-        RouterWarmup host = new RouterWarmup();
-        Router router = new RequestRouter(settings, 1, host);
-        long now = STEP_US;
-        router.endpointsChanged(now, true, list);
-        double[] load = new double[settings.reportFields().size()];
+    public static void run(RouterSettings settings, List<EndpointInfo> endpoints, int requests) {
+        RouterWarmup warmup = new RouterWarmup(settings);
+        warmup.router.endpointsChanged(warmup.nowUs, true, endpoints);
         for (int i = 0; i < requests; i++) {
-            ServiceClass type = settings.classes().get(i % settings.classes().size());
-            String id = Integer.toString(i);
-            host.order = null;
-            router.requestReceived(
-                    now,
-                    new RoutingRequest(
-                            id, i % 64, 0, i % 16, type.name(), now + type.deadlineUs(), 0, type.write(), false));
-            now += STEP_US;
-            if (host.order != null) {
-                router.attemptEnded(
-                        now,
-                        new AttemptOutcome(
-                                id,
-                                0,
-                                AttemptStatus.OK,
-                                STEP_US,
-                                true,
-                                i % 4 == 0 ? CacheStatus.FILLED : CacheStatus.HIT,
-                                0,
-                                load,
-                                0));
-            }
+            warmup.route(i);
         }
     }
 
-    @Override
-    public void send(String request, AttemptPlan ordered) {
-        order = ordered;
+    private void route(int number) {
+        List<ServiceClass> classes = settings.classes();
+        ServiceClass type = classes.get(number % classes.size());
+        RoutingRequest request = new RoutingRequest(
+                Integer.toString(number),
+                number % OBJECTS,
+                0,
+                number % GROUPS,
+                type.name(),
+                nowUs + type.deadlineUs(),
+                0,
+                type.write(),
+                false,
+                null);
+        lastPlan.plan = null;
+        router.requestReceived(nowUs, request);
+        nowUs += STEP_US;
+        if (lastPlan.plan != null) {
+            CacheStatus cacheStatus = number % FILLED_ONE_IN == 0 ? CacheStatus.FILLED : CacheStatus.HIT;
+            router.attemptEnded(
+                    nowUs,
+                    new AttemptOutcome(request.id(), 0, AttemptStatus.OK, STEP_US, true, cacheStatus, 0, load, 0));
+        }
     }
 
-    @Override
-    public void reject(String request, long retryAfterUs) {}
+    /** Keeps the last attempt that was ordered, and carries nothing out. */
+    private static final class LastPlan implements Router.Actions {
+        private AttemptPlan plan;
 
-    @Override
-    public void fail(String request) {}
+        @Override
+        public void send(String request, AttemptPlan ordered) {
+            plan = ordered;
+        }
+
+        @Override
+        public void reject(String request, long retryAfterUs) {}
 
-    @Override
-    public void cancel(String request, int attempt) {}
+        @Override
+        public void fail(String request) {}
 
-    @Override
-    public void healthCheck(String server) {}
+        @Override
+        public void cancel(String request, int attempt) {}
 
-    @Override
-    public void gossip(int gateway, byte[] data) {}
+        @Override
+        public void healthCheck(String server) {}
 
-    @Override
-    public void setTimer(long token, long atUs) {}
+        @Override
+        public void gossip(int gateway, byte[] data) {}
 
-    @Override
-    public void watchEndpoints() {}
+        @Override
+        public void setTimer(long token, long atUs) {}
 
-    @Override
-    public void fetchEndpoints() {}
+        @Override
+        public void watchEndpoints() {}
 
-    @Override
-    public void log(String line) {}
+        @Override
+        public void fetchEndpoints() {}
+
+        @Override
+        public void log(String line) {}
+    }
 }
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -207,7 +207,7 @@
 
     @Override
     public void heartbeat(OpenRequests openRequests) {
-        record(new Event.Heartbeat(openRequests.size(), loop.size(), sink.heapBytes(), loop.latestLateUs()));
+        record(new Event.Heartbeat(openRequests.size(), loop.size(), sink.heapBytes(), loop.takeMaxTimerDelayUs()));
         loop.at(loop.now() + HEARTBEAT_US, () -> heartbeat(openRequests));
     }
 
