--- a/src/test/java/petrelplank/cli/LoopbackGoneClientsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
@@ -10,7 +10,7 @@
 import petrelplank.upstream.FakeServer;
 
 /** A client that closes its connection or cancels its request has gone: nothing is sent for it any more. */
-class LoopbackGoneClientsTest extends LoopbackFixture {
+class LoopbackClientDisconnectTest extends LoopbackFixture {
     private static final String REMOVED = "bbbbbbbbbbbbbbbb";
 
     private final CountDownLatch reached = new CountDownLatch(1);
--- a/src/test/java/petrelplank/cli/FrontSignalsTest.java
+++ b/src/test/java/petrelplank/cli/ProxySignalsTest.java
@@ -14,7 +14,7 @@
 
 /** Signals to a real front process at odd moments. */
 @Tag("processes")
-class FrontSignalsTest {
+class ProxySignalsTest {
     private static final long PATIENCE_MS = 60_000;
     /** The longest that a drain may take: 3 s for the longest deadline, 0.7 s more, and time for the process to go. */
     private static final long DRAIN_S = 15;
