--- a/src/test/java/petrelplank/cli/CloseUnderRequest.java
+++ b/src/test/java/petrelplank/cli/CloseUnderRequest.java
@@ -13,27 +13,27 @@
 import petrelplank.fastcgi.FcgiClient;
 
 /**
- * How many requests end with their connection, at a real front whose processor is withheld: clients ask on
- * connections that they keep, others ask once and keep theirs for good, so that the front closes quiet ones to make
- * room, while the process is stopped for a while again and again (SIGSTOP, SIGCONT). Arguments: seconds, milliseconds
- * of a stop, milliseconds between two, connections a second that are kept for good. See docs/churn.md.
+ * Counts the requests that are lost with their connection, at a real proxy that gets no processor time now and then:
+ * clients send requests on connections that they keep, others send one and keep theirs idle, so that the proxy closes
+ * idle ones to make room, while its process is stopped again and again (SIGSTOP, SIGCONT). Arguments: seconds,
+ * milliseconds of a stop, milliseconds between two, idle connections opened each second. See docs/churn.md.
  */
 final class CloseUnderRequest {
-    private static final int POOLED = 80;
-    private static final int MOST_KEPT = 400;
-    /** A request that crosses a close by no more than this is sent again by its client. */
-    private static final long CROSSES_NS = 50_000_000;
+    private static final int POOLED_CLIENTS = 80;
+    private static final int MAX_IDLE = 400;
+    /** A request that crosses a close by no more than this is retried by its client. */
+    private static final long CROSSING_NS = 50_000_000;
 
     private final AtomicLong asked = new AtomicLong();
     private final AtomicInteger crossed = new AtomicInteger();
     private final AtomicInteger lost = new AtomicInteger();
     private final AtomicInteger reopened = new AtomicInteger();
     private final AtomicLong ids = new AtomicLong();
-    private final InetSocketAddress front;
+    private final InetSocketAddress proxy;
     private final long untilNs;
 
-    private CloseUnderRequest(InetSocketAddress front, long untilNs) {
-        this.front = front;
+    private CloseUnderRequest(InetSocketAddress proxy, long untilNs) {
+        this.proxy = proxy;
         this.untilNs = untilNs;
     }
 
@@ -49,28 +49,30 @@
             String instances = "[" + ColdStartTest.entry("c-1", cache, "edge-1", "box") + ","
                     + ColdStartTest.entry("p-1", parent, "north", "parent") + ","
                     + ColdStartTest.entry("o-1", origin, "north", "origin") + "]";
-            try (ListService service = new ListService(instances);
-                    FaultRelay relay = new FaultRelay(service.address(), List.of(), 11);
-                    FrontProcesses fronts = new FrontProcesses(folder, 1, relay.address(), instances)) {
-                InetSocketAddress at = fronts.ready(60_000).get(0);
+            try (ListService discovery = new ListService(instances);
+                    FaultRelay relay = new FaultRelay(discovery.address(), List.of(), 11);
+                    FrontProcesses processes = new FrontProcesses(folder, 1, relay.address(), instances)) {
+                InetSocketAddress address = processes.ready(60_000).get(0);
                 long untilNs = System.nanoTime() + Long.parseLong(args[0]) * 1_000_000_000L;
-                CloseUnderRequest probe = new CloseUnderRequest(at, untilNs);
-                probe.play(fronts.pid(0), Long.parseLong(args[1]), Long.parseLong(args[2]), Integer.parseInt(args[3]));
+                CloseUnderRequest load = new CloseUnderRequest(address, untilNs);
+                load.play(
+                        processes.pid(0), Long.parseLong(args[1]), Long.parseLong(args[2]), Integer.parseInt(args[3]));
                 System.out.printf(
                         "asked %d, connections closed while quiet %d, closed under a request: "
                                 + "within 50 ms %d, later (lost) %d%n",
-                        probe.asked.get(), probe.reopened.get(), probe.crossed.get(), probe.lost.get());
+                        load.asked.get(), load.reopened.get(), load.crossed.get(), load.lost.get());
             }
         }
     }
 
-    private void play(long pid, long stopMs, long betweenMs, int keptASecond) throws InterruptedException, IOException {
+    private void play(long pid, long stopMs, long betweenMs, int idlePerSecond)
+            throws InterruptedException, IOException {
         List<Thread> threads = new ArrayList<>();
-        for (int i = 0; i < POOLED; i++) {
+        for (int i = 0; i < POOLED_CLIENTS; i++) {
             SplittableRandom random = new SplittableRandom(i);
             threads.add(new Thread(() -> pooled(random)));
         }
-        threads.add(new Thread(() -> kept(keptASecond)));
+        threads.add(new Thread(() -> keepIdle(idlePerSecond)));
         threads.forEach(Thread::start);
         while (System.nanoTime() < untilNs) {
             signal("-STOP", pid);
@@ -87,7 +89,7 @@
         new ProcessBuilder("kill", name, Long.toString(pid)).inheritIO().start().waitFor();
     }
 
-    /** Asks, waits up to 1.5 s, asks again on the same connection; a client looks for a close before it asks. */
+    /** Sends a request every 1.5 s at most on the same connection; a client looks for a close before it sends. */
     private void pooled(SplittableRandom random) {
         FcgiClient client = null;
         try {
@@ -95,7 +97,7 @@
                 Thread.sleep(random.nextInt(100, 1_500));
                 if (client == null || client.closed()) {
                     reopened.addAndGet(client == null ? 0 : 1);
-                    client = new FcgiClient(front);
+                    client = new FcgiClient(proxy);
                 }
                 asked.incrementAndGet();
                 long sentNs = System.nanoTime();
@@ -120,7 +122,7 @@
                     ended = true;
                 }
                 if (ended) {
-                    (System.nanoTime() - sentNs > CROSSES_NS ? lost : crossed).incrementAndGet();
+                    (System.nanoTime() - sentNs > CROSSING_NS ? lost : crossed).incrementAndGet();
                     client = null;
                 }
             }
@@ -129,18 +131,18 @@
         }
     }
 
-    /** Each asks once and keeps its connection. */
-    private void kept(int aSecond) {
-        ArrayDeque<FcgiClient> all = new ArrayDeque<>();
+    /** Opens connections that carry one request and stay open, idle. */
+    private void keepIdle(int perSecond) {
+        ArrayDeque<FcgiClient> idle = new ArrayDeque<>();
         try {
             while (System.nanoTime() < untilNs) {
-                FcgiClient one = new FcgiClient(front);
-                one.ask(1, "/_health", new byte[0]);
-                all.add(one);
-                if (all.size() > MOST_KEPT) {
-                    all.poll().close();
+                FcgiClient client = new FcgiClient(proxy);
+                client.ask(1, "/_health", new byte[0]);
+                idle.add(client);
+                if (idle.size() > MAX_IDLE) {
+                    idle.poll().close();
                 }
-                Thread.sleep(1000 / aSecond);
+                Thread.sleep(1000 / perSecond);
             }
         } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
@@ -9,107 +9,107 @@
 import petrelplank.record.Event;
 import petrelplank.upstream.FakeServer;
 
-/** A client that closes its connection or cancels its request has gone: nothing is sent for it any more. */
+/** A client that closes its connection or cancels its request: nothing is sent upstream for it any more. */
 class LoopbackClientDisconnectTest extends LoopbackFixture {
-    private static final String REMOVED = "bbbbbbbbbbbbbbbb";
+    private static final String DISCONNECTED = "bbbbbbbbbbbbbbbb";
 
     private final CountDownLatch reached = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch released = new CountDownLatch(1);
 
-    /** Holds the event thread where it records an event of a kind, once. */
-    private void holdAt(Class<? extends Event> kind) {
+    /** Blocks the event thread where it records an event of a type, once. */
+    private void blockEventThreadAt(Class<? extends Event> type) {
         onRecord = event -> {
-            if (kind.isInstance(event)) {
+            if (type.isInstance(event)) {
                 onRecord = next -> {};
                 reached.countDown();
-                awaitGoOn();
+                awaitRelease();
             }
         };
     }
 
-    private void awaitGoOn() {
+    private void awaitRelease() {
         try {
-            goOn.await();
+            released.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Health is answered by the I/O thread alone: at the second answer it has read all that was there before. */
-    private void ioThreadHasRead() throws IOException {
+    /** The I/O thread answers health checks by itself: at the second answer it has read all that was there before. */
+    private void awaitReadByIoThread() throws IOException {
         for (int i = 0; i < 2; i++) {
             client.ask(9, "/_health", NOTHING);
             assertThat(client.answer()).startsWith("9 Status: 200");
         }
     }
 
-    private void askOn(FcgiClient asking, String request) throws IOException {
-        asking.ask(1, "/invoke/media", NOTHING, headers(request));
+    private void askOn(FcgiClient asking, String requestId) throws IOException {
+        asking.ask(1, "/invoke/media", NOTHING, headers(requestId));
     }
 
-    /** The next command of all is that of a request which came later. */
-    private void nothingWasSentForIt() throws IOException, InterruptedException {
+    /** The next upstream request of all is that of a client request which came later. */
+    private void assertNothingSentForDisconnected() throws IOException, InterruptedException {
         ask(2, "cccccccccccccccc", "media");
-        FakeServer.Line fetch = cache.next();
-        assertThat(fetch.word(1)).isEqualTo("cccccccccccccccc");
-        fetch.reply("cccccccccccccccc ACK tell=HIT 3\r\none\r\n");
+        FakeServer.Line upstreamRequest = cache.next();
+        assertThat(upstreamRequest.word(1)).isEqualTo("cccccccccccccccc");
+        upstreamRequest.reply("cccccccccccccccc ACK tell=HIT 3\r\none\r\n");
         assertThat(client.answer()).startsWith("2 Status: 200");
     }
 
     @Test
     void requestOfAClientThatClosedIsNotRouted() throws IOException, InterruptedException {
-        holdAt(Event.RequestAdmitted.class);
+        blockEventThreadAt(Event.RequestAdmitted.class);
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         reached.await();
-        try (FcgiClient gone = new FcgiClient(front.address())) {
-            askOn(gone, REMOVED);
+        try (FcgiClient leaving = new FcgiClient(front.address())) {
+            askOn(leaving, DISCONNECTED);
         }
-        ioThreadHasRead();
-        goOn.countDown();
+        awaitReadByIoThread();
+        released.countDown();
         assertThat(cache.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
-        nothingWasSentForIt();
+        assertNothingSentForDisconnected();
         assertThat(recorded.stream().filter(Event.RequestAdmitted.class::isInstance))
                 .hasSize(2);
     }
 
     @Test
     void attemptOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
-        holdAt(Event.AttemptSent.class);
-        try (FcgiClient gone = new FcgiClient(front.address())) {
-            askOn(gone, REMOVED);
+        blockEventThreadAt(Event.AttemptSent.class);
+        try (FcgiClient leaving = new FcgiClient(front.address())) {
+            askOn(leaving, DISCONNECTED);
             reached.await();
         }
-        ioThreadHasRead();
-        goOn.countDown();
-        nothingWasSentForIt();
+        awaitReadByIoThread();
+        released.countDown();
+        assertNothingSentForDisconnected();
     }
 
     @Test
     void attemptOfACancelledRequestIsNotWritten() throws IOException, InterruptedException {
-        holdAt(Event.AttemptSent.class);
-        try (FcgiClient gone = new FcgiClient(front.address())) {
-            askOn(gone, REMOVED);
+        blockEventThreadAt(Event.AttemptSent.class);
+        try (FcgiClient leaving = new FcgiClient(front.address())) {
+            askOn(leaving, DISCONNECTED);
             reached.await();
-            gone.abort(1);
-            ioThreadHasRead();
-            goOn.countDown();
-            nothingWasSentForIt();
+            leaving.abort(1);
+            awaitReadByIoThread();
+            released.countDown();
+            assertNothingSentForDisconnected();
         }
     }
 
-    /** A retry is ordered by the end of the first attempt; its client may have left in that very moment. */
+    /** A retry is ordered at the end of the first attempt; its client may disconnect in that very moment. */
     @Test
     void retryOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
-        try (FcgiClient gone = new FcgiClient(front.address())) {
-            askOn(gone, REMOVED);
+        try (FcgiClient leaving = new FcgiClient(front.address())) {
+            askOn(leaving, DISCONNECTED);
             FakeServer.Line first = cache.next();
-            holdAt(Event.AttemptEnded.class);
+            blockEventThreadAt(Event.AttemptEnded.class);
             first.reset();
             reached.await();
         }
-        ioThreadHasRead();
-        goOn.countDown();
-        nothingWasSentForIt();
+        awaitReadByIoThread();
+        released.countDown();
+        assertNothingSentForDisconnected();
         assertThat(parent.quiet() && origin.quiet()).isTrue();
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -12,49 +12,49 @@
 import petrelplank.fastcgi.FcgiClient;
 import petrelplank.upstream.FakeServer;
 
-/** Connections of clients that the front closes: what is owed on them is answered whole, and read by the client. */
+/** Client connections that the proxy closes: pending responses on them are complete, and reach the client. */
 class LoopbackCloseTest extends LoopbackFixture {
-    private static final byte[] JUNK = new byte[100_000];
+    private static final byte[] MALFORMED_INPUT = new byte[100_000];
 
-    /** What comes behind a request on its connection, whatever it is, does not take the request's answer along. */
+    /** Whatever follows a request on its connection does not prevent the request's response. */
     @Test
-    void requestBeforeJunkIsAnswered() throws IOException, InterruptedException {
+    void requestBeforeMalformedInputIsAnswered() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
-        client.raw(JUNK);
+        FakeServer.Line upstreamRequest = cache.next();
+        client.raw(MALFORMED_INPUT);
         try (FcgiClient other = new FcgiClient(front.address())) {
             other.ask(1, "/_health", NOTHING);
             assertThat(other.answer()).startsWith("1 Status: 200");
         }
-        fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
+        upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
         assertThat(client.answer()).isEqualTo("closed");
     }
 
-    /** A client that wants its connection closed behind one answer still gets the others that it asked for. */
+    /** A client that wants its connection closed after one response still gets the other pending ones. */
     @Test
-    void connectionIsClosedBehindTheLastAnswerThatIsOwed() throws IOException, InterruptedException {
+    void connectionIsClosedAfterItsLastPendingResponse() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line upstreamRequest = cache.next();
         client.askLast(2, "/_health");
         assertThat(client.answer()).startsWith("2 Status: 200");
-        fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
+        upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
         assertThat(client.answer()).isEqualTo("closed");
     }
 
-    /** A request that is read after the drain has found everything answered is refused, and never sent on. */
+    /** A request that is read after the drain has found everything answered is rejected, and never sent upstream. */
     @Test
-    void requestReadAsTheDrainEndsIsRefused() throws IOException, InterruptedException {
+    void requestReadAsTheDrainEndsIsRejected() throws IOException, InterruptedException {
         Logger log = Logger.getLogger(ProxyServer.class.getName());
-        CountDownLatch ended = new CountDownLatch(1);
-        CountDownLatch crossed = new CountDownLatch(1);
-        Handler crossing = new Handler() {
+        CountDownLatch stopped = new CountDownLatch(1);
+        CountDownLatch requestRead = new CountDownLatch(1);
+        Handler askingAtTheEnd = new Handler() {
             @Override
             public void publish(LogRecord line) {
                 if (line.getMessage().startsWith("stopped: ")) {
-                    askAndSeeItRead();
-                    crossed.countDown();
+                    askAndAwaitReadByIoThread();
+                    requestRead.countDown();
                 }
             }
 
@@ -64,21 +64,21 @@
             @Override
             public void close() {}
         };
-        log.addHandler(crossing);
+        log.addHandler(askingAtTheEnd);
         try {
-            front.drain(ended::countDown);
-            crossed.await();
+            front.drain(stopped::countDown);
+            requestRead.await();
             String answer = client.answer();
             assertThat(answer).startsWith("1 Status: 503").contains("Retry-After-Ms");
-            ended.await();
+            stopped.await();
             assertThat(cache.quiet() && parent.quiet() && origin.quiet()).isTrue();
         } finally {
-            log.removeHandler(crossing);
+            log.removeHandler(askingAtTheEnd);
         }
     }
 
-    /** The event thread is held meanwhile; the I/O thread answers health by itself, in the order of what it reads. */
-    private void askAndSeeItRead() {
+    /** The event thread is blocked meanwhile; the I/O thread answers health checks by itself, in the order it reads. */
+    private void askAndAwaitReadByIoThread() {
         try {
             ask(1, "aaaaaaaaaaaaaaaa", "media");
             client.ask(2, "/_health", NOTHING);
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -11,58 +11,58 @@
 import petrelplank.settings.Configuration;
 import petrelplank.upstream.FakeServer;
 
-/** The planned end of a front, on loopback sockets. */
+/** The graceful shutdown of a proxy, on loopback sockets. */
 class LoopbackDrainTest extends LoopbackFixture {
     /** Deadlines differ by site, and SIGKILL comes by the longest: at most 3 s, and 0.7 s more. */
     @Test
-    void drainEndsBeforeTheKillThatTheSettingsTell() throws IOException {
+    void drainEndsBeforeSigkillForAnyLongestDeadline() throws IOException {
         assertTrue(front.drain(() -> {}) <= 3_700);
         Files.writeString(file, Files.readString(file).replace("\"deadline-us\":60000000", "\"deadline-us\":900000"));
-        ProxyServer shorter = new ProxyServer(Configuration.read(file.toFile()), () -> 0, EventSink.NONE);
-        assertTrue(shorter.drain(() -> {}) <= 1_600);
-        shorter.close();
+        ProxyServer shortDeadlines = new ProxyServer(Configuration.read(file.toFile()), () -> 0, EventSink.NONE);
+        assertTrue(shortDeadlines.drain(() -> {}) <= 1_600);
+        shortDeadlines.close();
     }
 
     @Test
-    void drainAnswersWhatIsOpenAndThenEnds() throws IOException, InterruptedException {
+    void drainAnswersOpenRequestsAndThenStops() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
-        CountDownLatch ended = new CountDownLatch(1);
-        front.drain(ended::countDown);
+        FakeServer.Line upstreamRequest = cache.next();
+        CountDownLatch stopped = new CountDownLatch(1);
+        front.drain(stopped::countDown);
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         cache.next();
-        fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\nbbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
+        upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\nbbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
         assertTrue(client.answer().startsWith("1 Status: 200"));
         assertTrue(client.answer().startsWith("2 Status: 200"));
-        ended.await();
+        stopped.await();
     }
 
-    /** Half of it was there at SIGTERM, the rest comes while requests are still taken: it is served. */
+    /** Half of it had arrived at SIGTERM, the rest comes while requests are still accepted: it is served. */
     @Test
-    void requestThatIsHalfReadAtTheDrainIsServed() throws IOException, InterruptedException {
+    void requestThatIsHalfReadAsTheDrainStartsIsServed() throws IOException, InterruptedException {
         client.begin(1, "/invoke/media", NOTHING, headers("aaaaaaaaaaaaaaaa"));
-        CountDownLatch ended = new CountDownLatch(1);
-        front.drain(ended::countDown);
+        CountDownLatch stopped = new CountDownLatch(1);
+        front.drain(stopped::countDown);
         client.end(1);
         cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.answer().startsWith("1 Status: 200"));
         assertEquals("closed", client.answer());
-        ended.await();
+        stopped.await();
     }
 
-    /** The drain's last answer is final: what is out is called off, and neither a silence nor a reset sends it on. */
+    /** The drain's last response is final: the attempt is aborted, and neither silence nor a reset leads to a retry. */
     @Test
-    void requestThatTheDrainFailsIsCalledOffAndNotSentOn() throws IOException, InterruptedException {
+    void requestThatTheDrainFailsIsAbortedAndNotRetried() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
-        CountDownLatch ended = new CountDownLatch(1);
-        front.drain(ended::countDown);
+        FakeServer.Line upstreamRequest = cache.next();
+        CountDownLatch stopped = new CountDownLatch(1);
+        front.drain(stopped::countDown);
         laterUs.set(3_600_000);
         String answer = client.answer();
         assertTrue(answer.startsWith("1 Status: 504"), answer);
         assertEquals("abort aaaaaaaaaaaaaaaa", cache.next().text());
-        fetch.reset();
-        ended.await();
+        upstreamRequest.reset();
+        stopped.await();
         assertTrue(parent.quiet() && origin.quiet() && cache.quiet());
     }
 }
