--- a/src/main/java/petrelplank/proxy/EventRecorder.java
+++ b/src/main/java/petrelplank/proxy/EventRecorder.java
@@ -1,5 +1,6 @@
 package petrelplank.proxy;
 
+import java.util.Objects;
 import petrelplank.record.EventSink;
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.TerminationReason;
@@ -15,6 +16,7 @@
      * @return a recorder
      */
     static EventRecorder to(EventLoop loop, RouterSettings settings, EventSink sink) {
+        Objects.requireNonNull(sink, "sink: missing; EventSink.NONE where records are off");
         return sink == EventSink.NONE ? new NoOpEventRecorder() : new SinkEventRecorder(loop, settings, sink);
     }
 
