--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -76,7 +76,7 @@
             LOG.info("SIGTERM: draining; so far " + proxy.counts() + "; " + clients.counts() + "; "
                     + proxy.upstreamCounts());
             readiness.drainStarted();
-            proxy.closeAt(answeredByUs);
+            proxy.startDrain(answeredByUs);
             loop.at(startedUs + ACCEPT_CONNECTIONS_US, clients::stopListening);
             loop.at(
                     acceptUntilUs,
@@ -96,7 +96,7 @@
         }
         LOG.info("stopped: " + proxy.counts());
         // Whatever is read from here on is rejected, and not sent upstream: nobody would wait for its response.
-        proxy.close();
+        proxy.stopAdmitting();
         closeClients(loop.now() + FLUSH_US, onStopped);
     }
 
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -108,13 +108,13 @@
      *
      * @param atUs Unix time from which nothing more is admitted, and at which all that is then open fails
      */
-    public void closeAt(long atUs) {
+    public void startDrain(long atUs) {
         recorder.drainStarted(atUs);
         admission.closeAt(atUs);
     }
 
     /** From now on requests are rejected at once, and nothing is sent upstream any more. */
-    public void close() {
+    public void stopAdmitting() {
         admission.closeAt(loop.now());
     }
 
