--- a/src/main/java/petrelplank/proxy/EventRecorder.java
+++ b/src/main/java/petrelplank/proxy/EventRecorder.java
@@ -1,218 +1,61 @@
 package petrelplank.proxy;
 
-import java.util.List;
-import java.util.Map;
-import java.util.function.Function;
-import java.util.stream.Collectors;
-import petrelplank.record.Event;
+import java.util.Objects;
 import petrelplank.record.EventSink;
-import petrelplank.routing.CacheStatus;
-import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.RouterSettings;
-import petrelplank.routing.ServiceClass;
 import petrelplank.routing.TerminationReason;
 
-/** Makes events of what the stages do, where records are on; else does nothing. Event thread only. */
-final class EventRecorder {
-    private static final long PULSE_US = 1_000_000;
-
-    private final EventLoop loop;
-    /** Null where records are off. */
-    private final EventSink sink;
-
-    private final Map<String, ServiceClass> classes;
-    private final double flowKbPerSecond;
-    private String givenUp;
-    private TerminationReason why;
-
-    EventRecorder(EventLoop loop, RouterSettings settings, EventSink sink) {
-        this.loop = loop;
-        this.sink = sink;
-        this.classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
-        this.flowKbPerSecond = settings.flowKbPerSecond();
-        if (sink != null) {
-            record(new Event.ProxyStarted(
-                    settings.zone(),
-                    settings.zones(),
-                    settings.classes().stream()
-                            .map(c -> new Event.ClassInfo(
-                                    c.name(), c.priorityWeight(), c.deadlineUs(), c.idempotency(), c.write()))
-                            .toList(),
-                    settings.parentKind(),
-                    settings.originKind(),
-                    settings.reportFields(),
-                    settings.rules().drainGraceUs(),
-                    settings.rules().purgeGraceUs(),
-                    settings.connectTimeoutUs()));
-        }
-    }
-
-    private void record(Event event) {
-        sink.record(loop.now(), event);
-    }
-
-    private static Event.ResponseKind kind(ClientResponse.Kind kind) {
-        return switch (kind) {
-            case SERVED -> Event.ResponseKind.SERVED;
-            case NOT_MODIFIED -> Event.ResponseKind.NOT_MODIFIED;
-            case REJECTED -> Event.ResponseKind.REJECTED;
-            case FAILED -> Event.ResponseKind.FAILED;
-            case BAD_REQUEST -> Event.ResponseKind.BAD_REQUEST;
-        };
-    }
-
-    void taken(Exchange e) {
-        if (sink != null) {
-            ClientRequest asked = e.asked;
-            record(new Event.RequestAdmitted(e.id, asked.serviceClass(), e.object, asked.group()));
-        }
+/** Records what the stages do. Event thread only. */
+interface EventRecorder {
+    /**
+     * The recorder for a sink.
+     *
+     * @param loop the event thread
+     * @param settings the settings, recorded at once
+     * @param sink takes the events; with {@link EventSink#NONE} no event is even made
+     * @return a recorder
+     */
+    static EventRecorder to(EventLoop loop, RouterSettings settings, EventSink sink) {
+        Objects.requireNonNull(sink, "sink: missing; EventSink.NONE where records are off");
+        return sink == EventSink.NONE ? new NoOpEventRecorder() : new SinkEventRecorder(loop, settings, sink);
     }
 
-    void turnedAway(ClientRequest asked, ClientResponse.Kind told) {
-        if (sink != null) {
-            record(new Event.RequestRejected(
-                    asked.id(), classes.containsKey(asked.serviceClass()) ? asked.serviceClass() : "", kind(told)));
-        }
-    }
-
-    void sent(Attempt a) {
-        if (sink != null) {
-            UpstreamRequest f = a.request();
-            record(new Event.AttemptSent(
-                    a.exchange.id,
-                    a.number,
-                    f.serviceClass(),
-                    a.server(),
-                    f.source(),
-                    a.exchange.object,
-                    a.exchange.asked.group()));
-        }
-    }
+    /** A request was admitted. */
+    void requestAdmitted(Exchange exchange);
 
-    void ended(Attempt a, UpstreamResponse answer, long latencyUs) {
-        if (sink != null) {
-            UpstreamRequest f = a.request();
-            record(new Event.AttemptEnded(
-                    a.exchange.id,
-                    a.number,
-                    f.serviceClass(),
-                    a.server(),
-                    f.source(),
-                    a.exchange.object,
-                    a.exchange.asked.group(),
-                    answer.status(),
-                    answer.cacheStatus(),
-                    latencyUs,
-                    answer.sourceWaitUs(),
-                    answer.bornMs(),
-                    answer.body().length,
-                    load(answer.load())));
-        }
-    }
+    /** A request was answered before the router saw it. */
+    void requestRejected(ClientRequest request, ClientResponse.Kind kind);
 
-    private static List<Double> load(double[] load) {
-        if (load == null) {
-            return List.of();
-        }
-        Double[] boxed = new Double[load.length];
-        for (int i = 0; i < load.length; i++) {
-            boxed[i] = load[i];
-        }
-        return List.of(boxed);
-    }
+    /** An attempt was handed to the upstream connections. */
+    void attemptSent(Attempt attempt);
 
-    /** Why the router gives up the request that it answers next. */
-    void terminated(String request, TerminationReason reason) {
-        givenUp = request;
-        why = reason;
-    }
+    /** An attempt ended, so long after it was sent. */
+    void attemptEnded(Attempt attempt, UpstreamResponse response, long latencyUs);
 
-    void answered(Exchange e, ClientResponse answer) {
-        if (sink != null) {
-            ServiceClass type = classes.get(e.asked.serviceClass());
-            long latencyUs = loop.now() - e.arrivedUs;
-            boolean served =
-                    answer.kind() == ClientResponse.Kind.SERVED || answer.kind() == ClientResponse.Kind.NOT_MODIFIED;
-            boolean inTime = served && latencyUs <= latencyObjectiveUs(type, answer.body().length);
-            double worth = !served
-                    ? 0
-                    : type.priorityWeight()
-                            * (inTime ? 1 : type.lateWeightFactor())
-                            * (e.served == CacheStatus.STALE ? type.staleWeightFactor() : 1);
-            record(new Event.RequestCompleted(
-                    e.id,
-                    e.asked.serviceClass(),
-                    kind(answer.kind()),
-                    latencyUs,
-                    answer.body().length,
-                    worth,
-                    inTime,
-                    answer.retryAfterMs(),
-                    served || !e.asked.id().equals(givenUp) ? null : why));
-        }
-    }
+    /** The reason for which the router rejects or fails the request that it answers next. */
+    void requestTerminated(String request, TerminationReason reason);
 
-    /** An answer within this earns the whole worth: the class's aim, and more for its sending time. */
-    private double latencyObjectiveUs(ServiceClass type, int bytes) {
-        double sendingUs = flowKbPerSecond > 0 ? bytes / 1024.0 / flowKbPerSecond * 1e6 : 0;
-        return Math.min(type.deadlineUs(), type.latencyObjectiveUs() + type.objectiveSizeFactor() * sendingUs);
-    }
+    /** The final response goes to the client. */
+    void requestCompleted(Exchange exchange, ClientResponse response);
 
-    void left(Exchange e) {
-        if (sink != null) {
-            record(new Event.ClientDisconnected(e.id));
-        }
-    }
+    /** The client disconnected before its response. */
+    void clientDisconnected(Exchange exchange);
 
-    void told(DiscoveryEvent event) {
-        if (sink == null) {
-            return;
-        }
-        if (event instanceof DiscoveryEvent.Purge p) {
-            record(new Event.Purged(p.index(), p.object(), p.object() != null ? -1 : p.group(), p.unixMs()));
-        } else if (event instanceof DiscoveryEvent.Change c) {
-            record(new Event.EndpointsChanged(
-                    c.index(),
-                    c.complete(),
-                    c.entries().stream()
-                            .map(entry -> {
-                                EndpointInfo m = entry.member();
-                                return new Event.ListedEndpoint(
-                                        m.id(), m.zone(), m.kind(), m.state(), m.weight(), m.startedUs());
-                            })
-                            .toList()));
-        }
-    }
+    /** An event of the discovery service that was not known yet. */
+    void discoveryEvent(DiscoveryEvent event);
 
-    void ejected(String server, boolean trial, long pauseUs) {
-        if (sink != null) {
-            record(new Event.EndpointEjected(server, trial, pauseUs));
-        }
-    }
+    /** The router ejected an endpoint until its next health-check attempt, or keeps it ejected after a failed one. */
+    void endpointEjected(String server, boolean healthCheckFailed, long pauseUs);
 
-    void recovered(String server) {
-        if (sink != null) {
-            record(new Event.EndpointRecovered(server));
-        }
-    }
+    /** An ejected endpoint is used again. */
+    void endpointRecovered(String server);
 
-    /** Writes down how the front is, once a second from now on. */
-    void pulse(AdmissionController admit) {
-        if (sink != null) {
-            record(new Event.Heartbeat(admit.size(), loop.size(), sink.heapBytes(), loop.latestLateUs()));
-            loop.at(loop.now() + PULSE_US, () -> pulse(admit));
-        }
-    }
+    /** Records the proxy's own load, now and once a second from now on. */
+    void heartbeat(OpenRequests openRequests);
 
-    void draining(long answerAllUs) {
-        if (sink != null) {
-            record(new Event.DrainStarted(answerAllUs));
-        }
-    }
+    /** The proxy drains, and answers all that is open by a time. */
+    void drainStarted(long answerAllUs);
 
-    void finished() {
-        if (sink != null) {
-            record(new Event.ProxyStopped());
-        }
-    }
+    /** The proxy stopped as planned: the last event. */
+    void proxyStopped();
 }
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -124,11 +124,7 @@
         pendingAborts.abortWritten(requestId, connection).forEach(this::dispatch);
     }
 
-    /**
-     * What went wrong on the upstream side, in one line.
-     *
-     * @return the counts
-     */
+    @Override
     public String counts() {
         return "upstream connections " + connector.connections().size() + ", " + faults.counts();
     }
