--- a/src/test/java/petrelplank/discovery/EventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
@@ -16,7 +16,7 @@
 import petrelplank.settings.FormatException;
 import petrelplank.wire.Cuts;
 
-class EventDecoderTest {
+class DiscoveryEventDecoderTest {
     private static final String CHANGE = "{\"index\":41,\"endpoints\":{\"generation\":7,\"reset\":false,\"instances\":"
             + "[{\"instanceId\":\"s-1\",\"hostPort\":\"127.0.0.9:4100\",\"zone\":\"east\",\"machineType\":\"std\","
             + "\"cell\":2,\"lifecycle\":\"leaving\",\"weight\":4,\"startedAtMs\":5}]}}";
--- a/src/test/java/petrelplank/discovery/backoff/ListCallsTest.java
+++ b/src/test/java/petrelplank/discovery/backoff/ReconnectBackoffTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-class ListCallsTest {
+class ReconnectBackoffTest {
     /** Calls one after another, each as soon as its wait is over; the total wait of n breaks. */
     private static long waited(ReconnectBackoff calls, int breaks) {
         long now = 0;
--- a/src/test/java/petrelplank/simulator/WireTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorSessionTest {
     private static final String SETUP = """
         {"balancers":1,"caps":{"cancel":true,"connect-timeout-us":400000,"max-retry-after-us":500000,
         "peer-messages":false,"probing":false,"retry-after":true,"second-copies":false,"try-limit":8},
