--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -1,90 +1,91 @@
 package petrelplank.discovery;
 
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.logging.Logger;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.ConnectFuture;
-import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import petrelplank.discovery.backoff.ReconnectBackoff;
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
-import petrelplank.settings.FormatException;
 
 /**
- * Follows the coordinator: one connection, made again when it breaks, falls silent or leaves out an event. State
- * belongs to the event thread.
+ * Client of the discovery service: one connection, made again when it breaks, falls silent or leaves out an event.
+ * State belongs to the event thread.
  */
 public final class DiscoveryClient {
     private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
-    /** Each second a line is due; two missed ones mean that the connection is dead. */
-    private static final long SILENCE_US = 2_500_000;
-    /** Of breaks in a row, with nothing heard between. */
-    private static final int LOGGED_ONE_IN = 25;
+    /** A line is due each second; two missed ones mean that the connection is dead. */
+    private static final long SILENCE_TIMEOUT_US = 2_500_000;
+
+    private static final long SILENCE_CHECK_INTERVAL_US = SILENCE_TIMEOUT_US / 5;
+    /** Of consecutive failures with no line between, one in this many is logged. */
+    private static final int LOG_ONE_IN = 25;
+
+    private static final long NO_GAP = -1;
+
+    /** What has been received since the start; it only moves forward. */
+    private enum SyncState {
+        NOTHING_RECEIVED,
+        RECEIVING,
+        /** A heartbeat has shown that no event sent before it is missing here. */
+        CAUGHT_UP
+    }
 
     private final EventLoop loop;
-    private final EdgeProxy front;
+    private final EdgeProxy proxy;
     private final NioSocketConnector connector;
+    private final ReconnectBackoff backoff;
     private InetSocketAddress address;
-    /** The connection in use; what an older one still says is passed over. */
-    private Object current;
-
-    private ConnectFuture connecting;
-    private IoSession session;
-    private EventLoop.Timer again;
-    /** When to call again after a break: spread, capped, within a budget. */
-    private final ReconnectBackoff calls;
-    /** When the connection in use was made. */
-    private long madeUs;
-
-    private long heardUs;
-    private long breaks;
-    private long breaksInRow;
-    /** The number after which events were found missing, and asked for again. */
-    private long askedAgainFrom = -1;
-    /** Whether a beat has said that nothing told before it is missing here; never false again. */
-    private boolean caughtUp;
-
-    private boolean heard;
+    /** The connection in use; lines of earlier ones are ignored. Null while a reconnect is pending. */
+    private DiscoveryConnection current;
+    /** Null before the first failure. */
+    private EventLoop.Timer reconnectTimer;
+
+    private SyncState syncState = SyncState.NOTHING_RECEIVED;
+    private long failures;
+    private long consecutiveFailures;
+    /** The last number before a gap for which the events were requested again. */
+    private long gapRequestedAfter = NO_GAP;
 
     /**
-     * A follower; {@link #start} connects it.
+     * A client; {@link #start} connects it.
      *
      * @param loop the event thread
-     * @param front hears the events
+     * @param proxy receives the events
      * @param connector makes connections; its handler is set here
-     * @param address the coordinator's
-     * @param seed of the jitter of calls after a break; the configuration's, so that fronts differ
+     * @param address the discovery service's address
+     * @param seed of the jitter of reconnects; the configuration's, so that proxies differ
      */
     public DiscoveryClient(
-            EventLoop loop, EdgeProxy front, NioSocketConnector connector, InetSocketAddress address, long seed) {
-        this.calls = new ReconnectBackoff(seed);
+            EventLoop loop, EdgeProxy proxy, NioSocketConnector connector, InetSocketAddress address, long seed) {
+        this.backoff = new ReconnectBackoff(seed);
         this.loop = loop;
-        this.front = front;
+        this.proxy = proxy;
         this.connector = connector;
         this.address = address;
-        connector.setHandler(new Handler());
+        connector.setHandler(new DiscoveryStreamHandler(loop, this::received, this::reconnect));
     }
 
-    /** Connects, and leaves what was open before; from the event thread. */
+    /** Connects, and closes what was open before; from the event thread. */
     public void start() {
-        leave();
-        Object mine = new Object();
-        current = mine;
-        heardUs = loop.now();
-        connecting = connector.connect(address, (s, f) -> s.setAttribute("key", mine));
-        connecting.addListener(f -> loop.postUrgent(() -> connected(mine, (ConnectFuture) f)));
-        watch(mine);
+        disconnect();
+        DiscoveryConnection connection = new DiscoveryConnection();
+        current = connection;
+        connection.received(loop.now());
+        ConnectFuture connecting = connector.connect(address, (session, future) -> connection.attachTo(session));
+        connection.connecting(connecting);
+        connecting.addListener(future -> loop.postUrgent(() -> connectEnded(connection, connecting)));
+        scheduleSilenceCheck(connection);
     }
 
     /**
-     * Follows at another address at once, from the last number heard; from the event thread.
+     * Connects to another address at once and continues after the last event received; from the event thread.
      *
-     * @param next the coordinator's new address
+     * @param next the discovery service's new address
      */
     public void follow(InetSocketAddress next) {
         address = next;
@@ -92,142 +93,121 @@
     }
 
     /**
-     * Whether the coordinator has said, by its beat, that this front has every event that it held then; from the
-     * event thread. Until then, the list of {@code known} may lack a drain or a purge told before this start.
+     * Whether the discovery service has shown, by a heartbeat, that this proxy has every event that it held then; from
+     * the event thread. Until then, the list of {@code known} may lack a drain or a purge sent before this start.
      *
-     * @return true from the first such beat on
+     * @return true from the first such heartbeat on
      */
     public boolean caughtUp() {
-        return caughtUp;
+        return syncState == SyncState.CAUGHT_UP;
     }
 
     /**
-     * Whether the coordinator was heard at all; it tells all that is missing at once when it is called. From the event
-     * thread.
+     * Whether anything was received at all; on a new connection, the discovery service sends all missing events at
+     * once. From the event thread.
      *
-     * @return true from its first line on
+     * @return true from the first line on
      */
     public boolean heard() {
-        return heard;
+        return syncState != SyncState.NOTHING_RECEIVED;
     }
 
-    /** Guards against a second connection beside the next one: whatever is open or planned ends. */
-    private void leave() {
-        current = null;
-        if (again != null) {
-            again.cancel();
+    /** Guards against a second connection beside the next one: whatever is open or scheduled ends. */
+    private void disconnect() {
+        if (reconnectTimer != null) {
+            reconnectTimer.cancel();
         }
-        if (connecting != null) {
-            connecting.cancel();
-        }
-        if (session != null) {
-            session.closeNow();
-            session = null;
+        if (current != null) {
+            current.close();
+            current = null;
         }
     }
 
-    private void watch(Object mine) {
-        loop.at(loop.now() + SILENCE_US / 5, () -> {
-            if (current != mine) {
-                return;
-            }
-            if (loop.now() - heardUs > SILENCE_US) {
-                broken(mine, "silent");
-            } else {
-                watch(mine);
-            }
-        });
+    private void scheduleSilenceCheck(DiscoveryConnection connection) {
+        loop.at(loop.now() + SILENCE_CHECK_INTERVAL_US, () -> checkSilence(connection));
     }
 
-    private void connected(Object mine, ConnectFuture future) {
+    private void checkSilence(DiscoveryConnection connection) {
+        if (connection != current) {
+            return;
+        }
+        if (loop.now() - connection.lastReceivedUs() > SILENCE_TIMEOUT_US) {
+            reconnect(connection, "silent");
+        } else {
+            scheduleSilenceCheck(connection);
+        }
+    }
+
+    private void connectEnded(DiscoveryConnection connection, ConnectFuture future) {
         if (!future.isConnected()) {
-            broken(mine, "not reached");
-        } else if (current != mine) {
+            reconnect(connection, "unreachable");
+        } else if (connection != current) {
             future.getSession().closeNow();
         } else {
-            session = future.getSession();
-            madeUs = loop.now();
-            session.write(
-                    IoBuffer.wrap(("follow " + front.lastEventIndex() + "\n").getBytes(StandardCharsets.US_ASCII)));
+            IoSession session = future.getSession();
+            connection.connected(session, loop.now());
+            byte[] request = ("follow " + proxy.lastEventIndex() + "\n").getBytes(StandardCharsets.US_ASCII);
+            session.write(IoBuffer.wrap(request));
         }
     }
 
-    private void broken(Object mine, String why) {
-        if (current != mine) {
+    private void reconnect(DiscoveryConnection failed, String reason) {
+        if (failed != current) {
             return;
         }
-        leave();
-        breaks++;
-        breaksInRow++;
-        if (breaksInRow % LOGGED_ONE_IN == 1) {
-            LOG.warning("coordinator " + why + ", following again from " + front.lastEventIndex() + ", " + breaks
-                    + " so far");
+        disconnect();
+        failures++;
+        consecutiveFailures++;
+        if (consecutiveFailures % LOG_ONE_IN == 1) {
+            LOG.warning("discovery service " + reason + ", reconnecting after event " + proxy.lastEventIndex()
+                    + ", failures so far: " + failures);
         }
-        again = loop.at(loop.now() + calls.broken(loop.now()), this::start);
+        long delayUs = backoff.nextDelayUs(loop.now());
+        reconnectTimer = loop.at(loop.now() + delayUs, this::start);
     }
 
-    private void told(Object mine, DiscoveryEvent event) {
-        if (current != mine) {
+    private void received(DiscoveryConnection connection, DiscoveryEvent event) {
+        if (connection != current) {
             return;
         }
-        heardUs = loop.now();
-        breaksInRow = 0;
-        calls.heard(heardUs, madeUs);
-        long last = front.lastEventIndex();
-        if (event instanceof DiscoveryEvent.Beat
-                ? event.index() > last
-                : event.index() > last + 1 && askedAgainFrom != last) {
-            // Guards against a drain or a purge that was left out. A gap that stays when asked again is no loss.
-            askedAgainFrom = last;
-            broken(mine, "left out events between " + last + " and " + event.index());
-        } else if (event instanceof DiscoveryEvent.Change list
-                && list.complete()
-                && list.entries().isEmpty()) {
-            // Guards the service against a list that fails without an error: the last good one stays.
-            broken(mine, "sent an empty list");
-        } else if (!(event instanceof DiscoveryEvent.Beat)) {
-            heard = true;
-            front.onEvent(event);
+        long nowUs = loop.now();
+        connection.received(nowUs);
+        consecutiveFailures = 0;
+        backoff.lineReceived(nowUs, connection.connectedUs());
+        long lastIndex = proxy.lastEventIndex();
+        if (revealsGap(event, lastIndex)) {
+            gapRequestedAfter = lastIndex;
+            reconnect(connection, "left out events between " + lastIndex + " and " + event.index());
+        } else if (isEmptyList(event)) {
+            reconnect(connection, "sent an empty list");
         } else {
-            heard = true;
-            caughtUp = true;
+            accept(event);
         }
     }
 
-    private final class Handler extends IoHandlerAdapter {
-        @Override
-        public void sessionCreated(IoSession s) {
-            s.setAttribute(LineSplitter.class, new LineSplitter());
-        }
-
-        @Override
-        public void messageReceived(IoSession s, Object message) {
-            ByteBuffer bytes = ((IoBuffer) message).buf();
-            Object mine = s.getAttribute("key");
-            try {
-                ((LineSplitter) s.getAttribute(LineSplitter.class)).feed(bytes, line -> line(mine, line));
-            } catch (FormatException e) {
-                s.closeNow();
-                loop.postUrgent(() -> broken(mine, "sent a bad line (" + e.getMessage() + ")"));
-            }
+    /** Guards against a drain or a purge that was left out. A gap that stays when requested again is no loss. */
+    private boolean revealsGap(DiscoveryEvent event, long lastIndex) {
+        if (event instanceof DiscoveryEvent.Beat) {
+            return event.index() > lastIndex;
         }
+        return event.index() > lastIndex + 1 && gapRequestedAfter != lastIndex;
+    }
 
-        private void line(Object mine, String line) {
-            if (!line.isEmpty()) {
-                DiscoveryEvent event = DiscoveryEventDecoder.decode(line);
-                loop.postUrgent(() -> told(mine, event));
-            }
-        }
+    /** Guards against a discovery service that fails without an error: the last good endpoint list stays. */
+    private static boolean isEmptyList(DiscoveryEvent event) {
+        return event instanceof DiscoveryEvent.Change change
+                && change.complete()
+                && change.entries().isEmpty();
+    }
 
-        @Override
-        public void sessionClosed(IoSession s) {
-            Object mine = s.getAttribute("key");
-            loop.postUrgent(() -> broken(mine, "closed the connection"));
+    private void accept(DiscoveryEvent event) {
+        if (event instanceof DiscoveryEvent.Beat) {
+            syncState = SyncState.CAUGHT_UP;
+            return;
         }
-
-        @Override
-        public void exceptionCaught(IoSession s, Throwable cause) {
-            s.closeNow();
+        if (syncState == SyncState.NOTHING_RECEIVED) {
+            syncState = SyncState.RECEIVING;
         }
+        proxy.onEvent(event);
     }
 }
--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import petrelplank.proxy.DiscoveryEvent;
@@ -14,18 +13,28 @@
 import petrelplank.settings.JsonFields;
 import petrelplank.settings.JsonValue;
 
-/** Reads the coordinator's events, from its lines and from the configuration. */
+/** Decodes discovery events: lines of the discovery service's stream, and the known events of the configuration. */
 public final class DiscoveryEventDecoder {
     private static final JsonFactory JSON = new JsonFactory();
+    /** The event with this number is always the complete list, whatever its reset flag says. */
+    private static final long FIRST_INDEX = 1;
+
+    private static final int NO_GROUP = -1;
+    private static final long US_PER_MS = 1000;
 
     private DiscoveryEventDecoder() {}
 
+    /**
+     * Decodes a line of the stream: a number alone is a heartbeat, an object is an event.
+     *
+     * @throws FormatException where the line is neither
+     */
     static DiscoveryEvent decode(String line) {
-        try (JsonParser in = JSON.createParser(line)) {
-            in.nextToken();
-            Object value = JsonValue.read(in);
-            return value instanceof Long last
-                    ? new DiscoveryEvent.Beat(last)
+        try (JsonParser parser = JSON.createParser(line)) {
+            parser.nextToken();
+            Object value = JsonValue.read(parser);
+            return value instanceof Long lastIndex
+                    ? new DiscoveryEvent.Beat(lastIndex)
                     : decode(new JsonFields(JsonValue.object(value, "the event"), "the event"));
         } catch (IOException e) {
             throw new FormatException("not JSON: " + e.getMessage());
@@ -33,43 +42,58 @@
     }
 
     /**
-     * The event that an object holds.
+     * Decodes an event from its JSON object.
      *
-     * @param f the object
+     * @param event the object
      * @return the event
+     * @throws FormatException where a field is missing or of the wrong type
      */
-    public static DiscoveryEvent decode(JsonFields f) {
-        long index = f.whole("index");
-        if (f.has("evict")) {
-            JsonFields purge = new JsonFields(f.object("evict"), f.where() + " evict");
-            Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
-            return new DiscoveryEvent.Purge(index, object, (int) purge.whole("shard", -1), purge.whole("unix_ms"));
+    public static DiscoveryEvent decode(JsonFields event) {
+        long index = event.whole("index");
+        if (event.has("evict")) {
+            return purge(index, new JsonFields(event.object("evict"), event.where() + " evict"));
         }
-        if (!f.has("endpoints")) {
-            // Guards against a kind of event not known here: it is passed over, and its number counts as heard.
-            return f.only("index") ? new DiscoveryEvent.Beat(index) : new DiscoveryEvent.Other(index);
+        if (event.has("endpoints")) {
+            return endpointChange(index, new JsonFields(event.object("endpoints"), event.where() + " endpoints"));
         }
-        JsonFields list = new JsonFields(f.object("endpoints"), f.where() + " endpoints");
+        // Guards against an unknown kind of event: it is ignored, but its number counts as received.
+        return event.only("index") ? new DiscoveryEvent.Beat(index) : new DiscoveryEvent.Other(index);
+    }
+
+    private static DiscoveryEvent.Purge purge(long index, JsonFields purge) {
+        Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
+        int group = (int) purge.whole("shard", NO_GROUP);
+        return new DiscoveryEvent.Purge(index, object, group, purge.whole("unix_ms"));
+    }
+
+    private static DiscoveryEvent.Change endpointChange(long index, JsonFields endpoints) {
         List<DiscoveryEvent.Entry> entries = new ArrayList<>();
-        for (var entry : list.objects("instances")) {
-            JsonFields e = new JsonFields(entry, list.where() + " instance");
-            EndpointState state = switch (e.text("lifecycle")) {
-                case "active" -> EndpointState.UP;
-                case "leaving" -> EndpointState.DRAINING;
-                case "left" -> EndpointState.REMOVED;
-                default -> throw new FormatException(e.where() + ": lifecycle " + e.text("lifecycle"));
-            };
-            EndpointInfo member = new EndpointInfo(
-                    e.text("instanceId"),
-                    e.text("zone"),
-                    e.text("machineType"),
-                    (int) e.whole("cell", 0),
-                    state,
-                    e.number("weight", 1),
-                    1000 * e.whole("startedAtMs", 0));
-            InetSocketAddress address = Addresses.parse(e.text("hostPort"));
-            entries.add(new DiscoveryEvent.Entry(member, address));
+        for (var instance : endpoints.objects("instances")) {
+            entries.add(entry(new JsonFields(instance, endpoints.where() + " instance")));
         }
-        return new DiscoveryEvent.Change(index, index == 1 || list.flag("reset"), entries);
+        return new DiscoveryEvent.Change(index, index == FIRST_INDEX || endpoints.flag("reset"), entries);
+    }
+
+    private static DiscoveryEvent.Entry entry(JsonFields instance) {
+        EndpointState state = state(instance);
+        EndpointInfo endpoint = new EndpointInfo(
+                instance.text("instanceId"),
+                instance.text("zone"),
+                instance.text("machineType"),
+                (int) instance.whole("cell", 0),
+                state,
+                instance.number("weight", 1),
+                US_PER_MS * instance.whole("startedAtMs", 0));
+        return new DiscoveryEvent.Entry(endpoint, Addresses.parse(instance.text("hostPort")));
+    }
+
+    private static EndpointState state(JsonFields instance) {
+        String lifecycle = instance.text("lifecycle");
+        return switch (lifecycle) {
+            case "active" -> EndpointState.UP;
+            case "leaving" -> EndpointState.DRAINING;
+            case "left" -> EndpointState.REMOVED;
+            default -> throw new FormatException(instance.where() + ": lifecycle " + lifecycle);
+        };
     }
 }
--- a/src/main/java/petrelplank/discovery/LineSplitter.java
+++ b/src/main/java/petrelplank/discovery/LineSplitter.java
@@ -6,25 +6,39 @@
 import java.util.function.Consumer;
 import petrelplank.settings.FormatException;
 
-/** Cuts the coordinator's stream into lines, no longer than a whole list can be. */
+/** Splits the discovery service's byte stream into lines, however it was fragmented. */
 final class LineSplitter {
-    static final int LONGEST_LINE = 1 << 20;
+    /** Bounds the memory that one line may take; a complete endpoint list is shorter. */
+    static final int MAX_LINE_BYTES = 1 << 20;
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(1024);
+    private static final int INITIAL_LINE_BYTES = 1024;
 
-    void feed(ByteBuffer in, Consumer<String> lines) {
-        while (in.hasRemaining()) {
-            byte b = in.get();
-            if (b != '\n') {
-                if (line.size() == LONGEST_LINE) {
-                    throw new FormatException("a line over " + LONGEST_LINE + " bytes");
-                }
-                line.write(b);
-                continue;
+    private final ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
+
+    /**
+     * Consumes the bytes and hands on each complete line, without its line end and surrounding blanks.
+     *
+     * @param input the bytes; all are consumed
+     * @param lines gets each line that ended
+     * @throws FormatException where a line is longer than {@link #MAX_LINE_BYTES}
+     */
+    void feed(ByteBuffer input, Consumer<String> lines) {
+        while (input.hasRemaining()) {
+            byte next = input.get();
+            if (next == '\n') {
+                String text = line.toString(StandardCharsets.UTF_8).strip();
+                line.reset();
+                lines.accept(text);
+            } else {
+                append(next);
             }
-            String text = line.toString(StandardCharsets.UTF_8).strip();
-            line.reset();
-            lines.accept(text);
         }
     }
+
+    private void append(byte next) {
+        if (line.size() == MAX_LINE_BYTES) {
+            throw new FormatException("a line over " + MAX_LINE_BYTES + " bytes");
+        }
+        line.write(next);
+    }
 }
--- a/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
@@ -34,7 +34,7 @@
 
     /** The heartbeat is an object with the index alone; taken for a list, it broke every connection. */
     @Property(seed = "31", tries = 200)
-    void eventsCutAnywhereAreRead(@ForAll long cuts) {
+    void fragmentedEventsAreDecoded(@ForAll long cuts) {
         List<DiscoveryEvent> events = read(STREAM, cuts);
         DiscoveryEvent.Change change = (DiscoveryEvent.Change) events.get(0);
         assertEquals(EndpointState.DRAINING, change.entries().get(0).member().state());
@@ -51,7 +51,7 @@
     }
 
     @Property(seed = "32", tries = 1000)
-    void spoiltEventsAreTakenOrRefused(@ForAll long seed) {
+    void corruptedEventsAreDecodedOrRejected(@ForAll long seed) {
         LineSplitter splitter = new LineSplitter();
         assertTrue(Cuts.survives(
                 Cuts.spoil(STREAM, seed),
@@ -65,9 +65,9 @@
     }
 
     @Test
-    void endlessLineIsRefused() {
+    void endlessLineIsRejected() {
         assertThrows(
                 FormatException.class,
-                () -> new LineSplitter().feed(ByteBuffer.allocate(LineSplitter.LONGEST_LINE + 1), l -> {}));
+                () -> new LineSplitter().feed(ByteBuffer.allocate(LineSplitter.MAX_LINE_BYTES + 1), l -> {}));
     }
 }
