--- a/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
+++ b/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
@@ -1,50 +1,52 @@
 package petrelplank.fastcgi;
 
 import java.util.logging.Logger;
-import petrelplank.transport.DescriptorBudget;
 
-/** Counts what goes wrong on the clients' side, and tells of it in few lines. Event thread only. */
+/** Counts faults of clients and closes of their connections, and logs few of them. Event thread only. */
 final class ClientFaultLog {
     private static final Logger LOG = Logger.getLogger(FastCgiAcceptor.class.getName());
-    /** Bad clients send at full speed: a line for each would cost CPU and memory that good ones need. */
-    private static final int LOGGED_ONE_IN = 250;
+    /** Faulty clients send at full speed: a line for each would cost CPU and memory that good ones need. */
+    private static final int LOG_ONE_IN = 250;
 
-    private final DescriptorBudget share;
+    private final int maxConnections;
     private long malformed;
-    private long slow;
-    private long crowded;
-    private long silent;
+    private long slowReaders;
+    private long evicted;
+    private long idle;
 
-    ClientFaultLog(DescriptorBudget share) {
-        this.share = share;
+    /** A log; {@code maxConnections} are the most connections that clients may hold. */
+    ClientFaultLog(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
-    /** Bytes that make no record. */
-    void malformed(String what) {
-        if (malformed++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("malformed record from a client, connection closed: " + what + ", " + malformed + " so far");
+    /** A client's bytes violated the protocol. */
+    void malformed(MalformedException violation) {
+        if (malformed++ % LOG_ONE_IN == 0) {
+            LOG.warning("malformed FastCGI record from a client, connection closed: " + violation.getMessage() + ", "
+                    + malformed + " so far");
         }
     }
 
-    /** Too much stood unread. */
-    void slow() {
-        if (slow++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("a client does not read, connection closed, " + slow + " so far");
+    /** A connection was closed since too much stood unread on it. */
+    void slowReader() {
+        if (slowReaders++ % LOG_ONE_IN == 0) {
+            LOG.warning("client does not read its responses, connection closed, " + slowReaders + " so far");
         }
     }
 
-    /** A connection was asked to leave, and has closed. */
-    void left(boolean forRoom) {
-        if (!forRoom) {
-            silent++;
-        } else if (crowded++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("near " + share.most() + " client connections, the quietest closed, " + crowded + " so far");
+    /** A connection that nothing was open on was closed. */
+    void closed(IdleClose.Reason reason) {
+        if (reason == IdleClose.Reason.IDLE) {
+            idle++;
+        } else if (evicted++ % LOG_ONE_IN == 0) {
+            LOG.warning("near the limit of " + maxConnections + " client connections, least recently used one closed, "
+                    + evicted + " so far");
         }
     }
 
     /** One line of counts. */
     String counts() {
-        return "malformed " + malformed + ", slow " + slow + ", over the limit " + crowded + ", silent or idle "
-                + silent;
+        return "malformed " + malformed + ", slow readers " + slowReaders + ", evicted near the limit " + evicted
+                + ", idle " + idle;
     }
 }
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -1,238 +1,186 @@
 package petrelplank.fastcgi;
 
 import java.util.Map;
-import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicReference;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.session.IoSession;
+import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
 import petrelplank.proxy.ClientRequest;
 import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.EventLoop;
 
-/** One connection; records are read in its I/O thread, answers are written from the event thread. */
+/** One connection; records are read in its I/O thread, responses are written from the event thread. */
 final class FastCgiConnection implements RequestAssembler.Listener {
-    enum State {
-        OPEN,
-        LEAVING,
-        CLOSED
-    }
-
-    /** Unread bytes of answers at which a connection is given up: its client does not read. */
-    private static final long MOST_UNREAD = 32L * 262_144;
-    /** Unread bytes of all clients together, above which one with a share of them is given up: part of memory. */
-    private static final int UNREAD_PART = 6;
-
-    private static final long SHARE_OF_UNREAD = 1 << 20;
-    /** Bytes of requests that are coming in or open, over all connections: part of memory. */
-    private static final int HELD_PART = 8;
-    /** A connection that brings nothing whole in this time, or leaves a request half sent, is closed. */
-    static final long SILENT_US = 2_000_000;
-    /** A new connection's first request may still lie in the machine; it is not closed to make room before this. */
-    private static final long FIRST_US = SILENT_US / 8;
-    /** Clients close idle connections after 4 s; those that never do are closed after this. */
-    static final long IDLE_US = 5_000_000;
     /** How long the client may take to close a connection whose sending side was shut down. */
     private static final long LINGER_US = 1_000_000;
-    /** Bytes of a request at its limits; a body in small records takes up to as many again for their headers. */
-    private static final long LONGEST_REQUEST = 2L * (RequestAssembler.LONGEST_PARAMS + RequestAssembler.LONGEST_BODY);
 
-    private static final String HEALTH = "/_health";
+    private static final String HEALTH_SCRIPT = "/_health";
 
-    private final FastCgiAcceptor owner;
+    private final ListenerContext context;
     private final EventLoop loop;
     private final IoSession session;
     private final RecordParser parser = new RecordParser();
     private final RequestAssembler assembler;
-    final Map<Integer, FastCgiResponseChannel> open = new ConcurrentHashMap<>();
-    /** Answers between being taken off {@link #open} and standing among the bytes to write. */
-    final AtomicInteger writing = new AtomicInteger();
-    /** When it last brought a request whole, or took the last answer it was owed; its start before that. */
-    volatile long quietUs;
-    /** Whether anything came in whole yet. */
-    private volatile boolean used;
-    /** Since when a request is coming in; 0 while none is. */
-    private volatile long halfSinceUs;
-
-    private final long madeInTurn;
-    final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
-    /** Why it was last asked to leave; since when it was quiet when first asked, and the bytes read in all then. */
-    volatile boolean forRoom;
-
-    private volatile long askedQuietUs;
-    private volatile long askedReadBytes;
-
-    /** Nothing that still comes is read as a request: what came before it made no record. Of the I/O thread. */
-    private boolean unreadable;
+    private final OpenRequests openRequests = new OpenRequests();
+    private final ConnectionActivity activity;
+    private final IdleClose idleClose;
+    /** What still comes is ignored, since what came before violated the protocol. Of the I/O thread. */
+    private boolean malformed;
     /** When the sending side was shut down; 0 before. Written by the I/O thread. */
-    private volatile long shutdownUs;
+    private volatile long outputShutdownUs;
 
-    FastCgiConnection(FastCgiAcceptor owner, IoSession session) {
-        this.owner = owner;
+    FastCgiConnection(ListenerContext context, IoSession session) {
+        this.context = context;
         this.session = session;
-        this.loop = owner.loop;
-        this.assembler = new RequestAssembler(this, owner.held, owner.memory / HELD_PART);
-        this.quietUs = loop.clock();
-        this.madeInTurn = owner.acceptor.turns();
+        this.loop = context.loop();
+        ListenerMemory memory = context.memory();
+        this.assembler = new RequestAssembler(this, memory.requestBytes(), memory.maxRequestBytes());
+        this.activity = new ConnectionActivity(loop, context.acceptor());
+        this.idleClose = new IdleClose(session, context.acceptor(), activity, this::isUnused, context.closing());
     }
 
-    /** Nothing is owed and nothing unsent, so that it may be closed. */
-    boolean unused() {
-        // In this order: an answer that is taken off and not yet written counts as being written before.
-        return open.isEmpty() && writing.get() == 0 && session.getScheduledWriteBytes() == 0;
+    /** Nothing is open and nothing unsent, so that it may be closed. */
+    boolean isUnused() {
+        return openRequests.isEmpty() && session.getScheduledWriteBytes() == 0;
     }
 
-    /** It may make room: it is unused, and would have brought a first request by now. */
-    boolean spare(long now) {
-        // In this order: a first request that comes in meanwhile is open before it counts as brought.
-        return (used || now - quietUs > FIRST_US && owner.acceptor.turns() > madeInTurn + 1) && unused();
+    /** Whether it may be closed to make room: it is unused, and would have brought a first request by now. */
+    boolean isEvictable(long nowUs) {
+        // In this order: a first request that comes in meanwhile is open before it counts as received.
+        return idleClose.isOpen() && activity.isPastFirstRequest(nowUs) && isUnused();
     }
 
-    boolean expired(long now) {
-        long half = halfSinceUs;
-        boolean idle = half > 0 && used ? now - half > SILENT_US : now - quietUs > (used ? IDLE_US : SILENT_US);
-        return unused() && idle;
+    /** Whether it was idle, or a request on it incomplete, for too long. */
+    boolean isTimedOut(long nowUs) {
+        boolean timedOut = activity.isTimedOut(nowUs);
+        return isUnused() && timedOut;
     }
 
-    /**
-     * Closes it, unless something lies unread on it when the I/O thread looks, or a request came. Where more was
-     * read since it was first asked than a request can hold, and nothing whole came of it, it is junk: then it is
-     * closed whatever lies unread. Less may be a long request, which takes several reads.
-     */
-    void leave(boolean toMakeRoom) {
-        // Counted first: the I/O thread may be closing it for a reason of its own.
-        owner.leaving.incrementAndGet();
-        if (!state.compareAndSet(State.OPEN, State.LEAVING)) {
-            owner.leaving.decrementAndGet();
-            return;
-        }
-        forRoom = toMakeRoom;
-        long quiet = quietUs;
-        long half = halfSinceUs;
-        long read = session.getReadBytes();
-        if (quiet != askedQuietUs) {
-            askedQuietUs = quiet;
-            askedReadBytes = read;
-        } else if (read - askedReadBytes > LONGEST_REQUEST) {
-            session.closeNow();
-            return;
-        }
-        owner.acceptor.closeSpare(session, () -> unused() && quietUs == quiet && halfSinceUs == half, () -> {
-            if (state.compareAndSet(State.LEAVING, State.OPEN)) {
-                owner.leaving.decrementAndGet();
-            }
-        });
+    /** Whether its client has not closed it in good time after its sending side was shut down. */
+    boolean lingersTooLong(long nowUs) {
+        return outputShutdownUs > 0 && nowUs - outputShutdownUs > LINGER_US;
     }
 
-    void received(IoBuffer bytes) {
-        if (unreadable || shutdownUs > 0) {
-            return;
-        }
-        try {
-            parser.feed(bytes.buf(), assembler::take);
-            if (!parser.inside() && !assembler.inside()) {
-                halfSinceUs = 0;
-            } else if (halfSinceUs == 0) {
-                halfSinceUs = loop.clock();
-            }
-        } catch (MalformedException e) {
-            unreadable = true;
-            finish();
-            loop.post(() -> owner.faults.malformed(e.getMessage()));
-        }
+    long lastUsedUs() {
+        return activity.lastUsedUs();
     }
 
-    /** Closes it behind the answers that are still owed on it, without a reset that would take them along. */
-    void finish() {
-        owner.acceptor.shutdownOutput(session, () -> {
-            if (unused()) {
-                shutdownUs = loop.clock();
-            }
-            return shutdownUs > 0;
-        });
-    }
-
-    /** Whether its client has not closed it in good time after its sending side was shut down. */
-    boolean lingers(long now) {
-        return shutdownUs > 0 && now - shutdownUs > LINGER_US;
+    /** Closes it unless a request comes in meanwhile, see {@link IdleClose#request}. */
+    void closeIfIdle(IdleClose.Reason reason) {
+        idleClose.request(reason);
     }
 
     void closeNow() {
         session.closeNow();
     }
 
-    void answered(int bytes) {
-        owner.held.addAndGet(-bytes);
-        quietUs = loop.clock();
+    /** Closes it once all responses are written, without a reset, which would destroy them on their way. */
+    void closeAfterResponses() {
+        context.acceptor().shutdownOutput(session, () -> {
+            if (isUnused()) {
+                outputShutdownUs = loop.clock();
+            }
+            return outputShutdownUs > 0;
+        });
+    }
+
+    /** Bytes were read; in the I/O thread. */
+    void received(IoBuffer bytes) {
+        if (malformed || outputShutdownUs > 0) {
+            return;
+        }
+        try {
+            parser.feed(bytes.buf(), assembler::accept);
+            activity.bytesRead(parser.isInsideRecord() || assembler.isInsideRequest());
+        } catch (MalformedException e) {
+            malformed = true;
+            closeAfterResponses();
+            loop.post(() -> context.faults().malformed(e));
+        }
     }
 
+    /** The session is closed; in the I/O thread. */
     void closed() {
+        if (idleClose.closed()) {
+            loop.post(() -> context.faults().closed(idleClose.reason()));
+        }
         assembler.close();
-        open.keySet().forEach(this::abort);
+        openRequests.forEachId(this::abort);
     }
 
     @Override
-    public void request(int id, boolean keep, Map<String, String> params, byte[] body) {
+    public void request(int id, boolean keepConnection, Map<String, String> params, byte[] body) {
+        String requestId = params.getOrDefault(RequestDecoder.REQUEST_ID, "");
         FastCgiResponseChannel channel =
-                new FastCgiResponseChannel(this, id, keep, params.getOrDefault("HTTP_X_REQUEST_ID", ""), body.length);
+                new FastCgiResponseChannel(this, openRequests, id, keepConnection, requestId, body.length);
         // Guards memory against clients that open hundreds of requests with large bodies.
-        owner.held.addAndGet(body.length);
-        open.put(id, channel);
-        used = true;
-        quietUs = loop.clock();
-        String script = params.getOrDefault("SCRIPT_NAME", "");
-        if (script.equals(HEALTH)) {
-            channel.answer(owner.ready ? ClientResponse.of(ClientResponse.Kind.SERVED) : ClientResponse.refused(0));
-            return;
+        context.memory().requestBytes().addAndGet(body.length);
+        openRequests.add(id, channel);
+        activity.requestReceived();
+        if (params.getOrDefault(RequestDecoder.SCRIPT_NAME, "").equals(HEALTH_SCRIPT)) {
+            channel.answer(
+                    context.isReady() ? ClientResponse.of(ClientResponse.Kind.SERVED) : ClientResponse.refused(0));
+        } else {
+            handle(params, body, channel);
         }
-        ClientRequest asked = owner.decoder.decode(params, body);
-        if (asked == null) {
+    }
+
+    private void handle(Map<String, String> params, byte[] body, FastCgiResponseChannel channel) {
+        ClientRequest request;
+        try {
+            request = context.decoder().decode(params, body);
+        } catch (InvalidRequestException e) {
             channel.answer(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
             return;
         }
-        long arrivedUs = owner.acceptor.unreadSinceUs();
-        loop.post(() -> owner.front.handle(asked, channel, arrivedUs));
+        long arrivedUs = context.acceptor().unreadSinceUs();
+        loop.post(() -> context.proxy().handle(request, channel, arrivedUs));
     }
 
     @Override
     public void abort(int id) {
-        FastCgiResponseChannel channel = open.remove(id);
+        FastCgiResponseChannel channel = openRequests.remove(id);
         if (channel != null) {
-            owner.held.addAndGet(-channel.bytes);
-            loop.post(() -> owner.front.clientDisconnected(channel.requestId, channel));
+            context.memory().requestBytes().addAndGet(-channel.bodyLength());
+            loop.post(() -> context.proxy().clientDisconnected(channel.requestId(), channel));
         }
     }
 
     @Override
-    public boolean open(int id) {
-        return open.containsKey(id);
+    public boolean isOpen(int id) {
+        return openRequests.contains(id);
     }
 
     @Override
-    public int owed() {
-        return open.size();
+    public int openRequests() {
+        return openRequests.size();
     }
 
     @Override
-    public void declined(int id, int status, boolean keep) {
-        write(RecordEncoder.end(id, status));
-        if (!keep) {
-            finish();
+    public void rejected(int id, ProtocolStatus status, boolean keepConnection) {
+        write(RecordEncoder.endRequest(id, status));
+        if (!keepConnection) {
+            closeAfterResponses();
         }
     }
 
     @Override
     public void management(FastCgiRecord record) {
-        write(ManagementRecords.reply(record, owner.share.most()));
+        write(ManagementRecords.reply(record, context.maxConnections()));
+    }
+
+    /** Writes the response to a request that was removed from those open. */
+    void respond(int id, ClientResponse response, int requestBodyLength) {
+        context.memory().requestBytes().addAndGet(-requestBodyLength);
+        activity.responseSent();
+        write(RecordEncoder.response(id, response));
     }
 
-    void write(byte[] bytes) {
-        // Guards memory against a client that asks on and does not read.
-        long unread = session.getScheduledWriteBytes();
-        if (unread > MOST_UNREAD
-                || unread > SHARE_OF_UNREAD && owner.acceptor.getScheduledWriteBytes() > owner.memory / UNREAD_PART) {
+    private void write(byte[] bytes) {
+        // Guards memory against a client that goes on requesting and does not read.
+        long unreadBytes = session.getScheduledWriteBytes();
+        if (context.memory().isOverUnreadLimit(unreadBytes, context.acceptor().getScheduledWriteBytes())) {
             session.closeNow();
-            loop.post(owner.faults::slow);
+            loop.post(context.faults()::slowReader);
             return;
         }
         session.write(IoBuffer.wrap(bytes));
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -6,36 +6,53 @@
 /** The way back to a FastCGI client, for one request on its connection. */
 final class FastCgiResponseChannel implements ResponseChannel {
     private final FastCgiConnection connection;
+    private final OpenRequests openRequests;
     private final int id;
-    private final boolean keep;
-    final String requestId;
-    final int bytes;
+    private final boolean keepConnection;
+    private final String requestId;
+    private final int bodyLength;
 
-    FastCgiResponseChannel(FastCgiConnection connection, int id, boolean keep, String requestId, int bytes) {
+    FastCgiResponseChannel(
+            FastCgiConnection connection,
+            OpenRequests openRequests,
+            int id,
+            boolean keepConnection,
+            String requestId,
+            int bodyLength) {
         this.connection = connection;
+        this.openRequests = openRequests;
         this.id = id;
-        this.keep = keep;
+        this.keepConnection = keepConnection;
         this.requestId = requestId;
-        this.bytes = bytes;
+        this.bodyLength = bodyLength;
     }
 
-    /** Whoever takes the id off the connection first, an answer or an abort, has the last word. */
+    /** The client's id of the request. */
+    String requestId() {
+        return requestId;
+    }
+
+    /** Bytes of the request that are held until it is answered. */
+    int bodyLength() {
+        return bodyLength;
+    }
+
+    /** A response and an abort may meet: whichever removes the request first wins. */
     @Override
-    public void answer(ClientResponse answer) {
-        connection.writing.incrementAndGet();
-        boolean owed = connection.open.remove(id, this);
-        if (owed) {
-            connection.answered(bytes);
-            connection.write(RecordEncoder.answer(id, answer));
+    public void answer(ClientResponse response) {
+        openRequests.beginResponse();
+        boolean wasOpen = openRequests.remove(id, this);
+        if (wasOpen) {
+            connection.respond(id, response, bodyLength);
         }
-        connection.writing.decrementAndGet();
-        if (owed && !keep) {
-            connection.finish();
+        openRequests.endResponse();
+        if (wasOpen && !keepConnection) {
+            connection.closeAfterResponses();
         }
     }
 
     @Override
     public boolean isOpen() {
-        return connection.open.get(id) == this;
+        return openRequests.contains(id, this);
     }
 }
--- /dev/null
+++ b/src/main/java/petrelplank/fastcgi/ListenerMemory.java
@@ -0,0 +1,38 @@
+package petrelplank.fastcgi;
+
+import java.util.concurrent.atomic.AtomicLong;
+
+/** The memory that requests and unread responses of all client connections may take. Any thread. */
+final class ListenerMemory {
+    /** Unread bytes of responses at which a connection is closed: its client does not read. */
+    private static final long MAX_UNREAD_BYTES = 32L * 262_144;
+    /** Unread bytes of responses that every connection may have. */
+    private static final long ALWAYS_ALLOWED_UNREAD_BYTES = 1 << 20;
+    /** Unread bytes of all connections, above which one with more than is always allowed is closed: memory over this. */
+    private static final int UNREAD_DIVISOR = 6;
+    /** Bytes of requests being received or open, over all connections, above which new ones are rejected. */
+    private static final int REQUEST_DIVISOR = 8;
+
+    private final long processBytes;
+    private final AtomicLong requestBytes = new AtomicLong();
+
+    /** Limits for a process that may hold so many bytes. */
+    ListenerMemory(long processBytes) {
+        this.processBytes = processBytes;
+    }
+
+    /** Bytes of requests that are being received or open. */
+    AtomicLong requestBytes() {
+        return requestBytes;
+    }
+
+    long maxRequestBytes() {
+        return processBytes / REQUEST_DIVISOR;
+    }
+
+    /** Whether a connection with so many unread bytes has to be closed, given those of all connections. */
+    boolean isOverUnreadLimit(long unreadBytes, long totalUnreadBytes) {
+        return unreadBytes > MAX_UNREAD_BYTES
+                || unreadBytes > ALWAYS_ALLOWED_UNREAD_BYTES && totalUnreadBytes > processBytes / UNREAD_DIVISOR;
+    }
+}
--- a/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
@@ -6,15 +6,21 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 
 /**
- * Asks a front for its health as clients do, some hundred times, before it is ready: what reads requests and writes
- * answers is then compiled when the first clients come, all at once, under part of a core.
+ * Sends some hundred health requests to the proxy as clients do, before it is ready: what reads requests and writes
+ * responses is then compiled when the first clients come, all at once, under part of a core.
  */
 public final class ListenerWarmup {
-    private static final int AT_ONCE = 16;
-    private static final int PATIENCE_MS = 1_000;
+    private static final int REQUESTS_PER_ROUND = 16;
+    private static final int TIMEOUT_MS = 1_000;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final int READ_BUFFER_BYTES = 8192;
+    private static final byte[] EMPTY = new byte[0];
+    private static final byte[] BEGIN_REQUEST_BODY = {
+        0, FastCgiRecord.ROLE_RESPONDER, FastCgiRecord.FLAG_KEEP_CONNECTION, 0, 0, 0, 0, 0
+    };
+    /** Names, each followed by its value. */
     private static final String[] PARAMS = {
         "SCRIPT_NAME",
         "/_health",
@@ -38,55 +44,71 @@
         "0"
     };
 
-    private ListenerWarmup() {}
+    private final Socket socket;
+    private final RecordParser parser = new RecordParser();
+    private final byte[] buffer = new byte[READ_BUFFER_BYTES];
+    private int responses;
+
+    private ListenerWarmup(Socket socket) {
+        this.socket = socket;
+    }
 
     /**
-     * Asks and waits for the answers; whatever they are, and fewer where they take too long.
+     * Sends requests and waits for the responses, whatever they are; fewer rounds where they take too long.
      *
-     * @param front where the front listens
-     * @param rounds how many times 16 requests are asked at once
+     * @param proxy where the proxy listens
+     * @param rounds how many times 16 requests are sent at once
      * @throws IOException where the connection breaks
      */
-    public static void ask(InetSocketAddress front, int rounds) throws IOException {
+    public static void ask(InetSocketAddress proxy, int rounds) throws IOException {
+        long deadlineNs = System.nanoTime() + TIMEOUT_MS * NS_PER_MS;
+        try (Socket socket = new Socket(proxy.getAddress(), proxy.getPort())) {
+            socket.setSoTimeout(TIMEOUT_MS);
+            new ListenerWarmup(socket).run(rounds, deadlineNs);
+        }
+    }
+
+    private void run(int rounds, long deadlineNs) throws IOException {
         byte[] requests = requests();
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        try (Socket socket = new Socket(front.getAddress(), front.getPort())) {
-            socket.setSoTimeout(PATIENCE_MS);
-            InputStream in = socket.getInputStream();
-            RecordParser parser = new RecordParser();
-            byte[] buffer = new byte[8192];
-            int[] ended = new int[1];
-            for (int i = 1; i <= rounds && System.nanoTime() < until; i++) {
-                socket.getOutputStream().write(requests);
-                while (ended[0] < i * AT_ONCE) {
-                    int count = in.read(buffer);
-                    if (count < 0) {
-                        return;
-                    }
-                    parser.feed(
-                            ByteBuffer.wrap(buffer, 0, count),
-                            r -> ended[0] += r.type() == FastCgiRecord.END_REQUEST ? 1 : 0);
-                }
+        for (int round = 1; round <= rounds && System.nanoTime() < deadlineNs; round++) {
+            socket.getOutputStream().write(requests);
+            if (!readResponses(round * REQUESTS_PER_ROUND)) {
+                return;
             }
         }
     }
 
+    /** Reads until there were so many responses in all; false where the connection was closed before. */
+    private boolean readResponses(int expected) throws IOException {
+        InputStream input = socket.getInputStream();
+        while (responses < expected) {
+            int count = input.read(buffer);
+            if (count < 0) {
+                return false;
+            }
+            parser.feed(ByteBuffer.wrap(buffer, 0, count), this::count);
+        }
+        return true;
+    }
+
+    private void count(FastCgiRecord record) {
+        if (record.type() == FastCgiRecord.END_REQUEST) {
+            responses++;
+        }
+    }
+
     private static byte[] requests() {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         for (int i = 0; i < PARAMS.length; i += 2) {
-            params.write(PARAMS[i].length());
-            params.write(PARAMS[i + 1].length());
-            params.writeBytes((PARAMS[i] + PARAMS[i + 1]).getBytes(StandardCharsets.ISO_8859_1));
+            ParamsDecoder.append(params, PARAMS[i], PARAMS[i + 1]);
         }
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (int id = 1; id <= AT_ONCE; id++) {
-            all.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, new byte[] {
-                0, FastCgiRecord.RESPONDER, FastCgiRecord.KEEP_CONN, 0, 0, 0, 0, 0
-            }));
-            all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
-            all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, new byte[0]));
-            all.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, new byte[0]));
+        ByteArrayOutputStream requests = new ByteArrayOutputStream();
+        for (int id = 1; id <= REQUESTS_PER_ROUND; id++) {
+            requests.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_REQUEST_BODY));
+            requests.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
+            requests.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, EMPTY));
+            requests.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
         }
-        return all.toByteArray();
+        return requests.toByteArray();
     }
 }
--- a/src/main/java/petrelplank/fastcgi/ManagementRecords.java
+++ b/src/main/java/petrelplank/fastcgi/ManagementRecords.java
@@ -1,38 +1,42 @@
 package petrelplank.fastcgi;
 
 import java.io.ByteArrayOutputStream;
-import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Answers FastCGI's management records, which belong to the connection and to no request. Any thread. */
+/** Replies to FastCGI's management records, which belong to the connection and to no request. Any thread. */
 final class ManagementRecords {
     private ManagementRecords() {}
 
-    /** The answer to GET_VALUES, where {@code connections} is the most that clients may hold; UNKNOWN_TYPE to others. */
-    static byte[] reply(FastCgiRecord record, int connections) {
+    /**
+     * The reply to a management record: GET_VALUES_RESULT to GET_VALUES, UNKNOWN_TYPE to any other.
+     *
+     * @param record the management record
+     * @param maxConnections the most connections that clients may hold
+     */
+    static byte[] reply(FastCgiRecord record, int maxConnections) {
         if (record.type() == FastCgiRecord.GET_VALUES) {
-            return RecordEncoder.record(FastCgiRecord.GET_VALUES_RESULT, 0, values(record, connections));
+            return RecordEncoder.record(
+                    FastCgiRecord.GET_VALUES_RESULT, FastCgiRecord.MANAGEMENT_ID, values(record, maxConnections));
         }
-        return RecordEncoder.record(
-                FastCgiRecord.UNKNOWN_TYPE, 0, new byte[] {(byte) record.type(), 0, 0, 0, 0, 0, 0, 0});
+        byte[] unknownType = new byte[FastCgiRecord.FIXED_BODY_LENGTH];
+        unknownType[0] = (byte) record.type();
+        return RecordEncoder.record(FastCgiRecord.UNKNOWN_TYPE, FastCgiRecord.MANAGEMENT_ID, unknownType);
     }
 
-    private static byte[] values(FastCgiRecord record, int connections) {
+    private static byte[] values(FastCgiRecord getValues, int maxConnections) {
         Map<String, String> known = Map.of(
                 "FCGI_MAX_CONNS",
-                Integer.toString(connections),
+                Integer.toString(maxConnections),
                 "FCGI_MAX_REQS",
-                Integer.toString(connections * RequestAssembler.MOST_OPEN),
+                Integer.toString(maxConnections * RequestAssembler.MAX_OPEN_REQUESTS),
                 "FCGI_MPXS_CONNS",
                 "1");
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (String name : ParamsDecoder.decode(record.content()).keySet()) {
+        ByteArrayOutputStream pairs = new ByteArrayOutputStream();
+        for (String name : ParamsDecoder.decode(getValues.content()).keySet()) {
             if (known.containsKey(name)) {
-                out.write(name.length());
-                out.write(known.get(name).length());
-                out.writeBytes((name + known.get(name)).getBytes(StandardCharsets.ISO_8859_1));
+                ParamsDecoder.append(pairs, name, known.get(name));
             }
         }
-        return out.toByteArray();
+        return pairs.toByteArray();
     }
 }
--- a/src/main/java/petrelplank/fastcgi/ParamsDecoder.java
+++ b/src/main/java/petrelplank/fastcgi/ParamsDecoder.java
@@ -1,42 +1,75 @@
 package petrelplank.fastcgi;
 
+import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import petrelplank.fastcgi.MalformedException.Violation;
 
-/** FastCGI name-value pairs. */
+/** Decodes FastCGI name-value pairs: two lengths of one or four bytes each, the name, the value. */
 final class ParamsDecoder {
-    private ParamsDecoder() {}
+    /** Set in the first byte of a length of four bytes. */
+    private static final int LONG_LENGTH_FLAG = 0x80;
 
+    private final byte[] bytes;
+    private int position;
+
+    private ParamsDecoder(byte[] bytes) {
+        this.bytes = bytes;
+    }
+
+    /**
+     * The pairs in their order; of pairs with one name, the last value.
+     *
+     * @throws MalformedException where the bytes end inside a pair
+     */
     static Map<String, String> decode(byte[] bytes) {
+        return new ParamsDecoder(bytes).pairs();
+    }
+
+    /** Appends one pair whose name and value are shorter than 128 bytes. */
+    static void append(ByteArrayOutputStream pairs, String name, String value) {
+        pairs.write(name.length());
+        pairs.write(value.length());
+        pairs.writeBytes((name + value).getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    private Map<String, String> pairs() {
         Map<String, String> pairs = new LinkedHashMap<>();
-        int at = 0;
-        while (at < bytes.length) {
-            int[] lengths = new int[2];
-            for (int i = 0; i < 2; i++) {
-                if (at >= bytes.length) {
-                    throw new MalformedException("parameters end inside a length");
-                }
-                int first = bytes[at++] & 0xff;
-                if (first >= 0x80) {
-                    if (at + 3 > bytes.length) {
-                        throw new MalformedException("parameters end inside a length");
-                    }
-                    first = (first & 0x7f) << 24
-                            | (bytes[at] & 0xff) << 16
-                            | (bytes[at + 1] & 0xff) << 8
-                            | bytes[at + 2] & 0xff;
-                    at += 3;
-                }
-                lengths[i] = first;
+        while (position < bytes.length) {
+            int nameLength = length();
+            int valueLength = length();
+            if ((long) nameLength + valueLength > bytes.length - position) {
+                throw new MalformedException(Violation.TRUNCATED_VALUE);
             }
-            if ((long) lengths[0] + lengths[1] > bytes.length - at) {
-                throw new MalformedException("parameters end inside a value");
-            }
-            String name = new String(bytes, at, lengths[0], StandardCharsets.ISO_8859_1);
-            pairs.put(name, new String(bytes, at + lengths[0], lengths[1], StandardCharsets.ISO_8859_1));
-            at += lengths[0] + lengths[1];
+            String name = text(nameLength);
+            pairs.put(name, text(valueLength));
         }
         return pairs;
     }
+
+    private int length() {
+        if (position >= bytes.length) {
+            throw new MalformedException(Violation.TRUNCATED_LENGTH);
+        }
+        int first = unsignedByte();
+        if (first < LONG_LENGTH_FLAG) {
+            return first;
+        }
+        if (position + 3 > bytes.length) {
+            throw new MalformedException(Violation.TRUNCATED_LENGTH);
+        }
+        int highest = first & ~LONG_LENGTH_FLAG;
+        return highest << 24 | unsignedByte() << 16 | unsignedByte() << 8 | unsignedByte();
+    }
+
+    private int unsignedByte() {
+        return bytes[position++] & 0xff;
+    }
+
+    private String text(int length) {
+        String text = new String(bytes, position, length, StandardCharsets.ISO_8859_1);
+        position += length;
+        return text;
+    }
 }
--- a/src/main/java/petrelplank/fastcgi/RecordEncoder.java
+++ b/src/main/java/petrelplank/fastcgi/RecordEncoder.java
@@ -2,83 +2,101 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
 import petrelplank.proxy.ClientResponse;
 
-/** Writes answers as FastCGI records. */
+/** Encodes responses and single records as bytes of FastCGI. */
 final class RecordEncoder {
-    private static final int LONGEST = 65_528;
+    /** The longest content of a record that is a multiple of eight bytes, so that records stay aligned. */
+    private static final int MAX_CONTENT_LENGTH = 65_528;
+    /** Room for the headers of a response's records and for its END_REQUEST; the buffer grows where it needs more. */
+    private static final int RECORD_OVERHEAD = 64;
+
+    private static final int RESPONSE_HEAD_LENGTH = 128;
+    /** In END_REQUEST, behind the four bytes of the application's status. */
+    private static final int PROTOCOL_STATUS_AT = 4;
 
     private RecordEncoder() {}
 
-    static byte[] answer(int id, ClientResponse answer) {
-        StringBuilder head = new StringBuilder(128)
+    /** A complete response: the CGI head and the body as STDOUT, the end of STDOUT, and END_REQUEST. */
+    static byte[] response(int id, ClientResponse response) {
+        byte[] head = responseHead(response).getBytes(StandardCharsets.ISO_8859_1);
+        byte[] body = response.body();
+        RecordBuffer buffer = new RecordBuffer(head.length + body.length + RECORD_OVERHEAD);
+        int firstLength = Math.min(body.length, MAX_CONTENT_LENGTH - head.length);
+        buffer.header(FastCgiRecord.STDOUT, id, head.length + firstLength);
+        buffer.write(head, 0, head.length);
+        buffer.write(body, 0, firstLength);
+        for (int at = firstLength; at < body.length; at += MAX_CONTENT_LENGTH) {
+            int length = Math.min(MAX_CONTENT_LENGTH, body.length - at);
+            buffer.header(FastCgiRecord.STDOUT, id, length);
+            buffer.write(body, at, length);
+        }
+        buffer.header(FastCgiRecord.STDOUT, id, 0);
+        buffer.endRequest(id, ProtocolStatus.REQUEST_COMPLETE);
+        return buffer.toByteArray();
+    }
+
+    private static String responseHead(ClientResponse response) {
+        StringBuilder head = new StringBuilder(RESPONSE_HEAD_LENGTH)
                 .append(
-                        switch (answer.kind()) {
+                        switch (response.kind()) {
                             case SERVED, NOT_MODIFIED -> "Status: 200 OK\r\n";
                             case REJECTED -> "Status: 503 Service Unavailable\r\n";
                             case FAILED -> "Status: 504 Gateway Timeout\r\n";
                             case BAD_REQUEST -> "Status: 400 Bad Request\r\n";
                         });
-        if (answer.kind() == ClientResponse.Kind.NOT_MODIFIED) {
+        if (response.kind() == ClientResponse.Kind.NOT_MODIFIED) {
             head.append("X-Still: 1\r\n");
         }
-        if (answer.retryAfterMs() > 0) {
-            head.append("Retry-After-Ms: ").append(answer.retryAfterMs()).append("\r\n");
+        if (response.retryAfterMs() > 0) {
+            head.append("Retry-After-Ms: ").append(response.retryAfterMs()).append("\r\n");
         }
-        head.append("Content-Type: application/octet-stream\r\nContent-Length: ")
-                .append(answer.body().length)
-                .append("\r\n\r\n");
-        byte[] start = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        byte[] body = answer.body();
-        Out out = new Out(start.length + body.length + 64);
-        int first = Math.min(body.length, LONGEST - start.length);
-        out.header(FastCgiRecord.STDOUT, id, start.length + first);
-        out.write(start, 0, start.length);
-        out.write(body, 0, first);
-        for (int at = first; at < body.length; at += LONGEST) {
-            int count = Math.min(LONGEST, body.length - at);
-            out.header(FastCgiRecord.STDOUT, id, count);
-            out.write(body, at, count);
-        }
-        out.header(FastCgiRecord.STDOUT, id, 0);
-        out.end(id, FastCgiRecord.REQUEST_COMPLETE);
-        return out.toByteArray();
+        return head.append("Content-Type: application/octet-stream\r\nContent-Length: ")
+                .append(response.body().length)
+                .append("\r\n\r\n")
+                .toString();
     }
 
-    static byte[] end(int id, int status) {
-        Out out = new Out(16);
-        out.end(id, status);
-        return out.toByteArray();
+    /** An END_REQUEST alone, for a request that was rejected before it was read. */
+    static byte[] endRequest(int id, ProtocolStatus status) {
+        RecordBuffer buffer = new RecordBuffer(FastCgiRecord.HEADER_LENGTH + FastCgiRecord.FIXED_BODY_LENGTH);
+        buffer.endRequest(id, status);
+        return buffer.toByteArray();
     }
 
+    /** One record of any type. */
     static byte[] record(int type, int id, byte[] content) {
-        Out out = new Out(8 + content.length);
-        out.header(type, id, content.length);
-        out.write(content, 0, content.length);
-        return out.toByteArray();
+        RecordBuffer buffer = new RecordBuffer(FastCgiRecord.HEADER_LENGTH + content.length);
+        buffer.header(type, id, content.length);
+        buffer.write(content, 0, content.length);
+        return buffer.toByteArray();
     }
 
-    private static final class Out extends ByteArrayOutputStream {
-        Out(int size) {
+    private static final class RecordBuffer extends ByteArrayOutputStream {
+        RecordBuffer(int size) {
             super(size);
         }
 
-        void header(int type, int id, int length) {
-            write(1);
+        void header(int type, int id, int contentLength) {
+            write(FastCgiRecord.VERSION);
             write(type);
-            write(id >> 8);
-            write(id);
-            write(length >> 8);
-            write(length);
-            write(0);
-            write(0);
+            writeShort(id);
+            writeShort(contentLength);
+            write(0); // length of the padding
+            write(0); // reserved
         }
 
-        void end(int id, int status) {
-            header(FastCgiRecord.END_REQUEST, id, 8);
-            for (int i = 0; i < 8; i++) {
-                write(i == 4 ? status : 0);
+        void endRequest(int id, ProtocolStatus status) {
+            header(FastCgiRecord.END_REQUEST, id, FastCgiRecord.FIXED_BODY_LENGTH);
+            for (int i = 0; i < FastCgiRecord.FIXED_BODY_LENGTH; i++) {
+                write(i == PROTOCOL_STATUS_AT ? status.code() : 0);
             }
         }
+
+        private void writeShort(int value) {
+            write(value >> 8);
+            write(value);
+        }
     }
 }
--- a/src/main/java/petrelplank/fastcgi/RecordParser.java
+++ b/src/main/java/petrelplank/fastcgi/RecordParser.java
@@ -2,56 +2,83 @@
 
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
+import petrelplank.fastcgi.MalformedException.Violation;
 
-/** Reads FastCGI records, cut anywhere. The format itself limits each record to 64 KB. */
+/** Reads FastCGI records, however they were fragmented. The format itself limits each record to 64 KB. */
 final class RecordParser {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
+    /** Places of the fields in a header; ids and lengths are of two bytes. */
+    private static final int VERSION_AT = 0;
 
-    private final byte[] header = new byte[8];
-    private int headerLength;
+    private static final int TYPE_AT = 1;
+    private static final int ID_AT = 2;
+    private static final int CONTENT_LENGTH_AT = 4;
+    private static final int PADDING_LENGTH_AT = 6;
+
+    private final byte[] header = new byte[FastCgiRecord.HEADER_LENGTH];
+    private int headerRead;
+    /** Null until the header is complete. */
     private byte[] content;
-    private int contentLength;
-    private int padding;
-
-    /** Takes what has come and hands on every record that is whole; MalformedException ends the connection. */
-    void feed(ByteBuffer in, Consumer<FastCgiRecord> records) {
-        while (in.hasRemaining()) {
-            if (content == null) {
-                int count = Math.min(in.remaining(), header.length - headerLength);
-                in.get(header, headerLength, count);
-                headerLength += count;
-                if (headerLength < header.length) {
-                    return;
-                }
-                if (header[0] != 1) {
-                    throw new MalformedException("version " + header[0]);
-                }
-                int length = word(4);
-                content = length == 0 ? NOTHING : new byte[length];
-                contentLength = 0;
-                padding = header[6] & 0xff;
+
+    private int contentRead;
+    private int paddingLeft;
+
+    /**
+     * Consumes the bytes and hands on each complete record.
+     *
+     * @param input the bytes; all are consumed
+     * @param records gets each record that ended
+     * @throws MalformedException where a header is not FastCGI; the connection can't be read further
+     */
+    void feed(ByteBuffer input, Consumer<FastCgiRecord> records) {
+        while (input.hasRemaining()) {
+            if (content == null && !readHeader(input)) {
+                return;
             }
-            int count = Math.min(in.remaining(), content.length - contentLength);
-            in.get(content, contentLength, count);
-            contentLength += count;
-            int skip = Math.min(in.remaining(), padding);
-            in.position(in.position() + skip);
-            padding -= skip;
-            if (contentLength == content.length && padding == 0) {
-                byte[] whole = content;
+            if (readContent(input)) {
+                byte[] complete = content;
                 content = null;
-                headerLength = 0;
-                records.accept(new FastCgiRecord(header[1] & 0xff, word(2), whole));
+                headerRead = 0;
+                records.accept(new FastCgiRecord(header[TYPE_AT] & 0xff, unsignedShort(ID_AT), complete));
             }
         }
     }
 
     /** Whether a record has begun and not ended. */
-    boolean inside() {
-        return headerLength > 0;
+    boolean isInsideRecord() {
+        return headerRead > 0;
+    }
+
+    /** Reads on in the header; true once it is complete. */
+    private boolean readHeader(ByteBuffer input) {
+        int count = Math.min(input.remaining(), header.length - headerRead);
+        input.get(header, headerRead, count);
+        headerRead += count;
+        if (headerRead < header.length) {
+            return false;
+        }
+        if (header[VERSION_AT] != FastCgiRecord.VERSION) {
+            throw new MalformedException(Violation.UNSUPPORTED_VERSION, header[VERSION_AT]);
+        }
+        int length = unsignedShort(CONTENT_LENGTH_AT);
+        content = length == 0 ? EMPTY : new byte[length];
+        contentRead = 0;
+        paddingLeft = header[PADDING_LENGTH_AT] & 0xff;
+        return true;
+    }
+
+    /** Reads on in the content and skips padding; true once both are complete. */
+    private boolean readContent(ByteBuffer input) {
+        int count = Math.min(input.remaining(), content.length - contentRead);
+        input.get(content, contentRead, count);
+        contentRead += count;
+        int skipped = Math.min(input.remaining(), paddingLeft);
+        input.position(input.position() + skipped);
+        paddingLeft -= skipped;
+        return contentRead == content.length && paddingLeft == 0;
     }
 
-    private int word(int at) {
+    private int unsignedShort(int at) {
         return (header[at] & 0xff) << 8 | header[at + 1] & 0xff;
     }
 }
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -4,140 +4,185 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
+import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
+import petrelplank.fastcgi.MalformedException.Violation;
 
-/** Puts the records of one connection together to requests; I/O thread only. */
+/** Assembles the records of one connection to requests; I/O thread only. */
 final class RequestAssembler {
-    static final int LONGEST_PARAMS = 16_384;
-    static final int LONGEST_BODY = 262_144;
-    /** Requests on one connection, coming in or owed an answer. */
-    static final int MOST_OPEN = 32;
+    static final int MAX_PARAMS_BYTES = 16_384;
+    static final int MAX_BODY_BYTES = 262_144;
+    /** Requests on one connection, being received or not yet answered. */
+    static final int MAX_OPEN_REQUESTS = 32;
 
-    /** Hears of what is whole. */
+    /** Gets what is complete. */
     interface Listener {
-        /** A request came in whole. */
-        void request(int id, boolean keep, Map<String, String> params, byte[] body);
+        /** A request was received completely. */
+        void request(int id, boolean keepConnection, Map<String, String> params, byte[] body);
 
-        /** A client stopped waiting for an id. */
+        /** A client stopped waiting for a request. */
         void abort(int id);
 
         /** The connection's own records: GET_VALUES and unknown types. */
         void management(FastCgiRecord record);
 
-        /** A request that is ended with a protocol status, before it was taken. */
-        void declined(int id, int status, boolean keep);
+        /** A request is ended with a protocol status, before it was read. */
+        void rejected(int id, ProtocolStatus status, boolean keepConnection);
 
-        /** Whether an answer is still owed for an id. */
-        boolean open(int id);
+        /** Whether a request with this id has not been answered yet. */
+        boolean isOpen(int id);
 
-        /** How many answers are owed. */
-        int owed();
+        /** Requests not answered yet. */
+        int openRequests();
     }
 
-    private static final class Coming {
-        boolean keep;
-        boolean paramsDone;
-        final ByteArrayOutputStream params = new ByteArrayOutputStream(512);
-        final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
+    /** A request that is being received. */
+    private static final class PartialRequest {
+        private static final int INITIAL_PARAMS_BYTES = 512;
+
+        private final boolean keepConnection;
+        private boolean paramsComplete;
+        private final ByteArrayOutputStream params = new ByteArrayOutputStream(INITIAL_PARAMS_BYTES);
+        private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
+
+        PartialRequest(boolean keepConnection) {
+            this.keepConnection = keepConnection;
+        }
+
+        int size() {
+            return params.size() + body.size();
+        }
     }
 
     private final Listener listener;
-    private final AtomicLong together;
-    private final long mostTogether;
-    private long mine;
-    private final Map<Integer, Coming> coming = new HashMap<>();
-
-    /** Counts its bytes into {@code together}, and turns requests away once that is over the limit. */
-    RequestAssembler(Listener listener, AtomicLong together, long mostTogether) {
+    /** Bytes of requests of all connections. */
+    private final AtomicLong totalBytes;
+
+    private final long maxTotalBytes;
+    private long partialBytes;
+    private final Map<Integer, PartialRequest> partialRequests = new HashMap<>();
+
+    /**
+     * An assembler for one connection.
+     *
+     * @param listener gets what is complete
+     * @param totalBytes bytes of requests of all connections; partial requests are counted in
+     * @param maxTotalBytes new requests are rejected while {@code totalBytes} is above it
+     */
+    RequestAssembler(Listener listener, AtomicLong totalBytes, long maxTotalBytes) {
         this.listener = listener;
-        this.together = together;
-        this.mostTogether = mostTogether;
+        this.totalBytes = totalBytes;
+        this.maxTotalBytes = maxTotalBytes;
     }
 
-    /** The connection is gone, and what came in by it. */
+    /** The connection was closed: partial requests are dropped. */
     void close() {
-        coming.clear();
-        count(-mine);
+        partialRequests.clear();
+        count(-partialBytes);
     }
 
     /** Whether a request has begun and not ended. */
-    boolean inside() {
-        return !coming.isEmpty();
+    boolean isInsideRequest() {
+        return !partialRequests.isEmpty();
     }
 
-    private void count(long bytes) {
-        mine += bytes;
-        together.addAndGet(bytes);
+    /**
+     * Takes the connection's next record.
+     *
+     * @throws MalformedException where it violates the protocol; the connection can't be used further
+     */
+    void accept(FastCgiRecord record) {
+        if (record.isManagement()) {
+            listener.management(record);
+            return;
+        }
+        switch (record.type()) {
+            case FastCgiRecord.BEGIN_REQUEST -> begin(record);
+            case FastCgiRecord.ABORT_REQUEST -> {
+                remove(record.id());
+                listener.abort(record.id());
+            }
+            case FastCgiRecord.PARAMS -> params(record);
+            case FastCgiRecord.STDIN -> stdin(record);
+            default -> {
+                // Other streams have no meaning for a responder.
+            }
+        }
     }
 
-    private Coming drop(int id) {
-        Coming c = coming.remove(id);
-        if (c != null) {
-            count(-c.params.size() - c.body.size());
+    private void begin(FastCgiRecord record) {
+        byte[] body = record.content();
+        if (body.length != FastCgiRecord.FIXED_BODY_LENGTH) {
+            throw new MalformedException(Violation.INVALID_BEGIN_REQUEST, body.length);
+        }
+        int id = record.id();
+        if (partialRequests.containsKey(id) || listener.isOpen(id)) {
+            throw new MalformedException(Violation.DUPLICATE_REQUEST_ID);
+        }
+        int role = (body[0] & 0xff) << 8 | body[1] & 0xff;
+        boolean keepConnection = (body[2] & FastCgiRecord.FLAG_KEEP_CONNECTION) != 0;
+        if (role != FastCgiRecord.ROLE_RESPONDER) {
+            listener.rejected(id, ProtocolStatus.UNKNOWN_ROLE, keepConnection);
+        } else if (isOverloaded()) {
+            listener.rejected(id, ProtocolStatus.OVERLOADED, keepConnection);
+        } else {
+            partialRequests.put(id, new PartialRequest(keepConnection));
         }
-        return c;
     }
 
-    void take(FastCgiRecord r) {
-        if (r.id() == 0) {
-            listener.management(r);
+    private boolean isOverloaded() {
+        return partialRequests.size() + listener.openRequests() >= MAX_OPEN_REQUESTS
+                || totalBytes.get() > maxTotalBytes;
+    }
+
+    private void params(FastCgiRecord record) {
+        PartialRequest request = partialRequests.get(record.id());
+        if (request == null) {
             return;
         }
-        if (r.type() == FastCgiRecord.BEGIN_REQUEST) {
-            begin(r);
-            return;
+        if (request.paramsComplete) {
+            throw new MalformedException(Violation.PARAMS_AFTER_END);
         }
-        if (r.type() == FastCgiRecord.ABORT_REQUEST) {
-            drop(r.id());
-            listener.abort(r.id());
+        request.paramsComplete = record.isEmpty();
+        append(request.params, record.content(), MAX_PARAMS_BYTES);
+    }
+
+    private void stdin(FastCgiRecord record) {
+        PartialRequest request = partialRequests.get(record.id());
+        if (request == null) {
             return;
         }
-        Coming c = coming.get(r.id());
-        if (c == null) {
+        append(request.body, record.content(), MAX_BODY_BYTES);
+        if (!record.isEmpty()) {
             return;
         }
-        if (r.type() == FastCgiRecord.PARAMS) {
-            if (c.paramsDone) {
-                throw new MalformedException("parameters after their end");
-            }
-            c.paramsDone = r.content().length == 0;
-            append(c.params, r.content(), LONGEST_PARAMS);
-        } else if (r.type() == FastCgiRecord.STDIN) {
-            append(c.body, r.content(), LONGEST_BODY);
-            if (r.content().length == 0) {
-                if (!c.paramsDone) {
-                    throw new MalformedException("a body before the end of the parameters");
-                }
-                drop(r.id());
-                listener.request(r.id(), c.keep, ParamsDecoder.decode(c.params.toByteArray()), c.body.toByteArray());
-            }
+        if (!request.paramsComplete) {
+            throw new MalformedException(Violation.STDIN_BEFORE_PARAMS_END);
         }
+        remove(record.id());
+        listener.request(
+                record.id(),
+                request.keepConnection,
+                ParamsDecoder.decode(request.params.toByteArray()),
+                request.body.toByteArray());
     }
 
-    private void begin(FastCgiRecord r) {
-        byte[] b = r.content();
-        if (b.length != 8) {
-            throw new MalformedException("a BEGIN_REQUEST of " + b.length + " bytes");
-        }
-        if (coming.containsKey(r.id()) || listener.open(r.id())) {
-            throw new MalformedException("a second BEGIN_REQUEST for an open id");
-        }
-        boolean keep = (b[2] & FastCgiRecord.KEEP_CONN) != 0;
-        if (((b[0] & 0xff) << 8 | b[1] & 0xff) != FastCgiRecord.RESPONDER) {
-            listener.declined(r.id(), FastCgiRecord.UNKNOWN_ROLE, keep);
-        } else if (coming.size() + listener.owed() >= MOST_OPEN || together.get() > mostTogether) {
-            listener.declined(r.id(), FastCgiRecord.OVERLOADED, keep);
-        } else {
-            Coming c = new Coming();
-            c.keep = keep;
-            coming.put(r.id(), c);
+    private void append(ByteArrayOutputStream stream, byte[] bytes, int maxBytes) {
+        if (stream.size() + bytes.length > maxBytes) {
+            throw new MalformedException(Violation.STREAM_TOO_LONG, maxBytes);
         }
+        stream.write(bytes, 0, bytes.length);
+        count(bytes.length);
     }
 
-    private void append(ByteArrayOutputStream to, byte[] bytes, int most) {
-        if (to.size() + bytes.length > most) {
-            throw new MalformedException("a stream over " + most + " bytes");
+    private void remove(int id) {
+        PartialRequest request = partialRequests.remove(id);
+        if (request != null) {
+            count(-request.size());
         }
-        to.write(bytes, 0, bytes.length);
-        count(bytes.length);
+    }
+
+    private void count(long bytes) {
+        partialBytes += bytes;
+        totalBytes.addAndGet(bytes);
     }
 }
--- a/src/main/java/petrelplank/fastcgi/RequestDecoder.java
+++ b/src/main/java/petrelplank/fastcgi/RequestDecoder.java
@@ -1,19 +1,45 @@
 package petrelplank.fastcgi;
 
 import java.util.Map;
+import java.util.regex.Pattern;
 import petrelplank.proxy.ClientRequest;
 
-/** Makes requests of a web server's parameters. Any thread. */
+/** Decodes requests from a web server's parameters. Any thread. */
 final class RequestDecoder {
-    private static final int MOST_DIGITS = 9;
-    /** A size that no part has, in KB as clients tell it; digits, at most one point among them. */
-    private static final double MOST_KB = 1e9;
+    /** The parameter that says what is requested. */
+    static final String SCRIPT_NAME = "SCRIPT_NAME";
+    /** The parameter of the request's id. */
+    static final String REQUEST_ID = "HTTP_X_REQUEST_ID";
 
-    private static final String SIZE = "[0-9]{1,10}(\\.[0-9]{0,10})?";
-    private static final String INVOKE = "/invoke/";
+    private static final String CONTENT_LENGTH = "CONTENT_LENGTH";
+    private static final String TIMEOUT_MS = "HTTP_X_TIMEOUT_MS";
+    private static final String OBJECT = "HTTP_X_OBJECT";
+    private static final String PART = "HTTP_X_N";
+    private static final String GROUP = "HTTP_X_SHARD";
+    private static final String SIZE_KB = "HTTP_X_MEMORY_KB";
+    private static final String CLIENT_TAG = "HTTP_X_MINE";
+    private static final String IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY";
+    private static final String TENANT = "HTTP_X_TENANT";
+
+    /** What comes before the name of the service class. */
+    private static final String SCRIPT_PREFIX = "/invoke/";
+    /** Numbers of so many digits fit into 32 bits, so that no arithmetic with them overflows. */
+    private static final int MAX_DIGITS = 9;
+    /** A size that no part has, in KB as clients send it. */
+    private static final double MAX_SIZE_KB = 1e9;
+    /** Digits, at most one point among them. */
+    private static final Pattern SIZE = Pattern.compile("[0-9]{1,10}(\\.[0-9]{0,10})?");
+
+    private static final String WEAK_TAG_PREFIX = "W/";
+    private static final long US_PER_MS = 1000;
 
     private final double sizeScale;
 
+    /**
+     * A decoder.
+     *
+     * @param sizeScale bytes on the sockets over those in which clients send sizes, above 0
+     */
     RequestDecoder(double sizeScale) {
         if (!(sizeScale > 0)) {
             throw new IllegalArgumentException("size scale: should be above 0, found " + sizeScale);
@@ -21,56 +47,68 @@
         this.sizeScale = sizeScale;
     }
 
-    /** The request that the parameters make; null where they make none. */
+    /**
+     * The request that the parameters make.
+     *
+     * @throws InvalidRequestException where they make none
+     */
     ClientRequest decode(Map<String, String> params, byte[] body) {
-        String script = params.getOrDefault("SCRIPT_NAME", "");
-        try {
-            String length = params.getOrDefault("CONTENT_LENGTH", "");
-            if (!script.startsWith(INVOKE) || !length.isEmpty() && number(length) != body.length) {
-                return null;
-            }
-            return new ClientRequest(
-                    params.getOrDefault("HTTP_X_REQUEST_ID", ""),
-                    number(params.getOrDefault("HTTP_X_TIMEOUT_MS", "")) * 1000L,
-                    script.substring(INVOKE.length()),
-                    params.getOrDefault("HTTP_X_OBJECT", ""),
-                    number(params.getOrDefault("HTTP_X_N", "")),
-                    number(params.getOrDefault("HTTP_X_SHARD", "")),
-                    size(params.getOrDefault("HTTP_X_MEMORY_KB", "")),
-                    bare(params.get("HTTP_X_MINE")),
-                    params.get("HTTP_IDEMPOTENCY_KEY"),
-                    params.get("HTTP_X_TENANT"),
-                    body);
-        } catch (NumberFormatException e) {
-            return null;
+        String script = params.getOrDefault(SCRIPT_NAME, "");
+        if (!script.startsWith(SCRIPT_PREFIX)) {
+            throw new InvalidRequestException(SCRIPT_NAME, script, "below " + SCRIPT_PREFIX);
+        }
+        checkLength(params, body.length);
+        return new ClientRequest(
+                params.getOrDefault(REQUEST_ID, ""),
+                number(params, TIMEOUT_MS) * US_PER_MS,
+                script.substring(SCRIPT_PREFIX.length()),
+                params.getOrDefault(OBJECT, ""),
+                number(params, PART),
+                number(params, GROUP),
+                sizeKb(params),
+                withoutQuotes(params.get(CLIENT_TAG)),
+                params.get(IDEMPOTENCY_KEY),
+                params.get(TENANT),
+                body);
+    }
+
+    private static void checkLength(Map<String, String> params, int bodyLength) {
+        String text = params.getOrDefault(CONTENT_LENGTH, "");
+        if (!text.isEmpty() && number(params, CONTENT_LENGTH) != bodyLength) {
+            throw new InvalidRequestException(CONTENT_LENGTH, text, "the body's length, " + bodyLength);
         }
     }
 
-    /** A figure that no arithmetic here overflows: digits alone, and no more than a number of 32 bits has for sure. */
-    private static int number(String text) {
-        if (text.isEmpty() || text.length() > MOST_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new NumberFormatException(text);
+    private static int number(Map<String, String> params, String name) {
+        String text = params.getOrDefault(name, "");
+        if (text.isEmpty() || text.length() > MAX_DIGITS || !text.chars().allMatch(RequestDecoder::isDigit)) {
+            throw new InvalidRequestException(name, text, "a number of 1 to " + MAX_DIGITS + " digits");
         }
         return Integer.parseInt(text);
     }
 
-    /** KB on the sockets; 0 where none is told. */
-    private double size(String text) {
+    private static boolean isDigit(int character) {
+        return character >= '0' && character <= '9';
+    }
+
+    /** KB on the sockets; 0 where the client sent no size. */
+    private double sizeKb(Map<String, String> params) {
+        String text = params.getOrDefault(SIZE_KB, "");
         if (text.isEmpty()) {
             return 0;
         }
-        if (!text.matches(SIZE) || Double.parseDouble(text) > MOST_KB) {
-            throw new NumberFormatException(text);
+        if (!SIZE.matcher(text).matches() || Double.parseDouble(text) > MAX_SIZE_KB) {
+            throw new InvalidRequestException(SIZE_KB, text, "a size in KB of at most " + MAX_SIZE_KB);
         }
         return Double.parseDouble(text) * sizeScale;
     }
 
-    /** A tag without the marks that HTTP puts round it; null where there is none. */
-    private static String bare(String tag) {
+    /** An entity tag without the marks that HTTP puts round it; null where there is none. */
+    private static String withoutQuotes(String tag) {
         if (tag == null || tag.isEmpty()) {
             return null;
         }
-        String strong = tag.startsWith("W/") ? tag.substring(2) : tag;
+        String strong = tag.startsWith(WEAK_TAG_PREFIX) ? tag.substring(WEAK_TAG_PREFIX.length()) : tag;
         return strong.length() > 2 && strong.startsWith("\"") && strong.endsWith("\"")
                 ? strong.substring(1, strong.length() - 1)
                 : strong;
--- a/src/test/java/petrelplank/fastcgi/FcgiClient.java
+++ b/src/test/java/petrelplank/fastcgi/FcgiClient.java
@@ -9,72 +9,75 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.HashMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Queue;
 
 /** A web server's side of FastCGI, blocking, for loopback tests. */
 public final class FcgiClient implements AutoCloseable {
-    private static final int PATIENCE_MS = 20_000;
-    /** Of a BEGIN_REQUEST record: behind its header of 8 bytes and the role. */
-    private static final int FLAGS_AT = 10;
+    private static final int TIMEOUT_MS = 20_000;
+    private static final int READ_BUFFER_BYTES = 65_536;
+    /** In a BEGIN_REQUEST record: behind its header and the role. */
+    private static final int FLAGS_AT = FastCgiRecord.HEADER_LENGTH + 2;
+    /** In the content of END_REQUEST: behind the application's status. */
+    private static final int PROTOCOL_STATUS_AT = 4;
+
+    private static final byte[] BEGIN_RESPONDER = {0, 1, 1, 0, 0, 0, 0, 0};
+    private static final byte[] EMPTY = new byte[0];
 
     private final Socket socket;
     private final RecordParser parser = new RecordParser();
     private final Queue<FastCgiRecord> records = new ArrayDeque<>();
-    private final Map<Integer, ByteArrayOutputStream> out = new HashMap<>();
+    /** The responses that are coming in, by the ids of their requests. */
+    private final Map<Integer, ByteArrayOutputStream> stdout = new HashMap<>();
 
     /** Connects. */
     public FcgiClient(InetSocketAddress address) throws IOException {
         socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
     }
 
-    /** Asks for an object under an id of the connection; {@code headers} are pairs of name and value. */
+    /** Sends a request under an id of the connection; {@code headers} are pairs of name and value. */
     public void ask(int id, String script, byte[] body, String... headers) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(start(id, script, body, headers));
-        all.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, new byte[0]));
-        raw(all.toByteArray());
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        bytes.writeBytes(start(id, script, body, headers));
+        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
+        raw(bytes.toByteArray());
     }
 
-    /** Asks without KEEP_CONN: the front is to close the connection behind the answer. */
+    /** Sends a request without KEEP_CONN: the proxy is to close the connection after the response. */
     public void askLast(int id, String script) throws IOException {
-        byte[] begun = start(id, script, new byte[0]);
-        begun[FLAGS_AT] = 0;
-        raw(begun);
+        byte[] bytes = start(id, script, EMPTY);
+        bytes[FLAGS_AT] = 0;
+        raw(bytes);
         end(id);
     }
 
-    /** Sends all of a request but its end; see {@link #end}. */
+    /** Sends a request without its end; see {@link #end}. */
     public void begin(int id, String script, byte[] body, String... headers) throws IOException {
         raw(start(id, script, body, headers));
     }
 
-    /** Sends the end of a request begun. */
+    /** Sends the end of a request that was begun. */
     public void end(int id) throws IOException {
-        raw(RecordEncoder.record(FastCgiRecord.STDIN, id, new byte[0]));
+        raw(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
     }
 
     private static byte[] start(int id, String script, byte[] body, String... headers) {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
-        pair(params, "SCRIPT_NAME", script);
+        ParamsDecoder.append(params, "SCRIPT_NAME", script);
         for (int i = 0; i < headers.length; i += 2) {
-            pair(params, "HTTP_" + headers[i].toUpperCase(java.util.Locale.ROOT).replace('-', '_'), headers[i + 1]);
+            String name = "HTTP_" + headers[i].toUpperCase(Locale.ROOT).replace('-', '_');
+            ParamsDecoder.append(params, name, headers[i + 1]);
         }
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, new byte[] {0, 1, 1, 0, 0, 0, 0, 0}));
-        all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
-        all.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, new byte[0]));
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_RESPONDER));
+        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
+        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, EMPTY));
         if (body.length > 0) {
-            all.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, body));
+            bytes.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, body));
         }
-        return all.toByteArray();
-    }
-
-    private static void pair(ByteArrayOutputStream to, String name, String value) {
-        to.write(name.length());
-        to.write(value.length());
-        to.writeBytes((name + value).getBytes(StandardCharsets.ISO_8859_1));
+        return bytes.toByteArray();
     }
 
     /** Sends bytes as they are. */
@@ -82,25 +85,22 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** Gives a request up. */
+    /** Aborts a request. */
     public void abort(int id) throws IOException {
-        raw(RecordEncoder.record(FastCgiRecord.ABORT_REQUEST, id, new byte[0]));
+        raw(RecordEncoder.record(FastCgiRecord.ABORT_REQUEST, id, EMPTY));
     }
 
-    /** The next answer on the connection, as its id, a blank and the CGI response. */
+    /** The next response on the connection, as its id, a blank and the CGI response. */
     public String answer() throws IOException {
-        byte[] buffer = new byte[65_536];
+        byte[] buffer = new byte[READ_BUFFER_BYTES];
         while (true) {
             while (!records.isEmpty()) {
-                FastCgiRecord r = records.poll();
-                if (r.type() == FastCgiRecord.END_REQUEST) {
-                    if (r.content()[4] != 0) {
-                        return r.id() + " declined " + r.content()[4];
-                    }
-                    byte[] text = out.remove(r.id()).toByteArray();
-                    return r.id() + " " + new String(text, StandardCharsets.ISO_8859_1);
+                FastCgiRecord record = records.poll();
+                if (record.type() == FastCgiRecord.END_REQUEST) {
+                    return ended(record);
                 }
-                out.computeIfAbsent(r.id(), i -> new ByteArrayOutputStream()).writeBytes(r.content());
+                stdout.computeIfAbsent(record.id(), id -> new ByteArrayOutputStream())
+                        .writeBytes(record.content());
             }
             int count = socket.getInputStream().read(buffer);
             if (count < 0) {
@@ -110,7 +110,17 @@
         }
     }
 
-    /** Whether the front has closed the connection, as far as one can see; nothing is owed on it. */
+    private String ended(FastCgiRecord endRequest) {
+        int id = endRequest.id();
+        int protocolStatus = endRequest.content()[PROTOCOL_STATUS_AT];
+        if (protocolStatus != 0) {
+            return id + " declined " + protocolStatus;
+        }
+        byte[] response = stdout.remove(id).toByteArray();
+        return id + " " + new String(response, StandardCharsets.ISO_8859_1);
+    }
+
+    /** Whether the proxy has closed the connection, as far as one can see; no response may be pending on it. */
     public boolean closed() throws IOException {
         socket.setSoTimeout(1);
         try {
@@ -120,7 +130,7 @@
         } catch (IOException e) {
             return true;
         } finally {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
         }
     }
 
--- /dev/null
+++ b/src/test/java/petrelplank/fastcgi/RequestAssemblerTest.java
@@ -0,0 +1,40 @@
+package petrelplank.fastcgi;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.List;
+import java.util.concurrent.atomic.AtomicLong;
+import org.junit.jupiter.api.Test;
+
+class RequestAssemblerTest {
+    private static final byte[] BEGIN_RESPONDER = {0, 1, 1, 0, 0, 0, 0, 0};
+    private static final byte[] BEGIN_AUTHORIZER = {0, 2, 0, 0, 0, 0, 0, 0};
+
+    private final RecordingListener listener = new RecordingListener();
+
+    private static FastCgiRecord begin(int id, byte[] body) {
+        return new FastCgiRecord(FastCgiRecord.BEGIN_REQUEST, id, body);
+    }
+
+    @Test
+    void otherRolesAndTooManyBytesAreRejectedByProtocolStatus() {
+        RequestAssembler assembler = new RequestAssembler(listener, new AtomicLong(5), 4);
+        assembler.accept(begin(1, BEGIN_AUTHORIZER));
+        assembler.accept(begin(2, BEGIN_RESPONDER));
+        assertEquals(List.of("rejected 1 3", "rejected 2 2"), listener.received);
+        MalformedException malformed =
+                assertThrows(MalformedException.class, () -> assembler.accept(begin(3, new byte[7])));
+        assertEquals(MalformedException.Violation.INVALID_BEGIN_REQUEST, malformed.violation());
+    }
+
+    @Test
+    void requestsOverAConnectionsLimitAreRejected() {
+        RequestAssembler assembler = new RequestAssembler(listener, new AtomicLong(), 1 << 20);
+        listener.openRequests = RequestAssembler.MAX_OPEN_REQUESTS - 1;
+        for (int id = 1; id <= 2; id++) {
+            assembler.accept(begin(id, BEGIN_RESPONDER));
+        }
+        assertEquals(List.of("rejected 2 2"), listener.received);
+    }
+}
