--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorFieldDecoder.java
@@ -11,7 +11,7 @@
 import petrelplank.settings.JsonFields;
 
 /** Decodes the typed fields of the simulator's events. */
-final class SimulatorEventDecoder {
+final class SimulatorFieldDecoder {
     private static final AttemptStatus[] STATUS = {
         null,
         AttemptStatus.OK,
@@ -27,7 +27,7 @@
 
     private static final CacheStatus[] NOTE = CacheStatus.values();
 
-    private SimulatorEventDecoder() {}
+    private SimulatorFieldDecoder() {}
 
     static AttemptStatus status(JsonFields f) {
         long code = f.whole("rc");
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -69,7 +69,7 @@
     private void event(long now, JsonFields f) throws IOException {
         String verb = f.text("verb");
         if (verb.equals("MANIFEST")) {
-            lists.put((int) f.whole("list"), SimulatorEventDecoder.members(f));
+            lists.put((int) f.whole("list"), SimulatorFieldDecoder.members(f));
             return;
         }
         int gateway = (int) f.whole("gateway");
@@ -135,17 +135,17 @@
                         f.number("length-kb", 0),
                         f.flag("is-write"),
                         f.flag("repeat"),
-                        SimulatorEventDecoder.tenant(f));
+                        SimulatorFieldDecoder.tenant(f));
                 return () -> router.requestReceived(now, request);
             }
             case "OUTCOME": {
                 AttemptOutcome outcome = new AttemptOutcome(
                         f.text("job"),
                         (int) f.whole("send-no"),
-                        SimulatorEventDecoder.status(f),
+                        SimulatorFieldDecoder.status(f),
                         f.whole("lag-us"),
                         f.flag("settled"),
-                        SimulatorEventDecoder.cacheStatus(f),
+                        SimulatorFieldDecoder.cacheStatus(f),
                         f.whole("source-wait-us", 0),
                         f.numbers("load"),
                         0);
@@ -175,7 +175,7 @@
             }
             case "CHECKED": {
                 String cache = f.text("cache");
-                AttemptStatus status = SimulatorEventDecoder.status(f);
+                AttemptStatus status = SimulatorFieldDecoder.status(f);
                 long lag = f.whole("lag-us");
                 double[] load = f.numbers("load");
                 return () -> router.healthChecked(now, cache, status, lag, load);
