--- a/src/main/java/petrelplank/simulator/SimulatorActions.java
+++ b/src/main/java/petrelplank/simulator/SimulatorActions.java
@@ -8,116 +8,132 @@
 import petrelplank.routing.AttemptPlan;
 import petrelplank.routing.Router;
 
-/** Writes one instance's actions into the reply. */
+/** Writes the actions of one gateway's router into the reply. */
 final class SimulatorActions implements Router.Actions {
+    /** Bits of an attempt's options on the wire. */
+    private static final int COALESCE = 1;
+
+    private static final int ONLY_IF_CACHED = 2;
+    private static final int STALE_WHILE_REVALIDATE = 8;
+
+    /** In place of a receiver's number: all gateways. */
+    private static final String ALL_GATEWAYS = "all";
+
     private final int gateway;
     private final Supplier<JsonGenerator> reply;
 
-    /** For one instance; {@code reply} is the one that is being written. */
+    /** Actions of a gateway; {@code reply} gives the one that is being written. */
     SimulatorActions(int gateway, Supplier<JsonGenerator> reply) {
         this.gateway = gateway;
         this.reply = reply;
     }
 
     @FunctionalInterface
-    private interface Body {
-        void write(JsonGenerator out) throws IOException;
+    private interface FieldWriter {
+        void write(JsonGenerator output) throws IOException;
     }
 
-    private void action(String verb, Body body) {
-        JsonGenerator out = reply.get();
+    private void action(String verb, FieldWriter fields) {
+        JsonGenerator output = reply.get();
         try {
-            out.writeStartObject();
-            out.writeStringField("verb", verb);
-            out.writeNumberField("gateway", gateway);
-            body.write(out);
-            out.writeEndObject();
+            output.writeStartObject();
+            output.writeStringField("verb", verb);
+            output.writeNumberField("gateway", gateway);
+            fields.write(output);
+            output.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    void line(String verb, String field, String text) {
-        action(verb, out -> out.writeStringField(field, text));
+    private void action(String verb, String field, String text) {
+        action(verb, output -> output.writeStringField(field, text));
+    }
+
+    /** The router threw an exception and gets no more events. */
+    void crashed(String description) {
+        action("CRASH", "words", description);
     }
 
     @Override
-    public void send(String request, AttemptPlan order) {
-        action("SERVE_VIA", out -> {
-            out.writeStringField("job", request);
-            out.writeStringField("cache", order.server());
-            out.writeNumberField("limit-us", order.timeoutUs());
-            out.writeStringField("fill-from", order.source());
-            out.writeNumberField("hold-rank", order.rank());
-            out.writeNumberField("copy-age-us", order.maxAgeUs());
-            out.writeNumberField(
-                    "bits",
-                    (order.coalesce() ? 1 : 0)
-                            | (order.onlyIfCached() ? 2 : 0)
-                            | (order.staleWhileRevalidate() ? 8 : 0));
+    public void send(String request, AttemptPlan plan) {
+        action("SERVE_VIA", output -> {
+            output.writeStringField("job", request);
+            output.writeStringField("cache", plan.server());
+            output.writeNumberField("limit-us", plan.timeoutUs());
+            output.writeStringField("fill-from", plan.source());
+            output.writeNumberField("hold-rank", plan.rank());
+            output.writeNumberField("copy-age-us", plan.maxAgeUs());
+            output.writeNumberField("bits", optionBits(plan));
         });
     }
 
+    private static int optionBits(AttemptPlan plan) {
+        return (plan.coalesce() ? COALESCE : 0)
+                | (plan.onlyIfCached() ? ONLY_IF_CACHED : 0)
+                | (plan.staleWhileRevalidate() ? STALE_WHILE_REVALIDATE : 0);
+    }
+
     @Override
     public void reject(String request, long retryAfterUs) {
-        action("DECLINE", out -> {
-            out.writeStringField("job", request);
+        action("DECLINE", output -> {
+            output.writeStringField("job", request);
             if (retryAfterUs > 0) {
-                out.writeNumberField("retry-after-us", retryAfterUs);
+                output.writeNumberField("retry-after-us", retryAfterUs);
             }
         });
     }
 
     @Override
     public void fail(String request) {
-        line("SURRENDER", "job", request);
+        action("SURRENDER", "job", request);
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        action("ABANDON", out -> {
-            out.writeStringField("job", request);
-            out.writeNumberField("send-no", attempt);
+        action("ABANDON", output -> {
+            output.writeStringField("job", request);
+            output.writeNumberField("send-no", attempt);
         });
     }
 
     @Override
-    public void healthCheck(String server) {
-        line("CHECK", "cache", server);
+    public void healthCheck(String endpoint) {
+        action("CHECK", "cache", endpoint);
     }
 
     @Override
-    public void gossip(int peer, byte[] data) {
-        action("SHARE", out -> {
-            if (peer < 0) {
-                out.writeStringField("neighbour-id", "all");
+    public void gossip(int receiver, byte[] message) {
+        action("SHARE", output -> {
+            if (receiver < 0) {
+                output.writeStringField("neighbour-id", ALL_GATEWAYS);
             } else {
-                out.writeNumberField("neighbour-id", peer);
+                output.writeNumberField("neighbour-id", receiver);
             }
-            out.writeStringField("bytes", HexFormat.of().formatHex(data));
+            output.writeStringField("bytes", HexFormat.of().formatHex(message));
         });
     }
 
     @Override
     public void setTimer(long token, long atUs) {
-        action("AFTER", out -> {
-            out.writeNumberField("nonce", token);
-            out.writeNumberField("due-at-us", atUs);
+        action("AFTER", output -> {
+            output.writeNumberField("nonce", token);
+            output.writeNumberField("due-at-us", atUs);
         });
     }
 
     @Override
     public void watchEndpoints() {
-        action("WATCH", out -> out.writeBooleanField("enable", true));
+        action("WATCH", output -> output.writeBooleanField("enable", true));
     }
 
     @Override
     public void fetchEndpoints() {
-        action("REFRESH", out -> {});
+        action("REFRESH", output -> {});
     }
 
     @Override
     public void log(String line) {
-        line("LOG", "words", line);
+        action("LOG", "words", line);
     }
 }
--- a/src/main/java/petrelplank/simulator/SimulatorAdapter.java
+++ b/src/main/java/petrelplank/simulator/SimulatorAdapter.java
@@ -9,13 +9,16 @@
 import java.io.PrintStream;
 import petrelplank.settings.FormatException;
 
-/** Reads batches line by line from standard input and writes one reply for each to standard output. */
+/** Reads batches of events line by line and writes one reply for each. */
 public final class SimulatorAdapter {
+    private static final int BUFFER_BYTES = 1 << 16;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_ILLEGAL_INPUT = 1;
 
     private SimulatorAdapter() {}
 
     /**
-     * Answers every line.
+     * Replies to every line until the input ends.
      *
      * @param input the batches
      * @param output gets replies and nothing else
@@ -24,41 +27,44 @@
      * @throws IOException when the output breaks
      */
     public static int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
-        InputStream in = new BufferedInputStream(input, 1 << 16);
-        OutputStream out = new BufferedOutputStream(output, 1 << 16);
-        SimulatorSession wire = new SimulatorSession();
+        InputStream bufferedInput = new BufferedInputStream(input, BUFFER_BYTES);
+        OutputStream bufferedOutput = new BufferedOutputStream(output, BUFFER_BYTES);
+        SimulatorSession session = new SimulatorSession();
         Line line = new Line();
-        ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
-        for (long number = 1; line.read(in); number++) {
+        ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_BYTES);
+        for (long number = 1; line.read(bufferedInput); number++) {
             try {
                 reply.reset();
-                wire.answer(line.bytes(), line.size(), reply);
+                session.process(line.bytes(), line.size(), reply);
             } catch (FormatException e) {
                 errors.println("line " + number + ": " + e.getMessage());
                 errors.flush();
-                return 1;
+                return EXIT_ILLEGAL_INPUT;
             }
-            reply.writeTo(out);
-            out.write('\n');
-            out.flush();
+            reply.writeTo(bufferedOutput);
+            bufferedOutput.write('\n');
+            bufferedOutput.flush();
         }
-        return 0;
+        return EXIT_OK;
     }
 
-    /** One line of input, in a buffer that is used again. */
+    /** One line of input, in a buffer that is reused. */
     private static final class Line extends ByteArrayOutputStream {
-        boolean read(InputStream in) throws IOException {
+        /** Reads the next line; false at the end of the input. */
+        boolean read(InputStream input) throws IOException {
             reset();
-            int b = in.read();
-            if (b < 0) {
+            int next = input.read();
+            if (next < 0) {
                 return false;
             }
-            for (; b >= 0 && b != '\n'; b = in.read()) {
-                write(b);
+            while (next >= 0 && next != '\n') {
+                write(next);
+                next = input.read();
             }
             return true;
         }
 
+        /** The buffer, of which the first {@link #size} bytes are the line. */
         byte[] bytes() {
             return buf;
         }
--- /dev/null
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -0,0 +1,129 @@
+package petrelplank.simulator;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import petrelplank.routing.AttemptOutcome;
+import petrelplank.routing.AttemptStatus;
+import petrelplank.routing.EndpointInfo;
+import petrelplank.routing.RoutingRequest;
+import petrelplank.settings.FormatException;
+import petrelplank.settings.JsonFields;
+
+/** Decodes the simulator's events for routers. All fields are read before anything of the router is called. */
+final class SimulatorEventDecoder {
+    private static final String DISCOVERY_FAILED = "X";
+    /** The list holds only the endpoints that changed. */
+    private static final String PARTIAL_LIST = "D";
+
+    /** Sent once under a number, which later events name. */
+    private final Map<Integer, List<EndpointInfo>> endpointLists = new HashMap<>();
+
+    /** Keeps the endpoint list of an event for the events that name it. */
+    void addEndpointList(JsonFields event) {
+        endpointLists.put((int) event.whole("list"), SimulatorFieldDecoder.endpoints(event));
+    }
+
+    /**
+     * Decodes one event.
+     *
+     * @throws FormatException where its verb is unknown, or a field is missing or of the wrong type
+     */
+    RouterEvent decode(String verb, JsonFields event) {
+        return switch (verb) {
+            case "REGISTRY" -> endpointsChanged(event);
+            case "ACCEPT" -> requestReceived(event);
+            case "OUTCOME" -> attemptEnded(event);
+            case "ESTABLISHED" -> streamStarted(event);
+            case "CLIENT_GONE" -> clientDisconnected(event);
+            case "TIMEOUT_FIRED" -> timerFired(event);
+            case "OUTDATED" -> purged(event);
+            case "CHECKED" -> healthChecked(event);
+            case "MAIL" -> gossipReceived(event);
+            default -> throw new FormatException(event.where() + ": unknown verb \"" + verb + "\"");
+        };
+    }
+
+    private RouterEvent endpointsChanged(JsonFields event) {
+        String how = event.text("how");
+        if (how.equals(DISCOVERY_FAILED)) {
+            return (router, nowUs) -> router.discoveryFailed(nowUs);
+        }
+        boolean complete = !how.equals(PARTIAL_LIST);
+        int number = (int) event.whole("list");
+        List<EndpointInfo> endpoints = endpointLists.get(number);
+        if (endpoints == null) {
+            throw new FormatException(event.where() + ": no list " + event.whole("list"));
+        }
+        return (router, nowUs) -> router.endpointsChanged(nowUs, complete, endpoints);
+    }
+
+    private static RouterEvent requestReceived(JsonFields event) {
+        RoutingRequest request = new RoutingRequest(
+                event.text("job"),
+                event.hex("resource"),
+                event.whole("part", 0),
+                (int) event.whole("label-no", 0),
+                event.text("grade"),
+                event.whole("not-after-us"),
+                event.number("length-kb", 0),
+                event.flag("is-write"),
+                event.flag("repeat"),
+                SimulatorFieldDecoder.tenant(event));
+        return (router, nowUs) -> router.requestReceived(nowUs, request);
+    }
+
+    private static RouterEvent attemptEnded(JsonFields event) {
+        AttemptOutcome outcome = new AttemptOutcome(
+                event.text("job"),
+                (int) event.whole("send-no"),
+                SimulatorFieldDecoder.attemptStatus(event),
+                event.whole("lag-us"),
+                event.flag("settled"),
+                SimulatorFieldDecoder.cacheStatus(event),
+                event.whole("source-wait-us", 0),
+                event.numbers("load"),
+                0);
+        return (router, nowUs) -> router.attemptEnded(nowUs, outcome);
+    }
+
+    private static RouterEvent streamStarted(JsonFields event) {
+        String request = event.text("job");
+        int attempt = (int) event.whole("send-no");
+        return (router, nowUs) -> router.streamStarted(nowUs, request, attempt);
+    }
+
+    private static RouterEvent clientDisconnected(JsonFields event) {
+        String request = event.text("job");
+        return (router, nowUs) -> router.clientDisconnected(nowUs, request);
+    }
+
+    private static RouterEvent timerFired(JsonFields event) {
+        long token = event.whole("nonce");
+        return (router, nowUs) -> router.timerFired(nowUs, token);
+    }
+
+    private static RouterEvent purged(JsonFields event) {
+        long ageUs = event.whole("copy-age-us");
+        if (event.has("resource")) {
+            long object = event.hex("resource");
+            return (router, nowUs) -> router.objectPurged(nowUs, object, ageUs);
+        }
+        int group = (int) event.whole("group");
+        return (router, nowUs) -> router.groupPurged(nowUs, group, ageUs);
+    }
+
+    private static RouterEvent healthChecked(JsonFields event) {
+        String endpoint = event.text("cache");
+        AttemptStatus status = SimulatorFieldDecoder.attemptStatus(event);
+        long latencyUs = event.whole("lag-us");
+        double[] load = event.numbers("load");
+        return (router, nowUs) -> router.healthChecked(nowUs, endpoint, status, latencyUs, load);
+    }
+
+    private static RouterEvent gossipReceived(JsonFields event) {
+        int sender = (int) event.whole("neighbour");
+        byte[] message = event.bytes("bytes");
+        return (router, nowUs) -> router.gossipReceived(nowUs, sender, message);
+    }
+}
--- a/src/main/java/petrelplank/simulator/SimulatorFieldDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorFieldDecoder.java
@@ -10,9 +10,10 @@
 import petrelplank.settings.FormatException;
 import petrelplank.settings.JsonFields;
 
-/** Decodes the typed fields of the simulator's events. */
+/** Decodes fields of the simulator's events to the router's types. */
 final class SimulatorFieldDecoder {
-    private static final AttemptStatus[] STATUS = {
+    /** By their codes on the wire; there is no code 0. */
+    private static final AttemptStatus[] ATTEMPT_STATUS_BY_CODE = {
         null,
         AttemptStatus.OK,
         AttemptStatus.ERROR,
@@ -25,49 +26,73 @@
         AttemptStatus.MISS
     };
 
-    private static final CacheStatus[] NOTE = CacheStatus.values();
+    /** By their codes on the wire. */
+    private static final CacheStatus[] CACHE_STATUS_BY_CODE = {
+        CacheStatus.NONE,
+        CacheStatus.HIT,
+        CacheStatus.FILLED,
+        CacheStatus.FILLED_FROM_ORIGIN,
+        CacheStatus.COALESCED,
+        CacheStatus.STALE,
+        CacheStatus.SOURCE_REJECTED,
+        CacheStatus.SOURCE_UNREACHABLE,
+        CacheStatus.SOURCE_MISS,
+        CacheStatus.FILL_LIMIT_REACHED,
+        CacheStatus.ORIGIN_FAILED
+    };
 
     private SimulatorFieldDecoder() {}
 
-    static AttemptStatus status(JsonFields f) {
-        long code = f.whole("rc");
-        if (code < 1 || code >= STATUS.length) {
-            throw new FormatException(f.where() + ": rc " + code + " is none of the endings");
+    static AttemptStatus attemptStatus(JsonFields event) {
+        long code = event.whole("rc");
+        if (code < 1 || code >= ATTEMPT_STATUS_BY_CODE.length) {
+            throw new FormatException(event.where() + ": rc " + code + " is none of the endings");
         }
-        return STATUS[(int) code];
+        return ATTEMPT_STATUS_BY_CODE[(int) code];
     }
 
-    static CacheStatus cacheStatus(JsonFields f) {
-        long code = f.whole("note", 0);
-        return code < 0 || code >= NOTE.length ? CacheStatus.NONE : NOTE[(int) code];
+    /** An unknown code says nothing of the cache. */
+    static CacheStatus cacheStatus(JsonFields event) {
+        long code = event.whole("note", 0);
+        if (code < 0 || code >= CACHE_STATUS_BY_CODE.length) {
+            return CacheStatus.NONE;
+        }
+        return CACHE_STATUS_BY_CODE[(int) code];
     }
 
-    static List<EndpointInfo> members(JsonFields f) {
-        List<Map<String, Object>> entries = f.objects("nodes-list");
-        List<EndpointInfo> members = new ArrayList<>(entries.size());
+    static List<EndpointInfo> endpoints(JsonFields event) {
+        List<Map<String, Object>> entries = event.objects("nodes-list");
+        List<EndpointInfo> endpoints = new ArrayList<>(entries.size());
         for (int i = 0; i < entries.size(); i++) {
-            JsonFields e = new JsonFields(entries.get(i), f.where() + " entry " + i);
-            String mode = e.text("mode");
-            EndpointState state = switch (mode) {
-                case "up" -> EndpointState.UP;
-                case "draining" -> EndpointState.DRAINING;
-                case "removed" -> EndpointState.REMOVED;
-                default -> throw new FormatException(e.where() + ": mode \"" + mode + "\" is unknown");
-            };
-            members.add(new EndpointInfo(
-                    e.text("cache"),
-                    e.text("rack-zone"),
-                    e.text("hw"),
-                    (int) e.whole("block", 0),
-                    state,
-                    e.number("share", 1),
-                    e.whole("born-us", 0)));
+            endpoints.add(endpoint(new JsonFields(entries.get(i), event.where() + " entry " + i)));
         }
-        return members;
+        return endpoints;
+    }
+
+    private static EndpointInfo endpoint(JsonFields entry) {
+        EndpointState state = state(entry);
+        return new EndpointInfo(
+                entry.text("cache"),
+                entry.text("rack-zone"),
+                entry.text("hw"),
+                (int) entry.whole("block", 0),
+                state,
+                entry.number("share", 1),
+                entry.whole("born-us", 0));
+    }
+
+    private static EndpointState state(JsonFields entry) {
+        String mode = entry.text("mode");
+        return switch (mode) {
+            case "up" -> EndpointState.UP;
+            case "draining" -> EndpointState.DRAINING;
+            case "removed" -> EndpointState.REMOVED;
+            default -> throw new FormatException(entry.where() + ": mode \"" + mode + "\" is unknown");
+        };
     }
 
-    /** A request's tenant; null where the site tells none, which is said by 0, too. */
-    static String tenant(JsonFields f) {
-        return f.has("billing") && !f.is("billing", 0) ? f.text("billing") : null;
+    /** A request's tenant; null where the site names none, for which it may also send 0. */
+    static String tenant(JsonFields event) {
+        return event.has("billing") && !event.is("billing", 0) ? event.text("billing") : null;
     }
 }
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -11,189 +11,124 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import petrelplank.routing.AttemptOutcome;
-import petrelplank.routing.AttemptStatus;
-import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.RequestRouter;
 import petrelplank.routing.Router;
-import petrelplank.routing.RoutingRequest;
 import petrelplank.settings.FormatException;
 import petrelplank.settings.JsonFields;
 import petrelplank.settings.JsonValue;
 import petrelplank.settings.SettingsParser;
 
-/** The wire: turns batches into calls of the routers and their actions into replies. */
+/** A run of the simulator: its routers, and the batches that turn into calls of them and replies with their actions. */
 final class SimulatorSession {
+    /** Stack frames that a crash is reported with. */
+    private static final int MAX_STACK_FRAMES = 6;
 
     private final JsonFactory json = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .build();
+    private final SimulatorEventDecoder decoder = new SimulatorEventDecoder();
     private final Map<Integer, Router> routers = new HashMap<>();
+    /** Gateways whose router threw an exception; they get no events until they are provisioned again. */
     private final Set<Integer> crashed = new HashSet<>();
-    private final Map<Integer, List<EndpointInfo>> lists = new HashMap<>();
-    private JsonGenerator out;
+    /** Of the reply that is being written. */
+    private JsonGenerator output;
 
-    /** Answers one batch; the reply goes out without a line end. */
-    void answer(byte[] line, int size, OutputStream output) throws IOException {
-        List<Map<String, Object>> events;
-        long now;
-        try (JsonParser in = json.createParser(line, 0, size)) {
-            Object batch = in.nextToken() == null ? null : JsonValue.read(in);
-            if (in.nextToken() != null) {
-                throw new FormatException("more than one value on the line, at " + at(in));
+    private record Batch(long nowUs, List<Map<String, Object>> events) {}
+
+    /**
+     * Processes one batch.
+     *
+     * @param line its JSON, in the first {@code size} bytes
+     * @param size bytes of the line
+     * @param reply gets the actions, without a line end
+     * @throws FormatException where the line is illegal; the reply is then incomplete
+     */
+    void process(byte[] line, int size, OutputStream reply) throws IOException {
+        Batch batch = parse(line, size);
+        output = json.createGenerator(reply);
+        output.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+        output.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
+        output.writeStartObject();
+        output.writeArrayFieldStart("out");
+        for (int i = 0; i < batch.events.size(); i++) {
+            process(batch.nowUs, new JsonFields(batch.events.get(i), "event " + i));
+        }
+        output.writeEndArray();
+        output.writeEndObject();
+        output.close();
+    }
+
+    private Batch parse(byte[] line, int size) throws IOException {
+        try (JsonParser parser = json.createParser(line, 0, size)) {
+            Object value = parser.nextToken() == null ? null : JsonValue.read(parser);
+            if (parser.nextToken() != null) {
+                long offset = parser.currentLocation().getByteOffset();
+                throw new FormatException("more than one value on the line, at byte " + offset);
             }
-            JsonFields fields = new JsonFields(JsonValue.object(batch, "the batch"), "the batch");
-            now = fields.whole("clock-us");
-            events = fields.objects("in");
+            JsonFields batch = new JsonFields(JsonValue.object(value, "the batch"), "the batch");
+            return new Batch(batch.whole("clock-us"), batch.objects("in"));
         } catch (JsonProcessingException e) {
             throw new FormatException("not JSON: " + e.getOriginalMessage() + ", at byte "
                     + e.getLocation().getByteOffset());
         }
-        out = json.createGenerator(output);
-        out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-        out.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
-        out.writeStartObject();
-        out.writeArrayFieldStart("out");
-        for (int i = 0; i < events.size(); i++) {
-            event(now, new JsonFields(events.get(i), "event " + i));
-        }
-        out.writeEndArray();
-        out.writeEndObject();
-        out.close();
     }
 
-    private static String at(JsonParser in) {
-        return "byte " + in.currentLocation().getByteOffset();
-    }
-
-    private void event(long now, JsonFields f) throws IOException {
-        String verb = f.text("verb");
+    private void process(long nowUs, JsonFields event) {
+        String verb = event.text("verb");
         if (verb.equals("MANIFEST")) {
-            lists.put((int) f.whole("list"), SimulatorFieldDecoder.members(f));
+            decoder.addEndpointList(event);
             return;
         }
-        int gateway = (int) f.whole("gateway");
-        Call call = decode(now, verb, gateway, f);
+        int gateway = (int) event.whole("gateway");
+        Runnable call = decode(verb, gateway, nowUs, event);
         try {
             call.run();
         } catch (RuntimeException e) {
             crashed.add(gateway);
-            reply(gateway).line("CRASH", "words", trace(e));
+            actions(gateway).crashed(describe(e));
         }
     }
 
-    private SimulatorActions reply(int gateway) {
-        return new SimulatorActions(gateway, () -> out);
+    /** What the event does; it is decoded here, so that a call fails by the router's fault alone. */
+    private Runnable decode(String verb, int gateway, long nowUs, JsonFields event) {
+        return switch (verb) {
+            case "PROVISION" -> provision(gateway, event);
+            case "TEARDOWN" -> () -> routers.remove(gateway);
+            default -> {
+                Router router = routers.get(gateway);
+                RouterEvent decoded = routerEvent(verb, gateway, event);
+                yield () -> decoded.deliver(router, nowUs);
+            }
+        };
     }
 
-    private interface Call {
-        void run();
+    private Runnable provision(int gateway, JsonFields event) {
+        JsonFields setup = new JsonFields(event.object("setup"), "setup");
+        long seed = event.whole("nonce64");
+        return () -> {
+            crashed.remove(gateway);
+            routers.put(gateway, new RequestRouter(SettingsParser.settings(setup), seed, actions(gateway)));
+        };
     }
 
-    private Call decode(long now, String verb, int gateway, JsonFields f) {
-        if (verb.equals("PROVISION")) {
-            Map<String, Object> setup = f.object("setup");
-            long seed = f.whole("nonce64");
-            return () -> {
-                crashed.remove(gateway);
-                routers.put(
-                        gateway,
-                        new RequestRouter(
-                                SettingsParser.settings(new JsonFields(setup, "setup")), seed, reply(gateway)));
-            };
-        }
-        if (verb.equals("TEARDOWN")) {
-            return () -> routers.remove(gateway);
-        }
-        Router router = routers.get(gateway);
+    private RouterEvent routerEvent(String verb, int gateway, JsonFields event) {
         if (crashed.contains(gateway)) {
-            return () -> {};
-        }
-        if (router == null) {
-            throw new FormatException(f.where() + ": gateway " + gateway + " was not provisioned");
+            return RouterEvent.IGNORED;
         }
-        switch (verb) {
-            case "REGISTRY": {
-                String how = f.text("how");
-                if (how.equals("X")) {
-                    return () -> router.discoveryFailed(now);
-                }
-                List<EndpointInfo> list = lists.get((int) f.whole("list"));
-                if (list == null) {
-                    throw new FormatException(f.where() + ": no list " + f.whole("list"));
-                }
-                return () -> router.endpointsChanged(now, !how.equals("D"), list);
-            }
-            case "ACCEPT": {
-                RoutingRequest request = new RoutingRequest(
-                        f.text("job"),
-                        f.hex("resource"),
-                        f.whole("part", 0),
-                        (int) f.whole("label-no", 0),
-                        f.text("grade"),
-                        f.whole("not-after-us"),
-                        f.number("length-kb", 0),
-                        f.flag("is-write"),
-                        f.flag("repeat"),
-                        SimulatorFieldDecoder.tenant(f));
-                return () -> router.requestReceived(now, request);
-            }
-            case "OUTCOME": {
-                AttemptOutcome outcome = new AttemptOutcome(
-                        f.text("job"),
-                        (int) f.whole("send-no"),
-                        SimulatorFieldDecoder.status(f),
-                        f.whole("lag-us"),
-                        f.flag("settled"),
-                        SimulatorFieldDecoder.cacheStatus(f),
-                        f.whole("source-wait-us", 0),
-                        f.numbers("load"),
-                        0);
-                return () -> router.attemptEnded(now, outcome);
-            }
-            case "ESTABLISHED": {
-                String job = f.text("job");
-                int attempt = (int) f.whole("send-no");
-                return () -> router.streamStarted(now, job, attempt);
-            }
-            case "CLIENT_GONE": {
-                String job = f.text("job");
-                return () -> router.clientDisconnected(now, job);
-            }
-            case "TIMEOUT_FIRED": {
-                long nonce = f.whole("nonce");
-                return () -> router.timerFired(now, nonce);
-            }
-            case "OUTDATED": {
-                long age = f.whole("copy-age-us");
-                if (f.has("resource")) {
-                    long object = f.hex("resource");
-                    return () -> router.objectPurged(now, object, age);
-                }
-                int group = (int) f.whole("group");
-                return () -> router.groupPurged(now, group, age);
-            }
-            case "CHECKED": {
-                String cache = f.text("cache");
-                AttemptStatus status = SimulatorFieldDecoder.status(f);
-                long lag = f.whole("lag-us");
-                double[] load = f.numbers("load");
-                return () -> router.healthChecked(now, cache, status, lag, load);
-            }
-            case "MAIL": {
-                int from = (int) f.whole("neighbour");
-                byte[] data = f.bytes("bytes");
-                return () -> router.gossipReceived(now, from, data);
-            }
-            default:
-                throw new FormatException(f.where() + ": unknown verb \"" + verb + "\"");
+        if (!routers.containsKey(gateway)) {
+            throw new FormatException(event.where() + ": gateway " + gateway + " was not provisioned");
         }
+        return decoder.decode(verb, event);
+    }
+
+    private SimulatorActions actions(int gateway) {
+        return new SimulatorActions(gateway, () -> output);
     }
 
-    private static String trace(RuntimeException e) {
-        StringBuilder text = new StringBuilder(e.toString());
-        StackTraceElement[] frames = e.getStackTrace();
-        for (int i = 0; i < Math.min(6, frames.length); i++) {
+    private static String describe(RuntimeException fault) {
+        StringBuilder text = new StringBuilder(fault.toString());
+        StackTraceElement[] frames = fault.getStackTrace();
+        for (int i = 0; i < Math.min(MAX_STACK_FRAMES, frames.length); i++) {
             text.append(" at ").append(frames[i]);
         }
         return text.toString();
--- a/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
@@ -10,7 +10,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** The simulator's wire: batches in, replies out. */
 class SimulatorSessionTest {
+    /** Settings as the simulator sends them; some fields are not read. */
     private static final String SETUP = """
         {"balancers":1,"caps":{"cancel":true,"connect-timeout-us":400000,"max-retry-after-us":500000,
         "peer-messages":false,"probing":false,"retry-after":true,"second-copies":false,"try-limit":8},
@@ -24,20 +26,30 @@
         "services":[{"aim-stretch":2.0,"aim-us":400000,"deadline-us":6000000,"group":"all","key-ttl-us":5000000,
         "late-worth":0.15,"name":"video","repeat":"free","stream":false,"worth":2.0}],"weights":"rough",
         "zone":"edge-1"}""".replace("\n", "");
+    /** Provisions gateway 3 with a cache and its parent. */
     private static final String START = "{\"clock-us\":5,\"in\":[{\"verb\":\"PROVISION\",\"gateway\":3,"
             + "\"nonce64\":9223372036854775807,\"setup\":" + SETUP
             + "},{\"verb\":\"MANIFEST\",\"list\":0,\"nodes-list\":"
             + "[{\"cache\":\"c-1\",\"rack-zone\":\"edge-1\",\"hw\":\"box\",\"block\":0,\"mode\":\"up\",\"share\":5,"
             + "\"born-us\":null},{\"cache\":\"p-1\",\"rack-zone\":\"north\",\"hw\":\"parent\",\"block\":1,\"mode\":\"up\","
             + "\"share\":5,\"born-us\":0}]},{\"verb\":\"REGISTRY\",\"gateway\":3,\"list\":0,\"how\":\"C\",\"gen\":1}]}\n";
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream err = new ByteArrayOutputStream();
+
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
     private int run(String lines) throws IOException {
         return SimulatorAdapter.run(
                 new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)),
-                out,
-                new PrintStream(err, true, StandardCharsets.UTF_8));
+                output,
+                new PrintStream(errors, true, StandardCharsets.UTF_8));
+    }
+
+    private String output() {
+        return output.toString(StandardCharsets.UTF_8);
+    }
+
+    private String errors() {
+        return errors.toString(StandardCharsets.UTF_8);
     }
 
     private static String accept(String extra) {
@@ -47,15 +59,15 @@
     }
 
     @Test
-    void emptyBatchHasEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         assertEquals(0, run("{\"clock-us\":1,\"in\":[]}\n"));
-        assertEquals("{\"out\":[]}\n", out.toString(StandardCharsets.UTF_8));
+        assertEquals("{\"out\":[]}\n", output());
     }
 
     @Test
-    void requestIsSentViaItsCacheAndParent() throws IOException {
+    void requestIsRoutedViaItsCacheAndParent() throws IOException {
         assertEquals(0, run(START + accept(",\"unheard-of\":{\"x\":[1]}")));
-        String reply = out.toString(StandardCharsets.UTF_8).split("\n")[1];
+        String reply = output().split("\n")[1];
         assertTrue(
                 reply.startsWith("{\"out\":[{\"verb\":\"SERVE_VIA\",\"gateway\":3,\"job\":\"rq_1\","
                         + "\"cache\":\"c-1\",\"limit-us\":"),
@@ -63,47 +75,47 @@
         assertTrue(reply.contains("\"fill-from\":\"p-1\""), reply);
     }
 
-    /** The tenant is a name; where the site has none it is absent, null or 0. */
+    /** The tenant is a name; where there is none, it is absent, null or 0. */
     @Test
     void tenantIsANameOrNone() throws IOException {
-        for (String told : new String[] {"\"acme\"", "null", "0"}) {
-            out.reset();
-            assertEquals(0, run(START + accept("").replace("\"billing\":null", "\"billing\":" + told)), told);
-            assertTrue(out.toString(StandardCharsets.UTF_8).contains("SERVE_VIA"), told);
+        for (String tenant : new String[] {"\"acme\"", "null", "0"}) {
+            output.reset();
+            assertEquals(0, run(START + accept("").replace("\"billing\":null", "\"billing\":" + tenant)), tenant);
+            assertTrue(output().contains("SERVE_VIA"), tenant);
         }
         assertEquals(1, run(START + accept("").replace("\"billing\":null", "\"billing\":7")));
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("\"billing\" should be a string"), err.toString());
+        assertTrue(errors().contains("\"billing\" should be a string"), errors());
     }
 
     @Test
-    void unknownRequestIsPassedOver() throws IOException {
+    void unknownRequestIsIgnored() throws IOException {
         assertEquals(
                 0,
                 run(START + "{\"clock-us\":9,\"in\":[{\"verb\":\"CLIENT_GONE\",\"gateway\":3,"
                         + "\"job\":\"rq_9\"}]}\n"));
-        assertTrue(out.toString(StandardCharsets.UTF_8).endsWith("{\"out\":[]}\n"));
+        assertTrue(output().endsWith("{\"out\":[]}\n"));
     }
 
     @Test
     void illegalLineEndsWithAMessageAndNothingOnOutput() throws IOException {
         assertEquals(1, run("{\"clock-us\":1,\"in\":[}\n"));
-        assertTrue(err.toString(StandardCharsets.UTF_8).startsWith("line 1: not JSON"), err.toString());
-        assertEquals(0, out.size());
+        assertTrue(errors().startsWith("line 1: not JSON"), errors());
+        assertEquals(0, output.size());
     }
 
     @Test
     void missingAndWrongFieldsAreNamed() throws IOException {
         assertEquals(1, run(START + "{\"clock-us\":9,\"in\":[{\"verb\":\"TIMEOUT_FIRED\",\"gateway\":3}]}\n"));
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("line 2: event 0: \"nonce\" is missing"));
-        err.reset();
+        assertTrue(errors().contains("line 2: event 0: \"nonce\" is missing"));
+        errors.reset();
         assertEquals(1, run("{\"in\":[],\"clock-us\":\"x\"}\n"));
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("\"clock-us\" should be a whole number, found x"));
+        assertTrue(errors().contains("\"clock-us\" should be a whole number, found x"));
     }
 
     @Test
-    void failureInTheModuleBecomesACrash() throws IOException {
+    void exceptionOfARouterBecomesACrash() throws IOException {
         assertEquals(0, run(START.replace("\"zone\":\"edge-1\"", "\"zone\":\"nowhere\"")));
-        String reply = out.toString(StandardCharsets.UTF_8);
+        String reply = output();
         assertTrue(reply.contains("\"verb\":\"CRASH\"") && reply.contains("zone (must be one of zones)"), reply);
     }
 }
