--- a/src/test/java/petrelplank/cli/FrontProcesses.java
+++ b/src/test/java/petrelplank/cli/FrontProcesses.java
@@ -16,99 +16,116 @@
  */
 final class FrontProcesses implements AutoCloseable {
     private static final Pattern SERVING = Pattern.compile("serving at /([0-9.]+):(\\d+)");
+    /** Spreads the seeds of the proxies over all 64 bits. */
+    private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
+
+    private static final long NS_PER_MS = 1_000_000;
+    private static final long POLL_MS = 50;
+    private static final long END_TIMEOUT_S = 10;
+
     private final List<Process> processes = new ArrayList<>();
     private final List<Path> logs = new ArrayList<>();
 
     /**
-     * Starts {@code n} fronts.
+     * Starts proxies.
      *
      * @param folder for configurations and logs
-     * @param n how many
-     * @param coordinator where the fronts find the coordinator, a relay in between as the test wants
-     * @param instances the JSON array of the list that each front is told at its start
+     * @param count how many
+     * @param coordinator the address of the discovery service, or of a relay before it
+     * @param instances the JSON array of the endpoint list in each configuration
      */
-    FrontProcesses(Path folder, int n, String coordinator, String instances) throws IOException {
-        this(folder, n, coordinator, instances, List.of());
+    FrontProcesses(Path folder, int count, String coordinator, String instances) throws IOException {
+        this(folder, count, coordinator, instances, List.of());
     }
 
     /**
-     * As above, with {@code launcher} before each front's own command line; it has to end by exec.
+     * As above, with {@code launcher} before each proxy's own command line; it has to end by exec.
      */
-    FrontProcesses(Path folder, int n, String coordinator, String instances, List<String> launcher) throws IOException {
-        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        for (int i = 0; i < n; i++) {
+    FrontProcesses(Path folder, int count, String coordinator, String instances, List<String> launcher)
+            throws IOException {
+        for (int i = 0; i < count; i++) {
             Path config = folder.resolve("front-" + i + ".json");
-            String settings = LoopbackFixture.SETTINGS
-                    .replace("\"balancers\":1", "\"balancers\":" + n)
-                    .replace("\"self-index\":0", "\"self-index\":" + i);
-            Files.writeString(
-                    config,
-                    "{\"name\":\"n" + i + "\",\"listen\":\"127.0.0.1:0\",\"seed\":\""
-                            + String.format("%016x", 0x9e3779b97f4a7c15L * (i + 1)) + "\",\"limits\":{\"cores\":1.0,"
-                            + "\"memory_mb\":96,\"sockets\":256},\"coordinator\":\"" + coordinator
-                            + "\",\"known\":{\"index\":1,"
-                            + "\"updates\":[{\"index\":1,\"endpoints\":{\"instances\":" + instances
-                            + "}}]},\"settings\":"
-                            + settings + "}");
+            Files.writeString(config, configuration(i, count, coordinator, instances));
             Path log = folder.resolve("front-" + i + ".log");
             logs.add(log);
-            List<String> command = new ArrayList<>(launcher);
-            command.addAll(List.of(
-                    java,
-                    "-Xmx48m",
-                    "-Xss256k",
-                    "-XX:+UseSerialGC",
-                    "-XX:TieredStopAtLevel=1",
-                    "-Djava.net.preferIPv4Stack=true",
-                    "-cp",
-                    System.getProperty("java.class.path"),
-                    Main.class.getName(),
-                    "serve",
-                    "--config",
-                    config.toString()));
-            processes.add(new ProcessBuilder(command)
+            processes.add(new ProcessBuilder(command(config, launcher))
                     .redirectErrorStream(true)
                     .redirectOutput(log.toFile())
                     .start());
         }
     }
 
-    /** Where each front serves, once all are ready; fails after {@code patienceMs}. */
-    List<InetSocketAddress> ready(long patienceMs) throws IOException, InterruptedException {
-        long until = System.nanoTime() + patienceMs * 1_000_000;
-        List<InetSocketAddress> at = new ArrayList<>();
+    private static String configuration(int index, int count, String coordinator, String instances) {
+        String settings = LoopbackFixture.SETTINGS
+                .replace("\"balancers\":1", "\"balancers\":" + count)
+                .replace("\"self-index\":0", "\"self-index\":" + index);
+        return "{\"name\":\"n" + index + "\",\"listen\":\"127.0.0.1:0\",\"seed\":\""
+                + String.format("%016x", SEED_STEP * (index + 1)) + "\",\"limits\":{\"cores\":1.0,"
+                + "\"memory_mb\":96,\"sockets\":256},\"coordinator\":\"" + coordinator
+                + "\",\"known\":{\"index\":1,"
+                + "\"updates\":[{\"index\":1,\"endpoints\":{\"instances\":" + instances
+                + "}}]},\"settings\":"
+                + settings + "}";
+    }
+
+    private static List<String> command(Path config, List<String> launcher) {
+        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+        List<String> command = new ArrayList<>(launcher);
+        command.addAll(List.of(
+                java,
+                "-Xmx48m",
+                "-Xss256k",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Djava.net.preferIPv4Stack=true",
+                "-cp",
+                System.getProperty("java.class.path"),
+                Main.class.getName(),
+                "serve",
+                "--config",
+                config.toString()));
+        return command;
+    }
+
+    /** The address of each proxy, once all are ready; fails after {@code timeoutMs}. */
+    List<InetSocketAddress> ready(long timeoutMs) throws IOException, InterruptedException {
+        long deadlineNs = System.nanoTime() + timeoutMs * NS_PER_MS;
+        List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < logs.size(); i++) {
-            while (true) {
-                Matcher m = SERVING.matcher(Files.readString(logs.get(i)));
-                if (m.find()) {
-                    at.add(new InetSocketAddress(m.group(1), Integer.parseInt(m.group(2))));
-                    break;
-                }
-                if (!processes.get(i).isAlive() || System.nanoTime() > until) {
-                    throw new AssertionError("front " + i + " not ready: " + Files.readString(logs.get(i)));
-                }
-                Thread.sleep(50);
+            addresses.add(awaitReady(i, deadlineNs));
+        }
+        return addresses;
+    }
+
+    private InetSocketAddress awaitReady(int index, long deadlineNs) throws IOException, InterruptedException {
+        while (true) {
+            Matcher serving = SERVING.matcher(log(index));
+            if (serving.find()) {
+                return new InetSocketAddress(serving.group(1), Integer.parseInt(serving.group(2)));
+            }
+            if (!processes.get(index).isAlive() || System.nanoTime() > deadlineNs) {
+                throw new AssertionError("proxy " + index + " not ready: " + log(index));
             }
+            Thread.sleep(POLL_MS);
         }
-        return at;
     }
 
-    /** The log of front {@code i} so far. */
-    String log(int i) throws IOException {
-        return Files.readString(logs.get(i));
+    /** The log of a proxy so far. */
+    String log(int index) throws IOException {
+        return Files.readString(logs.get(index));
     }
 
-    /** The process of front {@code i}. */
-    long pid(int i) {
-        return processes.get(i).pid();
+    /** The process id of a proxy. */
+    long pid(int index) {
+        return processes.get(index).pid();
     }
 
-    /** Front {@code i} itself. */
-    Process process(int i) {
-        return processes.get(i);
+    /** The process of a proxy. */
+    Process process(int index) {
+        return processes.get(index);
     }
 
-    /** Whether every front still runs. */
+    /** Whether every proxy still runs. */
     boolean allAlive() {
         return processes.stream().allMatch(Process::isAlive);
     }
@@ -116,13 +133,13 @@
     @Override
     public void close() {
         processes.forEach(Process::destroy);
-        for (Process p : processes) {
+        for (Process process : processes) {
             try {
-                if (!p.waitFor(10, TimeUnit.SECONDS)) {
-                    p.destroyForcibly();
+                if (!process.waitFor(END_TIMEOUT_S, TimeUnit.SECONDS)) {
+                    process.destroyForcibly();
                 }
             } catch (InterruptedException e) {
-                p.destroyForcibly();
+                process.destroyForcibly();
                 Thread.currentThread().interrupt();
             }
         }
--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -10,10 +10,10 @@
 import petrelplank.fastcgi.FcgiClient;
 import petrelplank.upstream.FakeServer;
 
-/** What the coordinator's stream and a new configuration tell, on loopback sockets. */
+/** The discovery stream and reloads of the configuration, on loopback sockets. */
 class LoopbackDiscoveryTest extends LoopbackFixture {
-    private static String list(int index, boolean whole, String... entries) {
-        return "{\"index\":" + index + ",\"endpoints\":{\"reset\":" + whole + ",\"instances\":["
+    private static String list(int index, boolean complete, String... entries) {
+        return "{\"index\":" + index + ",\"endpoints\":{\"reset\":" + complete + ",\"instances\":["
                 + String.join(",", entries) + "]}}\n";
     }
 
@@ -21,48 +21,48 @@
         return entry("c-1", cache, "edge-1", "box", "leaving");
     }
 
-    /** Asks, and answers what is sent; the server that got it. */
-    private FakeServer served(String request) throws IOException, InterruptedException {
+    /** Sends a request and responds to its attempt; the server that got it. */
+    private FakeServer routedTo(String request) throws IOException, InterruptedException {
         ask(1, request, "media");
-        FakeServer asked = null;
-        for (int looks = 0; asked == null && looks < 4000; looks++) {
-            asked = !cache.quiet() ? cache : !parent.quiet() ? parent : null;
+        FakeServer server = null;
+        for (int polls = 0; server == null && polls < 4000; polls++) {
+            server = !cache.quiet() ? cache : !parent.quiet() ? parent : null;
             Thread.sleep(5);
         }
-        assertThat(asked).as("a server was asked").isNotNull();
-        asked.next().reply(request + " ACK tell=HIT 3\r\none\r\n");
+        assertThat(server).as("a server got the request").isNotNull();
+        server.next().reply(request + " ACK tell=HIT 3\r\none\r\n");
         assertThat(client.answer()).startsWith("1 Status: 200");
-        return asked;
+        return server;
     }
 
-    /** A list that fails without an error: nothing is left in it. The last good one stays, and it is asked for again. */
+    /** A service that fails without an error sends an empty list: the last good one stays, and the stream is reconnected. */
     @Test
-    void emptyWholeListIsNotTaken() throws IOException, InterruptedException {
+    void emptyCompleteListIsRejected() throws IOException, InterruptedException {
         follow.reply(list(2, true));
         FakeServer.Line again = coordinator.next();
         assertThat(again.text()).isEqualTo("follow 1");
-        assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(cache);
+        assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(cache);
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
         assertThat(coordinator.next().text()).isEqualTo("follow 2");
-        assertThat(served("bbbbbbbbbbbbbbbb")).isSameAs(parent);
+        assertThat(routedTo("bbbbbbbbbbbbbbbb")).isSameAs(parent);
     }
 
-    /** What a whole list lacks has gone; an older list, told late, does not bring it back. */
+    /** An endpoint missing in a complete list is removed; an older list that arrives late does not bring it back. */
     @Test
-    void shorterWholeListTakesOutWhatItLacks() throws IOException, InterruptedException {
+    void completeListRemovesEndpointsThatItLacks() throws IOException, InterruptedException {
         String parents = entry("p-1", parent, "north", "parent", "active");
         String origins = entry("o-1", origin, "north", "origin", "active");
         follow.reply(list(2, true, parents, origins)
                 + list(1, true, entry("c-1", cache, "edge-1", "box", "active"), parents, origins));
         follow.socket().shutdownOutput();
         assertThat(coordinator.next().text()).isEqualTo("follow 2");
-        assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
+        assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
-    /** Beats go on and their number rises, but no entry comes: the stream is called again until one does. */
+    /** Heartbeats go on and their number rises, but no event arrives: the stream is reconnected until one does. */
     @Test
-    void beatsAheadOfTheEntriesAreFollowedAnew() throws IOException, InterruptedException {
+    void heartbeatsAheadOfTheEventsCauseReconnects() throws IOException, InterruptedException {
         follow.reply("1\n2\n");
         FakeServer.Line again = coordinator.next();
         assertThat(again.text()).isEqualTo("follow 1");
@@ -72,12 +72,12 @@
         third.reply(list(2, false, draining()));
         third.socket().shutdownOutput();
         assertThat(coordinator.next().text()).isEqualTo("follow 2");
-        assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
+        assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
-    /** A drain that a new configuration knows binds at once, though the new coordinator is not reached yet. */
+    /** A drain known to a reloaded configuration applies at once, though its discovery service is not reached yet. */
     @Test
-    void newConfigurationBringsWhatItKnows() throws IOException, InterruptedException {
+    void reloadAppliesKnownEvents() throws IOException, InterruptedException {
         try (FakeServer next = new FakeServer()) {
             String known = list(2, false, draining()).trim();
             Files.writeString(
@@ -88,13 +88,13 @@
                             .replace("]}}]},\"settings\"", "]}}," + known + "]},\"settings\""));
             ServeCommand.reload(front, file.toFile());
             assertThat(next.next().text()).isEqualTo("follow 2");
-            assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
+            assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
         }
     }
 
-    /** The stream breaks while idle clients hold all that clients may hold: its next call has a descriptor all the same. */
+    /** The stream breaks while idle clients hold all their descriptors: its reconnect gets a descriptor all the same. */
     @Test
-    void streamIsFollowedAnewThoughIdleClientsHoldTheirShare() throws IOException, InterruptedException {
+    void streamReconnectsWhileIdleClientsHoldAllTheirDescriptors() throws IOException, InterruptedException {
         List<FcgiClient> idle = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
             idle.add(new FcgiClient(front.address()));
@@ -110,21 +110,21 @@
         }
     }
 
-    /** Two new configurations in a row, the second one unusable: the first one's coordinator is followed. */
+    /** Two reloads in a row, the second one unusable: the discovery service of the first stays in use. */
     @Test
-    void secondConfigurationThatCannotBeUsedChangesNothing() throws IOException, InterruptedException {
+    void unusableSecondReloadChangesNothing() throws IOException, InterruptedException {
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
             Files.writeString(file, old.replace(coordinator.address(), next.address()));
             ServeCommand.reload(front, file.toFile());
             Files.writeString(file, old.replace("\"settings\":", "\"none\":"));
             ServeCommand.reload(front, file.toFile());
-            FakeServer.Line followed = next.next();
-            assertThat(followed.text()).isEqualTo("follow 1");
-            followed.reply(list(2, false, draining()));
-            followed.socket().shutdownOutput();
+            FakeServer.Line stream = next.next();
+            assertThat(stream.text()).isEqualTo("follow 1");
+            stream.reply(list(2, false, draining()));
+            stream.socket().shutdownOutput();
             assertThat(next.next().text()).isEqualTo("follow 2");
-            assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
+            assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
         }
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackListTest.java
@@ -12,60 +12,60 @@
 import petrelplank.settings.Configuration;
 import petrelplank.upstream.FakeServer;
 
-/** What a front does by what its coordinator says, on loopback sockets. */
+/** Readiness, and what endpoint lists and breaks of the discovery stream do to requests, on loopback sockets. */
 class LoopbackListTest extends LoopbackFixture {
     /**
-     * A restarted front's {@code known} may lack a drain or a purge that the coordinator told meanwhile: health says
-     * ready only once the coordinator's beat shows that nothing is missing. The front's clock runs a hundred times
-     * slower here, so that its longest wait for the beat does not end within the test.
+     * A restarted proxy's {@code known} may lack a drain or a purge that was sent meanwhile: health says ready only once
+     * the discovery service's heartbeat shows that nothing is missing. The proxy's clock runs a hundred times slower
+     * here, so that its longest wait for the heartbeat does not end within the test.
      */
     @Test
-    void notReadyUntilTheCoordinatorHasBeaten() throws IOException, InterruptedException {
-        withSilentCoordinator(100, (asker, followed) -> {
+    void notReadyBeforeTheFirstHeartbeat() throws IOException, InterruptedException {
+        withSilentDiscoveryService(100, (webServer, stream) -> {
             long untilNs = System.nanoTime() + 3_000_000_000L;
             while (System.nanoTime() < untilNs) {
-                asker.ask(1, "/_health", NOTHING);
-                assertTrue(asker.answer().startsWith("1 Status: 503"), "ready before the beat");
+                webServer.ask(1, "/_health", NOTHING);
+                assertTrue(webServer.answer().startsWith("1 Status: 503"), "ready before the heartbeat");
                 Thread.sleep(50);
             }
-            followed.reply("1\n");
-            assertTrue(readyWithin(asker, 10_000) >= 0);
+            stream.reply("1\n");
+            assertTrue(readyWithin(webServer, 10_000) >= 0);
         });
     }
 
-    /** A coordinator that never beats must not keep a front from starting: it is ready after 2.5 s of its clock. */
+    /** A discovery service without heartbeats must not keep a proxy from starting: ready after 2.5 s of its clock. */
     @Test
-    void readyWithoutABeatAfterTheLongestWait() throws IOException, InterruptedException {
+    void readyWithoutAHeartbeatAfterTheLongestWait() throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
-        withSilentCoordinator(1, (asker, followed) -> {
-            assertTrue(readyWithin(asker, 20_000) >= 0, "never ready");
+        withSilentDiscoveryService(1, (webServer, stream) -> {
+            assertTrue(readyWithin(webServer, 20_000) >= 0, "never ready");
             assertTrue(System.nanoTime() - fromNs >= 2_500_000_000L, "ready before the longest wait");
         });
     }
 
-    /** Clients that have not noticed a restart ask before it is ready: nothing goes out by a list that may be old. */
+    /** Clients that have not noticed a restart send requests before it is ready: none is routed by an outdated list. */
     @Test
-    void requestsWaitUntilTheCoordinatorIsHeard() throws IOException, InterruptedException {
-        withSilentCoordinator(100, (asker, followed) -> {
-            asker.ask(1, "/invoke/media", NOTHING, headers("aaaaaaaaaaaaaaaa"));
-            asker.ask(2, "/_health", NOTHING);
-            assertTrue(asker.answer().startsWith("2 Status: 503"));
-            followed.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+    void requestsWaitForTheFirstDiscoveryEvent() throws IOException, InterruptedException {
+        withSilentDiscoveryService(100, (webServer, stream) -> {
+            webServer.ask(1, "/invoke/media", NOTHING, headers("aaaaaaaaaaaaaaaa"));
+            webServer.ask(2, "/_health", NOTHING);
+            assertTrue(webServer.answer().startsWith("2 Status: 503"));
+            stream.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                     + entry("c-1", cache, "edge-1", "box", "leaving") + "]}}\n");
             FakeServer.Line sent = parent.next();
             assertEquals("aaaaaaaaaaaaaaaa", sent.word(1));
             assertTrue(cache.quiet(), "sent to a cache that drains");
             sent.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-            assertTrue(asker.answer().endsWith("one"));
+            assertTrue(webServer.answer().endsWith("one"));
         });
     }
 
-    private interface Look {
-        void at(FcgiClient asker, FakeServer.Line followed) throws IOException, InterruptedException;
+    private interface Scenario {
+        void run(FcgiClient webServer, FakeServer.Line stream) throws IOException, InterruptedException;
     }
 
-    /** A second front whose coordinator takes its call and says nothing; its clock runs {@code slower} times slower. */
-    private void withSilentCoordinator(long slower, Look look) throws IOException, InterruptedException {
+    /** A second proxy whose discovery service accepts and sends nothing; its clock runs {@code slower} times slower. */
+    private void withSilentDiscoveryService(long slower, Scenario scenario) throws IOException, InterruptedException {
         try (FakeServer silent = new FakeServer()) {
             Files.writeString(file, Files.readString(file).replace(coordinator.address(), silent.address()));
             long fromUs = Instant.now().toEpochMilli() * 1000;
@@ -77,10 +77,10 @@
             second.open(new InetSocketAddress("127.0.0.1", 0));
             Thread thread = new Thread(second::run);
             thread.start();
-            try (FcgiClient asker = new FcgiClient(second.address())) {
-                FakeServer.Line followed = silent.next();
-                assertEquals("follow 1", followed.text());
-                look.at(asker, followed);
+            try (FcgiClient webServer = new FcgiClient(second.address())) {
+                FakeServer.Line stream = silent.next();
+                assertEquals("follow 1", stream.text());
+                scenario.run(webServer, stream);
             } finally {
                 second.close();
                 thread.join();
@@ -88,12 +88,12 @@
         }
     }
 
-    /** Milliseconds until health says 200, at most {@code mostMs}; -1 where it never did. */
-    private static long readyWithin(FcgiClient asker, long mostMs) throws IOException, InterruptedException {
+    /** Milliseconds until health says 200, at most {@code timeoutMs}; -1 where it never did. */
+    private static long readyWithin(FcgiClient webServer, long timeoutMs) throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
-        while (System.nanoTime() - fromNs < mostMs * 1_000_000) {
-            asker.ask(3, "/_health", NOTHING);
-            if (asker.answer().startsWith("3 Status: 200")) {
+        while (System.nanoTime() - fromNs < timeoutMs * 1_000_000) {
+            webServer.ask(3, "/_health", NOTHING);
+            if (webServer.answer().startsWith("3 Status: 200")) {
                 return (System.nanoTime() - fromNs) / 1_000_000;
             }
             Thread.sleep(20);
@@ -101,9 +101,9 @@
         return -1;
     }
 
-    /** Its connection would stay open for good if the machine were silent. */
+    /** Its connection would stay open for good if the cache were silent. */
     @Test
-    void requestIsCalledOffAtACacheThatHasLeftTheListMeanwhile() throws IOException, InterruptedException {
+    void requestIsCancelledAtACacheThatHasLeftTheListMeanwhile() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
@@ -112,7 +112,7 @@
         assertTrue(cache.ended() == fetch.socket());
     }
 
-    /** A new cache may have the address of one that has gone: its work goes out on connections of its own. */
+    /** A new cache may have the address of a removed one: its requests are sent on connections of its own. */
     @Test
     void newCacheAtAnOldAddressGetsItsOwnConnection() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
@@ -131,7 +131,7 @@
 
     /** An event that was left out may be a drain or a purge. */
     @Test
-    void gapInTheNumbersIsAskedForAgainOnce() throws IOException, InterruptedException {
+    void gapInTheEventNumbersIsRequestedAgainOnce() throws IOException, InterruptedException {
         follow.reply("{\"index\":4,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
         FakeServer.Line again = coordinator.next();
         assertEquals("follow 1", again.text());
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void newConfigurationMovesTheFollowerAndKeepsOpenRequests() throws IOException, InterruptedException {
+    void reloadMovesTheDiscoveryClientAndKeepsOpenRequests() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         try (FakeServer next = new FakeServer()) {
@@ -167,14 +167,14 @@
     }
 
     /**
-     * A coordinator that resets every stream at once: the front calls again later each time, not every 200 ms in step
-     * with all fronts. The shortest waits of five calls again add up to 2.5 s.
+     * A discovery service that resets every stream at once: the proxy reconnects later each time, not every 200 ms in
+     * step with all proxies. The shortest delays of five reconnects add up to 2.5 s.
      */
     @Test
-    void aCoordinatorThatResetsEveryStreamIsCalledLessAndLessOften() throws IOException, InterruptedException {
+    void reconnectsBackOffWhileEveryStreamIsReset() throws IOException, InterruptedException {
         follow.reset();
         long firstNs = System.nanoTime();
-        for (int call = 0; call < 5; call++) {
+        for (int reconnect = 0; reconnect < 5; reconnect++) {
             FakeServer.Line again = coordinator.next();
             assertEquals("follow 1", again.text());
             again.reset();
@@ -184,9 +184,9 @@
         assertTrue(client.answer().startsWith("2 Status: 200"));
     }
 
-    /** A list told late and in one burst: two successions at one address within one write, with a request open. */
+    /** Late list changes in one burst: two replacements at one address within one write, with a request open. */
     @Test
-    void burstOfSuccessorsAtOneAddressKeepsTheOpenRequestAndAsksTheLast() throws IOException, InterruptedException {
+    void burstOfReplacementsAtOneAddressKeepsTheOpenRequestAndUsesTheLast() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line open = cache.next();
         StringBuilder burst = new StringBuilder();
@@ -213,11 +213,11 @@
     }
 
     /**
-     * A list change counts as told after 7 s, whether it came or not: a stream that falls silent is noticed, called again
-     * and caught up well inside that, and what it told meanwhile binds the next send.
+     * A list change counts as delivered after 7 s, whether it arrived or not: a stream that falls silent is detected,
+     * reconnected and caught up well inside that, and what was missed meanwhile binds the next attempt.
      */
     @Test
-    void silentStreamIsCalledAgainAndCaughtUpInsideTheTimeOfTheRule() throws IOException, InterruptedException {
+    void silentStreamIsReconnectedAndCaughtUpWithinTheDeliveryDeadline() throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
         laterUs.addAndGet(2_600_000);
         FakeServer.Line again = coordinator.next();
