--- a/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
@@ -20,7 +20,7 @@
     private final EventLoop loop;
     private final BoundedAcceptor acceptor;
     private final long acceptedInTurn;
-    /** When it last brought a complete request, or took the last response it was owed; its start before that. */
+    /** When it last brought a complete request, or a response was written to it; its start before that. */
     private volatile long lastUsedUs;
 
     private volatile boolean receivedRequest;
--- a/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
@@ -53,7 +53,7 @@
      */
     void makeRoom() {
         long nowUs = loop.clock();
-        while (budget.free() + context.closing().get() <= acceptor.reserve()) {
+        while (budget.free() + context.status().pendingCloses() <= acceptor.reserve()) {
             FastCgiConnection candidate = leastRecentlyUsed(nowUs);
             if (candidate == null) {
                 return;
--- a/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
@@ -35,8 +35,15 @@
             DescriptorBudget budget,
             long memory,
             double sizeScale) {
-        RequestDecoder decoder = new RequestDecoder(sizeScale);
-        context = new ListenerContext(loop, proxy, acceptor, decoder, new ListenerMemory(memory), budget.most());
+        context = new ListenerContext(
+                loop,
+                proxy,
+                acceptor,
+                new RequestDecoder(sizeScale),
+                new ListenerMemory(memory),
+                new ClientFaultLog(budget.most()),
+                new ListenerStatus(),
+                budget.most());
         reaper = new ConnectionReaper(context, budget, connections);
         acceptor.setHandler(new ConnectionHandler());
         acceptor.whenCrowded(reaper::makeRoom);
@@ -59,7 +66,7 @@
      * @param now whether the proxy serves
      */
     public void ready(boolean now) {
-        context.ready(now);
+        context.status().ready(now);
     }
 
     /**
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -35,7 +35,7 @@
         ListenerMemory memory = context.memory();
         this.assembler = new RequestAssembler(this, memory.requestBytes(), memory.maxRequestBytes());
         this.activity = new ConnectionActivity(loop, context.acceptor());
-        this.idleClose = new IdleClose(session, context.acceptor(), activity, this::isUnused, context.closing());
+        this.idleClose = new IdleClose(session, context, activity, this::isUnused);
     }
 
     /** Nothing is open and nothing unsent, so that it may be closed. */
@@ -118,7 +118,9 @@
         activity.requestReceived();
         if (params.getOrDefault(RequestDecoder.SCRIPT_NAME, "").equals(HEALTH_SCRIPT)) {
             channel.answer(
-                    context.isReady() ? ClientResponse.of(ClientResponse.Kind.SERVED) : ClientResponse.refused(0));
+                    context.status().isReady()
+                            ? ClientResponse.of(ClientResponse.Kind.SERVED)
+                            : ClientResponse.refused(0));
         } else {
             handle(params, body, channel);
         }
--- a/src/main/java/petrelplank/fastcgi/IdleClose.java
+++ b/src/main/java/petrelplank/fastcgi/IdleClose.java
@@ -1,6 +1,5 @@
 package petrelplank.fastcgi;
 
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BooleanSupplier;
 import org.apache.mina.core.session.IoSession;
@@ -31,10 +30,9 @@
 
     private final IoSession session;
     private final BoundedAcceptor acceptor;
+    private final ListenerStatus listener;
     private final ConnectionActivity activity;
     private final BooleanSupplier unused;
-    /** Connections of the listener whose close is requested. */
-    private final AtomicInteger closing;
 
     private final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
     private volatile Reason reason = Reason.IDLE;
@@ -43,17 +41,20 @@
 
     private volatile long requestedReadBytes;
 
-    IdleClose(
-            IoSession session,
-            BoundedAcceptor acceptor,
-            ConnectionActivity activity,
-            BooleanSupplier unused,
-            AtomicInteger closing) {
+    /**
+     * For one connection, which is open.
+     *
+     * @param session the connection
+     * @param context what it shares with others
+     * @param activity when it was last in use
+     * @param unused whether nothing is open on it and nothing unsent
+     */
+    IdleClose(IoSession session, ListenerContext context, ConnectionActivity activity, BooleanSupplier unused) {
         this.session = session;
-        this.acceptor = acceptor;
+        this.acceptor = context.acceptor();
+        this.listener = context.status();
         this.activity = activity;
         this.unused = unused;
-        this.closing = closing;
     }
 
     /** Whether the connection is open and no close is requested. */
@@ -68,9 +69,9 @@
      */
     void request(Reason why) {
         // Counted first: the I/O thread may be closing it for a reason of its own.
-        closing.incrementAndGet();
+        listener.closeRequested();
         if (!state.compareAndSet(State.OPEN, State.CLOSE_REQUESTED)) {
-            closing.decrementAndGet();
+            listener.closeDecided();
             return;
         }
         reason = why;
@@ -94,7 +95,7 @@
 
     private void kept() {
         if (state.compareAndSet(State.CLOSE_REQUESTED, State.OPEN)) {
-            closing.decrementAndGet();
+            listener.closeDecided();
         }
     }
 
@@ -107,7 +108,7 @@
         if (state.getAndSet(State.CLOSED) != State.CLOSE_REQUESTED) {
             return false;
         }
-        closing.decrementAndGet();
+        listener.closeDecided();
         return true;
     }
 
--- a/src/main/java/petrelplank/fastcgi/ListenerMemory.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerMemory.java
@@ -8,9 +8,9 @@
     private static final long MAX_UNREAD_BYTES = 32L * 262_144;
     /** Unread bytes of responses that every connection may have. */
     private static final long ALWAYS_ALLOWED_UNREAD_BYTES = 1 << 20;
-    /** Unread bytes of all connections, above which one with more than is always allowed is closed: memory over this. */
+    /** One with more is closed while all connections together have more than the process's memory over this. */
     private static final int UNREAD_DIVISOR = 6;
-    /** Bytes of requests being received or open, over all connections, above which new ones are rejected. */
+    /** New requests are rejected while those being received or open take more than the process's memory over this. */
     private static final int REQUEST_DIVISOR = 8;
 
     private final long processBytes;
--- a/src/test/java/petrelplank/wire/Cuts.java
+++ b/src/test/java/petrelplank/wire/Cuts.java
@@ -4,43 +4,48 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** Feeds bytes to a parser in random pieces, for the tests of all parsers. */
+/** Feeds bytes to a parser in random fragments, and corrupts them, for the tests of all parsers. */
 public final class Cuts {
+    /** One fragment in this many has a single byte. */
+    private static final int SINGLE_BYTE_ONE_IN = 3;
+
+    private static final int MAX_CORRUPTED_BYTES = 4;
+    private static final int BYTE_VALUES = 256;
+
     private Cuts() {}
 
-    /** Hands the bytes on in pieces drawn from a seed; some pieces are of one byte. */
+    /** Hands the bytes on in fragments drawn from a seed; some are of one byte. The parser has to take all of each. */
     public static void feed(byte[] bytes, long seed, Consumer<ByteBuffer> parser) {
         Random random = new Random(seed);
         for (int at = 0; at < bytes.length; ) {
-            int most = random.nextInt(3) == 0 ? 1 : 1 + random.nextInt(bytes.length - at);
-            ByteBuffer piece = ByteBuffer.wrap(bytes, at, Math.min(most, bytes.length - at))
-                    .slice();
-            at += piece.remaining();
-            parser.accept(piece);
-            if (piece.hasRemaining()) {
-                throw new AssertionError("the parser left " + piece.remaining() + " bytes");
+            int length = random.nextInt(SINGLE_BYTE_ONE_IN) == 0 ? 1 : 1 + random.nextInt(bytes.length - at);
+            ByteBuffer fragment = ByteBuffer.wrap(bytes, at, length).slice();
+            at += length;
+            parser.accept(fragment);
+            if (fragment.hasRemaining()) {
+                throw new AssertionError("the parser left " + fragment.remaining() + " bytes");
             }
         }
     }
 
-    /** Garbage that keeps a message's shape often enough to get past the first byte: some bytes are changed. */
+    /** A copy in which a few bytes are changed, so that it often gets past the checks of the first bytes. */
     public static byte[] spoil(byte[] message, long seed) {
         Random random = new Random(seed);
-        byte[] spoilt = message.clone();
-        for (int i = random.nextInt(4); i >= 0; i--) {
-            spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+        byte[] corrupted = message.clone();
+        for (int i = random.nextInt(MAX_CORRUPTED_BYTES); i >= 0; i--) {
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(BYTE_VALUES);
         }
-        return spoilt;
+        return corrupted;
     }
 
-    /** Whether a parser took the bytes, or refused them with the exception that ends a connection. */
+    /** Whether a parser accepted the bytes, or rejected them with the exception that ends a connection. */
     public static boolean survives(
-            byte[] bytes, long seed, Class<? extends RuntimeException> refusal, Consumer<ByteBuffer> parser) {
+            byte[] bytes, long seed, Class<? extends RuntimeException> rejection, Consumer<ByteBuffer> parser) {
         try {
             feed(bytes, seed, parser);
             return true;
         } catch (RuntimeException e) {
-            return refusal.isInstance(e);
+            return rejection.isInstance(e);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/petrelplank/wire/package-info.java
@@ -0,0 +1,2 @@
+/** Helpers for the tests of all parsers. */
+package petrelplank.wire;
