--- a/src/test/java/petrelplank/cli/LoopbackListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
@@ -13,7 +13,7 @@
 import petrelplank.upstream.FakeServer;
 
 /** Readiness, and what endpoint lists and breaks of the discovery stream do to requests, on loopback sockets. */
-class LoopbackListTest extends LoopbackFixture {
+class LoopbackEndpointListTest extends LoopbackFixture {
     /**
      * A restarted proxy's {@code known} may lack a drain or a purge that was sent meanwhile: health says ready only once
      * the discovery service's heartbeat shows that nothing is missing. The proxy's clock runs a hundred times slower
