--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -75,6 +75,83 @@
         assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
+    /** An event that was left out may be a drain or a purge. */
+    @Test
+    void gapInTheEventNumbersIsRequestedAgainOnce() throws IOException, InterruptedException {
+        follow.reply("{\"index\":4,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
+        FakeServer.Line again = coordinator.next();
+        assertThat(again.text()).isEqualTo("follow 1");
+        again.reply("{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n"
+                + "{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n{\"index\":3,\"evi");
+        again.socket().close();
+        FakeServer.Line third = coordinator.next();
+        assertThat(third.text()).isEqualTo("follow 2");
+        third.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
+        FakeServer.Line fourth = coordinator.next();
+        assertThat(fourth.text()).isEqualTo("follow 2");
+        fourth.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
+        fourth.socket().shutdownOutput();
+        assertThat(coordinator.next().text()).isEqualTo("follow 5");
+    }
+
+    /**
+     * A discovery service that resets every stream at once: the proxy reconnects later each time, not every 200 ms in
+     * step with all proxies. The shortest delays of five reconnects add up to 2.5 s.
+     */
+    @Test
+    void reconnectsBackOffWhileEveryStreamIsReset() throws IOException, InterruptedException {
+        follow.reset();
+        long firstNs = System.nanoTime();
+        for (int reconnect = 0; reconnect < 5; reconnect++) {
+            FakeServer.Line again = coordinator.next();
+            assertThat(again.text()).isEqualTo("follow 1");
+            again.reset();
+        }
+        assertThat(System.nanoTime() - firstNs).isGreaterThanOrEqualTo(2_500_000_000L);
+        client.ask(2, "/_health", NOTHING);
+        assertThat(client.answer()).startsWith("2 Status: 200");
+    }
+
+    /**
+     * A list change counts as delivered after 7 s, whether it arrived or not: a stream that falls silent is detected,
+     * reconnected and caught up well inside that, and what was missed meanwhile binds the next attempt.
+     */
+    @Test
+    void silentStreamIsReconnectedAndCaughtUpWithinTheDeliveryDeadline() throws IOException, InterruptedException {
+        long fromNs = System.nanoTime();
+        laterUs.addAndGet(2_600_000);
+        FakeServer.Line again = coordinator.next();
+        assertThat(again.text()).isEqualTo("follow 1");
+        again.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+                + entry("c-1", cache, "edge-1", "box", "leaving") + "]}}\n2\n");
+        again.socket().shutdownOutput();
+        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(2_600 + (System.nanoTime() - fromNs) / 1_000_000)
+                .as("milliseconds until caught up")
+                .isLessThan(7_000);
+        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        assertThat(parent.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
+        assertThat(cache.quiet()).as("nothing sent to a draining cache").isTrue();
+    }
+
+    @Test
+    void reloadMovesTheDiscoveryClientAndKeepsOpenRequests() throws IOException, InterruptedException {
+        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        FakeServer.Line fetch = cache.next();
+        try (FakeServer next = new FakeServer()) {
+            String old = Files.readString(file);
+            Files.writeString(file, "{\"coordinator\":");
+            ServeCommand.reload(front, file.toFile());
+            coordinatorTells("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":1}}");
+            Files.writeString(file, old.replace(coordinator.address(), next.address()));
+            ServeCommand.reload(front, file.toFile());
+            assertThat(next.next().text()).isEqualTo("follow 2");
+        }
+        fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
+        assertThat(client.answer()).endsWith("one");
+        assertThat(coordinator.quiet()).isTrue();
+    }
+
     /** A drain known to a reloaded configuration applies at once, though its discovery service is not reached yet. */
     @Test
     void reloadAppliesKnownEvents() throws IOException, InterruptedException {
