--- /dev/null
+++ b/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
@@ -0,0 +1,68 @@
+package petrelplank.simulator;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import petrelplank.routing.AttemptStatus;
+import petrelplank.routing.CacheStatus;
+import petrelplank.settings.FormatException;
+import petrelplank.settings.JsonFields;
+
+/** The codes are the simulator's: a constant that moves in its enum must not change them. */
+class SimulatorFieldDecoderTest {
+    private static JsonFields event(String field, long code) {
+        return new JsonFields(Map.of(field, code), "event 0");
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "-1, NONE",
+        "0, NONE",
+        "1, HIT",
+        "2, FILLED",
+        "3, FILLED_FROM_ORIGIN",
+        "4, COALESCED",
+        "5, STALE",
+        "6, SOURCE_REJECTED",
+        "7, SOURCE_UNREACHABLE",
+        "8, SOURCE_MISS",
+        "9, FILL_LIMIT_REACHED",
+        "10, ORIGIN_FAILED",
+        "11, NONE"
+    })
+    void cacheStatusByCode(long code, CacheStatus expected) {
+        assertEquals(expected, SimulatorFieldDecoder.cacheStatus(event("note", code)));
+    }
+
+    @Test
+    void absentCacheStatusIsNone() {
+        assertEquals(CacheStatus.NONE, SimulatorFieldDecoder.cacheStatus(new JsonFields(Map.of(), "event 0")));
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "1, OK",
+        "2, ERROR",
+        "3, REJECTED",
+        "4, TIMEOUT",
+        "5, CONNECT_FAILED",
+        "6, RESET",
+        "7, CANCELLED",
+        "8, NOT_SENT",
+        "9, MISS"
+    })
+    void attemptStatusByCode(long code, AttemptStatus expected) {
+        assertEquals(expected, SimulatorFieldDecoder.attemptStatus(event("rc", code)));
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {-1, 0, 10})
+    void unknownAttemptStatusIsIllegal(long code) {
+        assertThrows(FormatException.class, () -> SimulatorFieldDecoder.attemptStatus(event("rc", code)));
+    }
+}
