--- a/src/test/java/petrelplank/cli/FrontProcesses.java
+++ b/src/test/java/petrelplank/cli/FrontProcesses.java
@@ -11,8 +11,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Real processes of {@code serve}, each with a small heap, its own configuration and log, started at once. The
- * addresses they serve at come from their logs. Ended by SIGTERM, and by SIGKILL after 10 s.
+ * Proxies as real processes of {@code serve}, with a small heap, a configuration and a log each, started at once. The
+ * addresses that they serve at come from their logs. Ended by SIGTERM, and by SIGKILL after 10 s.
  */
 final class FrontProcesses implements AutoCloseable {
     private static final Pattern SERVING = Pattern.compile("serving at /([0-9.]+):(\\d+)");
