--- a/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
@@ -3,7 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import java.util.Map;
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -12,11 +14,17 @@
 import petrelplank.routing.CacheStatus;
 import petrelplank.settings.FormatException;
 import petrelplank.settings.JsonFields;
+import petrelplank.settings.JsonValue;
 
 /** The codes are the simulator's: a constant that moves in its enum must not change them. */
 class SimulatorFieldDecoderTest {
-    private static JsonFields event(String field, long code) {
-        return new JsonFields(Map.of(field, code), "event 0");
+    private static final JsonFactory JSON = new JsonFactory();
+
+    private static JsonFields event(String json) throws IOException {
+        try (JsonParser parser = JSON.createParser(json)) {
+            parser.nextToken();
+            return new JsonFields(JsonValue.object(JsonValue.read(parser), "event 0"), "event 0");
+        }
     }
 
     @ParameterizedTest
@@ -35,13 +43,13 @@
         "10, ORIGIN_FAILED",
         "11, NONE"
     })
-    void cacheStatusByCode(long code, CacheStatus expected) {
-        assertEquals(expected, SimulatorFieldDecoder.cacheStatus(event("note", code)));
+    void cacheStatusByCode(long code, CacheStatus expected) throws IOException {
+        assertEquals(expected, SimulatorFieldDecoder.cacheStatus(event("{\"note\":" + code + "}")));
     }
 
     @Test
-    void absentCacheStatusIsNone() {
-        assertEquals(CacheStatus.NONE, SimulatorFieldDecoder.cacheStatus(new JsonFields(Map.of(), "event 0")));
+    void absentCacheStatusIsNone() throws IOException {
+        assertEquals(CacheStatus.NONE, SimulatorFieldDecoder.cacheStatus(event("{}")));
     }
 
     @ParameterizedTest
@@ -56,13 +64,14 @@
         "8, NOT_SENT",
         "9, MISS"
     })
-    void attemptStatusByCode(long code, AttemptStatus expected) {
-        assertEquals(expected, SimulatorFieldDecoder.attemptStatus(event("rc", code)));
+    void attemptStatusByCode(long code, AttemptStatus expected) throws IOException {
+        assertEquals(expected, SimulatorFieldDecoder.attemptStatus(event("{\"rc\":" + code + "}")));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-1, 0, 10})
-    void unknownAttemptStatusIsIllegal(long code) {
-        assertThrows(FormatException.class, () -> SimulatorFieldDecoder.attemptStatus(event("rc", code)));
+    void unknownAttemptStatusIsIllegal(long code) throws IOException {
+        JsonFields event = event("{\"rc\":" + code + "}");
+        assertThrows(FormatException.class, () -> SimulatorFieldDecoder.attemptStatus(event));
     }
 }
