--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -1,73 +1,129 @@
 package petrelplank.simulator;
 
-import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import petrelplank.routing.AttemptOutcome;
 import petrelplank.routing.AttemptStatus;
-import petrelplank.routing.CacheStatus;
 import petrelplank.routing.EndpointInfo;
-import petrelplank.routing.EndpointState;
+import petrelplank.routing.RoutingRequest;
 import petrelplank.settings.FormatException;
 import petrelplank.settings.JsonFields;
 
-/** Decodes the typed fields of the simulator's events. */
+/** Decodes the simulator's events for routers. All fields are read before anything of the router is called. */
 final class SimulatorEventDecoder {
-    private static final AttemptStatus[] STATUS = {
-        null,
-        AttemptStatus.OK,
-        AttemptStatus.ERROR,
-        AttemptStatus.REJECTED,
-        AttemptStatus.TIMEOUT,
-        AttemptStatus.CONNECT_FAILED,
-        AttemptStatus.RESET,
-        AttemptStatus.CANCELLED,
-        AttemptStatus.NOT_SENT,
-        AttemptStatus.MISS
-    };
+    private static final String DISCOVERY_FAILED = "X";
+    /** The list holds only the endpoints that changed. */
+    private static final String PARTIAL_LIST = "D";
 
-    private static final CacheStatus[] NOTE = CacheStatus.values();
+    /** Sent once under a number, which later events name. */
+    private final Map<Integer, List<EndpointInfo>> endpointLists = new HashMap<>();
 
-    private SimulatorEventDecoder() {}
+    /** Keeps the endpoint list of an event for the events that name it. */
+    void addEndpointList(JsonFields event) {
+        endpointLists.put((int) event.whole("list"), SimulatorFieldDecoder.endpoints(event));
+    }
+
+    /**
+     * Decodes one event.
+     *
+     * @throws FormatException where its verb is unknown, or a field is missing or of the wrong type
+     */
+    RouterEvent decode(String verb, JsonFields event) {
+        return switch (verb) {
+            case "REGISTRY" -> endpointsChanged(event);
+            case "ACCEPT" -> requestReceived(event);
+            case "OUTCOME" -> attemptEnded(event);
+            case "ESTABLISHED" -> streamStarted(event);
+            case "CLIENT_GONE" -> clientDisconnected(event);
+            case "TIMEOUT_FIRED" -> timerFired(event);
+            case "OUTDATED" -> purged(event);
+            case "CHECKED" -> healthChecked(event);
+            case "MAIL" -> gossipReceived(event);
+            default -> throw new FormatException(event.where() + ": unknown verb \"" + verb + "\"");
+        };
+    }
 
-    static AttemptStatus status(JsonFields f) {
-        long code = f.whole("rc");
-        if (code < 1 || code >= STATUS.length) {
-            throw new FormatException(f.where() + ": rc " + code + " is none of the endings");
+    private RouterEvent endpointsChanged(JsonFields event) {
+        String how = event.text("how");
+        if (how.equals(DISCOVERY_FAILED)) {
+            return (router, nowUs) -> router.discoveryFailed(nowUs);
+        }
+        boolean complete = !how.equals(PARTIAL_LIST);
+        int number = (int) event.whole("list");
+        List<EndpointInfo> endpoints = endpointLists.get(number);
+        if (endpoints == null) {
+            throw new FormatException(event.where() + ": no list " + event.whole("list"));
         }
-        return STATUS[(int) code];
+        return (router, nowUs) -> router.endpointsChanged(nowUs, complete, endpoints);
+    }
+
+    private static RouterEvent requestReceived(JsonFields event) {
+        RoutingRequest request = new RoutingRequest(
+                event.text("job"),
+                event.hex("resource"),
+                event.whole("part", 0),
+                (int) event.whole("label-no", 0),
+                event.text("grade"),
+                event.whole("not-after-us"),
+                event.number("length-kb", 0),
+                event.flag("is-write"),
+                event.flag("repeat"),
+                SimulatorFieldDecoder.tenant(event));
+        return (router, nowUs) -> router.requestReceived(nowUs, request);
+    }
+
+    private static RouterEvent attemptEnded(JsonFields event) {
+        AttemptOutcome outcome = new AttemptOutcome(
+                event.text("job"),
+                (int) event.whole("send-no"),
+                SimulatorFieldDecoder.attemptStatus(event),
+                event.whole("lag-us"),
+                event.flag("settled"),
+                SimulatorFieldDecoder.cacheStatus(event),
+                event.whole("source-wait-us", 0),
+                event.numbers("load"),
+                0);
+        return (router, nowUs) -> router.attemptEnded(nowUs, outcome);
+    }
+
+    private static RouterEvent streamStarted(JsonFields event) {
+        String request = event.text("job");
+        int attempt = (int) event.whole("send-no");
+        return (router, nowUs) -> router.streamStarted(nowUs, request, attempt);
     }
 
-    static CacheStatus cacheStatus(JsonFields f) {
-        long code = f.whole("note", 0);
-        return code < 0 || code >= NOTE.length ? CacheStatus.NONE : NOTE[(int) code];
+    private static RouterEvent clientDisconnected(JsonFields event) {
+        String request = event.text("job");
+        return (router, nowUs) -> router.clientDisconnected(nowUs, request);
     }
 
-    static List<EndpointInfo> members(JsonFields f) {
-        List<Map<String, Object>> entries = f.objects("nodes-list");
-        List<EndpointInfo> members = new ArrayList<>(entries.size());
-        for (int i = 0; i < entries.size(); i++) {
-            JsonFields e = new JsonFields(entries.get(i), f.where() + " entry " + i);
-            String mode = e.text("mode");
-            EndpointState state = switch (mode) {
-                case "up" -> EndpointState.UP;
-                case "draining" -> EndpointState.DRAINING;
-                case "removed" -> EndpointState.REMOVED;
-                default -> throw new FormatException(e.where() + ": mode \"" + mode + "\" is unknown");
-            };
-            members.add(new EndpointInfo(
-                    e.text("cache"),
-                    e.text("rack-zone"),
-                    e.text("hw"),
-                    (int) e.whole("block", 0),
-                    state,
-                    e.number("share", 1),
-                    e.whole("born-us", 0)));
+    private static RouterEvent timerFired(JsonFields event) {
+        long token = event.whole("nonce");
+        return (router, nowUs) -> router.timerFired(nowUs, token);
+    }
+
+    private static RouterEvent purged(JsonFields event) {
+        long ageUs = event.whole("copy-age-us");
+        if (event.has("resource")) {
+            long object = event.hex("resource");
+            return (router, nowUs) -> router.objectPurged(nowUs, object, ageUs);
         }
-        return members;
+        int group = (int) event.whole("group");
+        return (router, nowUs) -> router.groupPurged(nowUs, group, ageUs);
+    }
+
+    private static RouterEvent healthChecked(JsonFields event) {
+        String endpoint = event.text("cache");
+        AttemptStatus status = SimulatorFieldDecoder.attemptStatus(event);
+        long latencyUs = event.whole("lag-us");
+        double[] load = event.numbers("load");
+        return (router, nowUs) -> router.healthChecked(nowUs, endpoint, status, latencyUs, load);
     }
 
-    /** A request's tenant; null where the site tells none, which is said by 0, too. */
-    static String tenant(JsonFields f) {
-        return f.has("billing") && !f.is("billing", 0) ? f.text("billing") : null;
+    private static RouterEvent gossipReceived(JsonFields event) {
+        int sender = (int) event.whole("neighbour");
+        byte[] message = event.bytes("bytes");
+        return (router, nowUs) -> router.gossipReceived(nowUs, sender, message);
     }
 }
--- /dev/null
+++ b/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
@@ -0,0 +1,67 @@
+package petrelplank.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import org.junit.jupiter.api.Test;
+import petrelplank.upstream.FakeServer;
+
+/** What changes of the endpoint list do to open and new requests, on loopback sockets. */
+class LoopbackEndpointListTest extends LoopbackFixture {
+    /** Its connection would stay open for good if the cache were silent. */
+    @Test
+    void requestIsCancelledAtACacheThatHasLeftTheListMeanwhile() throws IOException, InterruptedException {
+        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        FakeServer.Line fetch = cache.next();
+        coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+                + entry("c-1", cache, "edge-1", "box", "left") + "]}}");
+        client.abort(1);
+        assertTrue(cache.ended() == fetch.socket());
+    }
+
+    /** A new cache may have the address of a removed one: its requests are sent on connections of its own. */
+    @Test
+    void newCacheAtAnOldAddressGetsItsOwnConnection() throws IOException, InterruptedException {
+        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        FakeServer.Line first = cache.next();
+        first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
+        client.answer();
+        coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+                + entry("c-1", cache, "edge-1", "box", "left") + "," + entry("c-2", cache, "edge-1", "box", "active")
+                + "]}}");
+        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        FakeServer.Line second = cache.next();
+        assertTrue(second.socket() != first.socket());
+        second.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
+        assertTrue(client.answer().endsWith("two"));
+    }
+
+    /** Late list changes in one burst: two replacements at one address within one write, with a request open. */
+    @Test
+    void burstOfReplacementsAtOneAddressKeepsTheOpenRequestAndUsesTheLast() throws IOException, InterruptedException {
+        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        FakeServer.Line open = cache.next();
+        StringBuilder burst = new StringBuilder();
+        for (int i = 1; i <= 2; i++) {
+            burst.append("{\"index\":")
+                    .append(i + 1)
+                    .append(",\"endpoints\":{\"reset\":false,\"instances\":[")
+                    .append(entry("c-" + i, cache, "edge-1", "box", "left"))
+                    .append(",")
+                    .append(entry("c-" + (i + 1), cache, "edge-1", "box", "active"))
+                    .append("]}}\n");
+        }
+        follow.reply(burst + "{\"index\":4,\"endpoints\":{\"reset\":false,\"instances\":["
+                + entry("nobody", cache, "edge-1", "box", "left") + "]}}\n");
+        follow.socket().shutdownOutput();
+        assertEquals("follow 4", coordinator.next().text());
+        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        FakeServer.Line second = cache.next();
+        assertTrue(second.socket() != open.socket());
+        second.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
+        assertTrue(client.answer().endsWith("two"));
+        open.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
+        assertTrue(client.answer().endsWith("one"));
+    }
+}
