--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -23,10 +23,8 @@
     static DiscoveryEvent decode(String line) {
         try (JsonParser in = JSON.createParser(line)) {
             in.nextToken();
-            Object value = JsonValue.read(in);
-            return value instanceof Long last
-                    ? new DiscoveryEvent.Beat(last)
-                    : decode(new JsonFields(JsonValue.object(value, "the event"), "the event"));
+            JsonValue value = JsonValue.read(in);
+            return value.isLong() ? new DiscoveryEvent.Beat(value.asLong()) : decode(value.asObject("the event"));
         } catch (IOException e) {
             throw new FormatException("not JSON: " + e.getMessage());
         }
@@ -41,7 +39,7 @@
     public static DiscoveryEvent decode(JsonFields f) {
         long index = f.whole("index");
         if (f.has("evict")) {
-            JsonFields purge = new JsonFields(f.object("evict"), f.where() + " evict");
+            JsonFields purge = f.object("evict");
             Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
             return new DiscoveryEvent.Purge(index, object, (int) purge.whole("shard", -1), purge.whole("unix_ms"));
         }
@@ -49,10 +47,9 @@
             // Guards against a kind of event not known here: it is passed over, and its number counts as heard.
             return f.only("index") ? new DiscoveryEvent.Beat(index) : new DiscoveryEvent.Other(index);
         }
-        JsonFields list = new JsonFields(f.object("endpoints"), f.where() + " endpoints");
+        JsonFields list = f.object("endpoints");
         List<DiscoveryEvent.Entry> entries = new ArrayList<>();
-        for (var entry : list.objects("instances")) {
-            JsonFields e = new JsonFields(entry, list.where() + " instance");
+        for (JsonFields e : list.objects("instances", list.where() + " instance")) {
             EndpointState state = switch (e.text("lifecycle")) {
                 case "active" -> EndpointState.UP;
                 case "leaving" -> EndpointState.DRAINING;
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -6,22 +6,24 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import java.util.Map;
 import petrelplank.routing.RouterSettings;
+import petrelplank.settings.SettingsKeys.Capability;
+import petrelplank.settings.SettingsKeys.Config;
+import petrelplank.settings.SettingsKeys.Settings;
 
 /**
- * What a front is told at its start.
+ * The configuration file of one proxy.
  *
- * @param name the front's name
- * @param listen where clients connect
- * @param seed for random numbers
+ * @param name the proxy's name
+ * @param listen the address at which clients connect
+ * @param seed seeds the random numbers
  * @param sockets descriptors that the process may hold
- * @param memoryMb the memory limit
- * @param coordinator the coordinator's address
+ * @param memoryMb the memory limit of the process
+ * @param coordinator the address of the discovery service
  * @param knownIndex the number of the last event in {@code known}
- * @param known the events so far, one object each
- * @param settings the settings, as the simulator tells them
- * @param streams attempts that one connection carries at once
+ * @param known events of the discovery service up to that number, one object each
+ * @param settings the settings of the router, as the simulator has them too
+ * @param streams requests in flight on one upstream connection at most
  * @param idleUs servers close idle connections after this time
  * @param sizeScale bytes on the sockets over those that the settings and the clients count in
  */
@@ -39,43 +41,46 @@
         long idleUs,
         double sizeScale) {
     private static final JsonFactory JSON = new JsonFactory();
+    private static final String DEFAULT_NAME = "front";
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_MEMORY_MB = 192;
+    private static final int DEFAULT_STREAMS = 100;
+    private static final long DEFAULT_IDLE_US = 15_000_000;
 
     /**
      * Reads a configuration file.
      *
      * @param file the file
-     * @return the configuration; FormatException or IllegalArgumentException names what is wrong
-     * @throws IOException where it can't be read
+     * @return the configuration; {@link FormatException} names the place and the rule that is broken there, and
+     *     IllegalArgumentException a setting that contradicts another
+     * @throws IOException where the file can't be read
      */
     public static Configuration read(File file) throws IOException {
-        try (JsonParser in = JSON.createParser(file)) {
-            if (in.nextToken() == null) {
+        try (JsonParser parser = JSON.createParser(file)) {
+            if (parser.nextToken() == null) {
                 throw new FormatException("the file is empty");
             }
-            return of(new JsonFields(JsonValue.object(JsonValue.read(in), "configuration"), "configuration"));
+            return parse(JsonValue.read(parser).asObject("configuration"));
         }
     }
 
-    static Configuration of(JsonFields f) {
-        JsonFields limits = new JsonFields(f.object("limits"), "limits");
-        JsonFields known = new JsonFields(f.object("known"), "known");
-        Map<String, Object> setup = f.object("settings");
-        JsonFields settings = new JsonFields(setup, "settings");
-        JsonFields caps = new JsonFields(settings.object("caps"), "settings caps");
+    private static Configuration parse(JsonFields file) {
+        JsonFields limits = file.object(Config.LIMITS, Config.LIMITS);
+        JsonFields known = file.object(Config.KNOWN, Config.KNOWN);
+        JsonFields settings = file.object(Config.SETTINGS, Config.SETTINGS);
+        JsonFields capabilities = settings.object(Settings.CAPABILITIES);
         return new Configuration(
-                f.has("name") ? f.text("name") : "front",
-                Addresses.parse(f.text("listen")),
-                f.hex("seed"),
-                (int) limits.whole("sockets", 1024),
-                (int) limits.whole("memory_mb", 192),
-                Addresses.parse(f.text("coordinator")),
-                known.whole("index", 0),
-                known.objects("updates").stream()
-                        .map(u -> new JsonFields(u, "known update"))
-                        .toList(),
-                SettingsParser.settings(settings, f.number("flow_bytes_per_s", 0)),
-                (int) Math.max(1, caps.whole("max-streams", 100)),
-                Math.max(1, caps.whole("conn-idle-us", 15_000_000)),
-                SettingsParser.sizeScale(settings, f.number("flow_bytes_per_s", 0)));
+                file.text(Config.NAME, DEFAULT_NAME),
+                Addresses.parse(file.text(Config.LISTEN_ADDRESS)),
+                file.hex(Config.SEED),
+                (int) limits.whole(Config.MAX_DESCRIPTORS, DEFAULT_SOCKETS),
+                (int) limits.whole(Config.MEMORY_MB, DEFAULT_MEMORY_MB),
+                Addresses.parse(file.text(Config.DISCOVERY_ADDRESS)),
+                known.whole(Config.KNOWN_INDEX, 0),
+                known.objects(Config.KNOWN_EVENTS, "known update"),
+                SettingsParser.settings(settings, file.number(Config.FLOW_BYTES_PER_SECOND, 0)),
+                (int) Math.max(1, capabilities.whole(Capability.MAX_STREAMS_PER_CONNECTION, DEFAULT_STREAMS)),
+                Math.max(1, capabilities.whole(Capability.IDLE_TIMEOUT_US, DEFAULT_IDLE_US)),
+                SettingsParser.sizeScale(settings, file.number(Config.FLOW_BYTES_PER_SECOND, 0)));
     }
 }
--- a/src/main/java/petrelplank/settings/JsonFields.java
+++ b/src/main/java/petrelplank/settings/JsonFields.java
@@ -6,20 +6,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed reading of an object's fields; what is missing or of the wrong type is named. */
+/**
+ * The fields of a JSON object, read by name and type. A field that is missing or of the wrong type ends in a
+ * {@link FormatException} with the object's path. A field that is null counts as absent.
+ */
 public final class JsonFields {
     private final Map<String, Object> values;
-    private final String where;
+    private final String path;
 
-    /** Reads an object; {@code where} names it in messages. */
-    public JsonFields(Map<String, Object> values, String where) {
+    JsonFields(Map<String, Object> values, String path) {
         this.values = values;
-        this.where = where;
+        this.path = path;
     }
 
-    /** The name of the object in messages. */
+    /** An object without fields. */
+    static JsonFields empty(String path) {
+        return new JsonFields(Map.of(), path);
+    }
+
+    /** Names the object in messages. */
     public String where() {
-        return where;
+        return path;
     }
 
     /** Whether a field is there and not null. */
@@ -40,13 +47,17 @@
     private Object value(String name) {
         Object value = values.get(name);
         if (value == null) {
-            throw new FormatException(where + ": \"" + name + "\" is missing");
+            throw new FormatException(path, quoted(name) + " is missing");
         }
         return value;
     }
 
+    private static String quoted(String name) {
+        return '"' + name + '"';
+    }
+
     private FormatException wrong(String name, String wanted) {
-        return new FormatException(where + ": \"" + name + "\" should be " + wanted + ", found " + values.get(name));
+        return new FormatException(path, quoted(name) + " should be " + wanted + ", found " + values.get(name));
     }
 
     /** A string that must be there. */
@@ -57,6 +68,11 @@
         throw wrong(name, "a string");
     }
 
+    /** A string, or the other value where it is absent. */
+    public String text(String name, String otherwise) {
+        return has(name) ? text(name) : otherwise;
+    }
+
     /** A whole number that must be there; one beyond 64 bits is cut to its low ones. */
     public long whole(String name) {
         Object value = value(name);
@@ -122,29 +138,66 @@
         }
     }
 
-    /** An object that must be there. */
-    public Map<String, Object> object(String name) {
-        return JsonValue.object(value(name), where + ": \"" + name + "\"");
+    /** An object that must be there; its path is that of this object and the field's name. */
+    public JsonFields object(String name) {
+        return object(name, path + " " + name);
     }
 
-    /** An array that must be there, of whatever. */
-    public List<?> array(String name) {
-        if (value(name) instanceof List<?> array) {
-            return array;
+    /**
+     * An object that must be there.
+     *
+     * @param name the field
+     * @param objectPath names the object in messages
+     * @return its fields
+     */
+    public JsonFields object(String name, String objectPath) {
+        return new JsonFields(JsonValue.toMap(value(name), fieldPath(name)), objectPath);
+    }
+
+    /**
+     * An array of objects that must be there.
+     *
+     * @param name the field
+     * @param elementPath names each object in messages
+     * @return the fields of each
+     */
+    public List<JsonFields> objects(String name, String elementPath) {
+        List<?> array = array(name);
+        List<JsonFields> objects = new ArrayList<>(array.size());
+        for (Object element : array) {
+            objects.add(new JsonFields(JsonValue.toMap(element, fieldPath(name)), elementPath));
         }
-        throw wrong(name, "an array");
+        return objects;
     }
 
-    /** An array of objects that must be there. */
-    public List<Map<String, Object>> objects(String name) {
+    /**
+     * An array of objects that must be there, told apart in messages by their index.
+     *
+     * @param name the field
+     * @param elementPath names each object in messages, before its index
+     * @return the fields of each
+     */
+    public List<JsonFields> indexedObjects(String name, String elementPath) {
         List<?> array = array(name);
-        List<Map<String, Object>> objects = new ArrayList<>(array.size());
+        List<JsonFields> objects = new ArrayList<>(array.size());
         for (Object element : array) {
-            objects.add(JsonValue.object(element, where + ": \"" + name + "\""));
+            String indexedPath = elementPath + " " + objects.size();
+            objects.add(new JsonFields(JsonValue.toMap(element, fieldPath(name)), indexedPath));
         }
         return objects;
     }
 
+    private String fieldPath(String name) {
+        return path + ": " + quoted(name);
+    }
+
+    private List<?> array(String name) {
+        if (value(name) instanceof List<?> array) {
+            return array;
+        }
+        throw wrong(name, "an array");
+    }
+
     /** An array of strings that must be there. */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
@@ -172,4 +225,14 @@
         }
         return numbers;
     }
+
+    /** An array of booleans that must be there; an element of another type counts as false. */
+    public boolean[] flags(String name) {
+        List<?> array = array(name);
+        boolean[] flags = new boolean[array.size()];
+        for (int i = 0; i < flags.length; i++) {
+            flags[i] = Boolean.TRUE.equals(array.get(i));
+        }
+        return flags;
+    }
 }
--- a/src/main/java/petrelplank/settings/JsonValue.java
+++ b/src/main/java/petrelplank/settings/JsonValue.java
@@ -8,59 +8,95 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a JSON value from the stream into maps, lists, strings, numbers and booleans. */
+/**
+ * A JSON value of any type. Read with the streaming parser alone: data binding is not on the class path of
+ * {@code serve}, where it would cost start time and memory.
+ */
 public final class JsonValue {
-    private JsonValue() {}
+    /** The value {@code null}, which also stands for no value at all. */
+    public static final JsonValue NULL = new JsonValue(null);
 
-    /** Reads the value at whose first token the parser stands. */
-    public static Object read(JsonParser in) throws IOException {
-        JsonToken token = in.currentToken();
+    private final Object value;
+
+    private JsonValue(Object value) {
+        this.value = value;
+    }
+
+    /** Reads the value whose first token is the parser's current one. */
+    public static JsonValue read(JsonParser parser) throws IOException {
+        return new JsonValue(readTree(parser));
+    }
+
+    /** Whether the value is a whole number of up to 64 bits. */
+    public boolean isLong() {
+        return value instanceof Long;
+    }
+
+    /** The value as a whole number; only where {@link #isLong} says so. */
+    public long asLong() {
+        return (Long) value;
+    }
+
+    /**
+     * The value as an object.
+     *
+     * @param path names the object in messages
+     * @return its fields
+     */
+    public JsonFields asObject(String path) {
+        return new JsonFields(toMap(value, path), path);
+    }
+
+    @SuppressWarnings("unchecked")
+    static Map<String, Object> toMap(Object value, String path) {
+        if (value instanceof Map) {
+            return (Map<String, Object>) value;
+        }
+        throw new FormatException(path, "expected an object, found " + value);
+    }
+
+    private static Object readTree(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
         if (token == null) {
             throw new FormatException("the line ends inside a value");
         }
-        switch (token) {
-            case START_OBJECT: {
-                Map<String, Object> object = new LinkedHashMap<>();
-                while (in.nextToken() == JsonToken.FIELD_NAME) {
-                    String name = in.currentName();
-                    in.nextToken();
-                    object.put(name, read(in));
-                }
-                return object;
-            }
-            case START_ARRAY: {
-                List<Object> array = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(read(in));
-                }
-                return array;
-            }
-            case VALUE_STRING:
-                return in.getText();
-            case VALUE_NUMBER_INT:
-                return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? (Object) in.getBigIntegerValue()
-                        : (Object) in.getLongValue();
-            case VALUE_NUMBER_FLOAT:
-                return in.getDoubleValue();
-            case VALUE_TRUE:
-                return Boolean.TRUE;
-            case VALUE_FALSE:
-                return Boolean.FALSE;
-            case VALUE_NULL:
-                return null;
-            default:
+        return switch (token) {
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readArray(parser);
+            case VALUE_STRING -> parser.getText();
+            case VALUE_NUMBER_INT -> readInteger(parser);
+            case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
+            case VALUE_TRUE -> Boolean.TRUE;
+            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_NULL -> null;
+            default ->
                 throw new FormatException("unexpected " + token + " at byte "
-                        + in.currentLocation().getByteOffset());
+                        + parser.currentLocation().getByteOffset());
+        };
+    }
+
+    private static Map<String, Object> readObject(JsonParser parser) throws IOException {
+        Map<String, Object> object = new LinkedHashMap<>();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
+            object.put(name, readTree(parser));
         }
+        return object;
     }
 
-    /** The value as an object. */
-    @SuppressWarnings("unchecked")
-    public static Map<String, Object> object(Object value, String where) {
-        if (value instanceof Map) {
-            return (Map<String, Object>) value;
+    private static List<Object> readArray(JsonParser parser) throws IOException {
+        List<Object> array = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            array.add(readTree(parser));
+        }
+        return array;
+    }
+
+    private static Number readInteger(JsonParser parser) throws IOException {
+        if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
+            return parser.getBigIntegerValue();
         }
-        throw new FormatException(where + ": expected an object, found " + value);
+        return parser.getLongValue();
     }
 }
--- /dev/null
+++ b/src/main/java/petrelplank/settings/ServiceClassParser.java
@@ -0,0 +1,64 @@
+package petrelplank.settings;
+
+import java.util.ArrayList;
+import java.util.List;
+import petrelplank.routing.Idempotency;
+import petrelplank.routing.IdempotencyScope;
+import petrelplank.routing.ServiceClass;
+import petrelplank.settings.SettingsKeys.Family;
+import petrelplank.settings.SettingsKeys.Service;
+import petrelplank.settings.SettingsKeys.Settings;
+
+/** Reads the service classes: an object for each, and arrays beside them with an element for each. */
+final class ServiceClassParser {
+    private static final double DEFAULT_PRIORITY_WEIGHT = 1;
+
+    private final JsonFields settings;
+    private final double[] freshnessUs;
+    private final double[] staleIfErrorUs;
+    private final double[] staleWeightFactor;
+    private final boolean[] write;
+
+    ServiceClassParser(JsonFields settings, JsonFields family) {
+        this.settings = settings;
+        freshnessUs = SettingsParser.numbers(family, Family.FRESHNESS_US);
+        staleIfErrorUs = SettingsParser.numbers(family, Family.STALE_IF_ERROR_US);
+        staleWeightFactor = SettingsParser.numbers(family, Family.STALE_WEIGHT_FACTOR);
+        write = family.has(Family.WRITE) ? family.flags(Family.WRITE) : new boolean[0];
+    }
+
+    List<ServiceClass> parse() {
+        List<JsonFields> services =
+                settings.indexedObjects(Settings.SERVICE_CLASSES, settings.where() + " " + Settings.SERVICE_CLASSES);
+        List<ServiceClass> classes = new ArrayList<>();
+        for (JsonFields service : services) {
+            classes.add(parse(service, classes.size()));
+        }
+        return classes;
+    }
+
+    private ServiceClass parse(JsonFields service, int index) {
+        Idempotency idempotency = SettingsEnums.idempotency(service.text(Service.IDEMPOTENCY));
+        IdempotencyScope scope =
+                SettingsEnums.idempotencyScope(service.text(Service.IDEMPOTENCY_SCOPE, SettingsEnums.ABSENT));
+        return new ServiceClass(
+                service.text(Service.NAME),
+                service.whole(Service.LATENCY_OBJECTIVE_US),
+                service.number(Service.OBJECTIVE_SIZE_FACTOR, 0),
+                service.whole(Service.DEADLINE_US),
+                service.number(Service.PRIORITY_WEIGHT, DEFAULT_PRIORITY_WEIGHT),
+                service.number(Service.LATE_WEIGHT_FACTOR, 0),
+                idempotency,
+                scope,
+                service.whole(Service.IDEMPOTENCY_WINDOW_US, 0),
+                service.flag(Service.STREAMED),
+                (long) elementOrZero(freshnessUs, index),
+                (long) elementOrZero(staleIfErrorUs, index),
+                elementOrZero(staleWeightFactor, index),
+                index < write.length && write[index]);
+    }
+
+    private static double elementOrZero(double[] array, int index) {
+        return index < array.length ? array[index] : 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/settings/SettingsEnums.java
@@ -0,0 +1,64 @@
+package petrelplank.settings;
+
+import petrelplank.routing.CacheStatusDetail;
+import petrelplank.routing.Idempotency;
+import petrelplank.routing.IdempotencyScope;
+import petrelplank.routing.SiblingFillPolicy;
+import petrelplank.routing.WeightMeaning;
+
+/**
+ * Words of the settings as enum constants. A word that is not known here stands for the most careful constant, so that
+ * a newer platform never makes an older proxy do more than it may.
+ */
+final class SettingsEnums {
+    /** Stands for a word that is absent; it means the most careful constant of each enum. */
+    static final String ABSENT = "none";
+
+    private SettingsEnums() {}
+
+    static WeightMeaning weightMeaning(String word) {
+        return switch (word) {
+            case "nominal" -> WeightMeaning.NOMINAL;
+            case "rough" -> WeightMeaning.ROUGH;
+            case "live" -> WeightMeaning.LIVE;
+            default -> WeightMeaning.NONE;
+        };
+    }
+
+    static CacheStatusDetail cacheStatusDetail(String word) {
+        return switch (word) {
+            case "all" -> CacheStatusDetail.ALL;
+            case "hit" -> CacheStatusDetail.HITS;
+            default -> CacheStatusDetail.NONE;
+        };
+    }
+
+    static SiblingFillPolicy siblingFillPolicy(String word) {
+        return switch (word) {
+            case "any" -> SiblingFillPolicy.ANY;
+            case "location" -> SiblingFillPolicy.OWN_ZONE;
+            default -> SiblingFillPolicy.NONE;
+        };
+    }
+
+    static Idempotency idempotency(String word) {
+        return switch (word) {
+            case "free" -> Idempotency.IDEMPOTENT;
+            case "guarded" -> Idempotency.IDEMPOTENT_WITH_KEY;
+            default -> Idempotency.NON_IDEMPOTENT;
+        };
+    }
+
+    static IdempotencyScope idempotencyScope(String word) {
+        return switch (word) {
+            case "all" -> IdempotencyScope.ALL;
+            case "zone" -> IdempotencyScope.ZONE;
+            default -> IdempotencyScope.CELL;
+        };
+    }
+
+    /** Whether the endpoint list comes only to those that ask to watch it. */
+    static boolean watchEndpoints(String discoveryMode) {
+        return discoveryMode.equals("subscribe");
+    }
+}
--- a/src/main/java/petrelplank/settings/SettingsParser.java
+++ b/src/main/java/petrelplank/settings/SettingsParser.java
@@ -2,214 +2,174 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import petrelplank.routing.CacheStatusDetail;
-import petrelplank.routing.Idempotency;
-import petrelplank.routing.IdempotencyScope;
 import petrelplank.routing.PlatformRules;
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.RoutingPermissions;
-import petrelplank.routing.ServiceClass;
-import petrelplank.routing.SiblingFillPolicy;
 import petrelplank.routing.Tenant;
-import petrelplank.routing.WeightMeaning;
+import petrelplank.settings.SettingsKeys.Capability;
+import petrelplank.settings.SettingsKeys.Family;
+import petrelplank.settings.SettingsKeys.Rule;
+import petrelplank.settings.SettingsKeys.Settings;
 
 /**
- * Reads the settings that the wire's first message carries. What is absent has the most careful value or the one that
- * the settings' page names, and so has a word that is none of the page's; a value of another type is an error.
+ * Reads the settings that the configuration file and the simulator's first message carry. A setting that is absent has
+ * the most careful value or the one that its documentation names, and so has a word that is not known; a value of
+ * another type ends in a {@link FormatException}.
  */
 public final class SettingsParser {
-    private SettingsParser() {}
+    private static final double BYTES_PER_KB = 1024;
 
-    /** Reads the settings of an instance in the simulator, which counts objects as the settings do. */
-    public static RouterSettings settings(JsonFields setup) {
-        return settings(setup, 0);
+    private final JsonFields settings;
+    private final JsonFields capabilities;
+    private final JsonFields rules;
+    private final JsonFields family;
+    private final double sizeScale;
+
+    private SettingsParser(JsonFields settings, double flowBytesPerSecond) {
+        this.settings = settings;
+        sizeScale = sizeScale(settings, flowBytesPerSecond);
+        capabilities = settings.object(Settings.CAPABILITIES);
+        rules = settings.object(Settings.RULES);
+        family = family(settings);
+    }
+
+    /** Reads the settings of an instance in the simulator, which counts bytes of objects as the settings do. */
+    public static RouterSettings settings(JsonFields settings) {
+        return settings(settings, 0);
     }
 
     /**
-     * Reads the settings of a front on sockets, whose objects may have other sizes than the settings count in.
+     * Reads the settings of a proxy on sockets, whose objects may have other sizes than the settings count in.
      *
-     * @param setup the settings
-     * @param flowBytesPerS bytes a second at which one answer runs at most; 0 for what the settings say
+     * @param settings the settings
+     * @param flowBytesPerSecond the top rate of one response on the sockets; 0 for the one of the settings
      * @return the settings, with all rates in the bytes of the sockets
      */
-    static RouterSettings settings(JsonFields setup, double flowBytesPerS) {
-        double scale = sizeScale(setup, flowBytesPerS);
-        JsonFields caps = child(setup, "caps");
-        JsonFields rules = child(setup, "rules");
-        JsonFields info = info(setup);
-        double flow = info.number("flow-kb-per-s", 0);
-        List<String> kinds = setup.texts("kinds");
-        List<String> reported = setup.has("report") && child(setup, "report").has("fields")
-                ? child(setup, "report").texts("fields")
-                : List.of();
-        return new RouterSettings(
-                (int) setup.whole("self-index"),
-                (int) setup.whole("balancers"),
-                setup.text("zone"),
-                setup.texts("localities"),
-                ints(info, "crew-by-zone"),
-                ints(info, "hub-of"),
-                doubles(info, "zone-link-kb-per-s", scale),
-                kind(kinds, info.whole("upper-kind", -1)),
-                kind(kinds, info.whole("origin-kind", -1)),
-                flow * scale,
-                weightMeaning(setup),
-                cacheStatusDetail(info),
-                reported,
-                setup.text("discovery").equals("subscribe"),
-                caps.whole("connect-timeout-us", 0),
-                classes(setup, info),
-                permissions(caps, info),
-                rules(rules, info),
-                tenants(setup),
-                setup.number("over-share-worth", 0));
+    static RouterSettings settings(JsonFields settings, double flowBytesPerSecond) {
+        return new SettingsParser(settings, flowBytesPerSecond).parse();
     }
 
-    /** Bytes on the sockets over those that the settings count in; 1 where either pace is not told. */
-    static double sizeScale(JsonFields setup, double flowBytesPerS) {
-        if (!(flowBytesPerS >= 0)) {
+    /** Bytes on the sockets over those that the settings count in; 1 where either rate is not given. */
+    static double sizeScale(JsonFields settings, double flowBytesPerSecond) {
+        if (!(flowBytesPerSecond >= 0)) {
             throw new FormatException(
-                    "configuration: \"flow_bytes_per_s\" should be 0 or more, found " + flowBytesPerS);
+                    "configuration",
+                    '"' + SettingsKeys.Config.FLOW_BYTES_PER_SECOND + "\" should be 0 or more, found "
+                            + flowBytesPerSecond);
         }
-        double flow = info(setup).number("flow-kb-per-s", 0);
-        return flow > 0 && flowBytesPerS > 0 ? flowBytesPerS / 1024 / flow : 1;
+        double flowKbPerSecond = family(settings).number(Family.FLOW_KB_PER_SECOND, 0);
+        return flowKbPerSecond > 0 && flowBytesPerSecond > 0 ? flowBytesPerSecond / BYTES_PER_KB / flowKbPerSecond : 1;
     }
 
-    private static JsonFields info(JsonFields setup) {
-        return setup.has("family-info") ? child(setup, "family-info") : new JsonFields(Map.of(), "family-info");
+    private static JsonFields family(JsonFields settings) {
+        return settings.has(Settings.FAMILY) ? settings.object(Settings.FAMILY) : JsonFields.empty(Settings.FAMILY);
     }
 
-    private static JsonFields child(JsonFields parent, String name) {
-        return new JsonFields(parent.object(name), parent.where() + " " + name);
-    }
-
-    private static String kind(List<String> kinds, long place) {
-        return place >= 0 && place < kinds.size() ? kinds.get((int) place) : null;
-    }
-
-    private static List<Integer> ints(JsonFields f, String name) {
-        List<Integer> list = new ArrayList<>();
-        for (double value : list(f, name)) {
-            list.add((int) value);
-        }
-        return list;
+    /** An array of numbers; empty where it is absent. */
+    static double[] numbers(JsonFields fields, String name) {
+        return fields.has(name) ? fields.numbers(name) : new double[0];
     }
 
-    private static List<Double> doubles(JsonFields f, String name, double scale) {
-        List<Double> list = new ArrayList<>();
-        for (double value : list(f, name)) {
-            list.add(value * scale);
+    private RouterSettings parse() {
+        double flowKbPerSecond = family.number(Family.FLOW_KB_PER_SECOND, 0);
+        List<String> kinds = settings.texts(Settings.KINDS);
+        List<String> reportFields = reportFields();
+        return new RouterSettings(
+                (int) settings.whole(Settings.SELF),
+                (int) settings.whole(Settings.GATEWAYS),
+                settings.text(Settings.ZONE),
+                settings.texts(Settings.ZONES),
+                integers(Family.ZONE_GATEWAYS),
+                integers(Family.ZONE_HUB),
+                rates(Family.ZONE_LINK_KB_PER_SECOND),
+                kind(kinds, Family.PARENT_KIND),
+                kind(kinds, Family.ORIGIN_KIND),
+                flowKbPerSecond * sizeScale,
+                SettingsEnums.weightMeaning(settings.text(Settings.WEIGHT_MEANING, SettingsEnums.ABSENT)),
+                SettingsEnums.cacheStatusDetail(family.text(Family.CACHE_STATUS_DETAIL, SettingsEnums.ABSENT)),
+                reportFields,
+                SettingsEnums.watchEndpoints(settings.text(Settings.DISCOVERY_MODE)),
+                capabilities.whole(Capability.CONNECT_TIMEOUT_US, 0),
+                new ServiceClassParser(settings, family).parse(),
+                permissions(),
+                platformRules(),
+                tenants(),
+                settings.number(Settings.OVER_QUOTA_WEIGHT_FACTOR, 0));
+    }
+
+    private List<String> reportFields() {
+        if (!settings.has(Settings.REPORT)) {
+            return List.of();
         }
-        return list;
-    }
-
-    private static double[] list(JsonFields f, String name) {
-        return f.has(name) ? f.numbers(name) : new double[0];
+        JsonFields report = settings.object(Settings.REPORT);
+        return report.has(Settings.REPORT_FIELDS) ? report.texts(Settings.REPORT_FIELDS) : List.of();
     }
 
-    private static WeightMeaning weightMeaning(JsonFields setup) {
-        return switch (setup.has("weights") ? setup.text("weights") : "none") {
-            case "nominal" -> WeightMeaning.NOMINAL;
-            case "rough" -> WeightMeaning.ROUGH;
-            case "live" -> WeightMeaning.LIVE;
-            default -> WeightMeaning.NONE;
-        };
+    /** The kind of endpoint at the index that a setting gives; null where it gives none. */
+    private String kind(List<String> kinds, String name) {
+        long index = family.whole(name, -1);
+        return index >= 0 && index < kinds.size() ? kinds.get((int) index) : null;
     }
 
-    private static CacheStatusDetail cacheStatusDetail(JsonFields info) {
-        return switch (info.has("note-level") ? info.text("note-level") : "none") {
-            case "all" -> CacheStatusDetail.ALL;
-            case "hit" -> CacheStatusDetail.HITS;
-            default -> CacheStatusDetail.NONE;
-        };
+    private List<Integer> integers(String name) {
+        List<Integer> integers = new ArrayList<>();
+        for (double number : numbers(family, name)) {
+            integers.add((int) number);
+        }
+        return integers;
     }
 
-    private static List<ServiceClass> classes(JsonFields setup, JsonFields info) {
-        double[] fresh = list(info, "max-age-us");
-        double[] grace = list(info, "class-grace-us");
-        double[] old = list(info, "old-copy-worth");
-        List<?> writes = info.has("class-write") ? info.array("class-write") : List.of();
-        List<ServiceClass> classes = new ArrayList<>();
-        List<Map<String, Object>> services = setup.objects("services");
-        for (int i = 0; i < services.size(); i++) {
-            JsonFields s = new JsonFields(services.get(i), setup.where() + " services " + i);
-            Idempotency repeat = switch (s.text("repeat")) {
-                case "free" -> Idempotency.IDEMPOTENT;
-                case "guarded" -> Idempotency.IDEMPOTENT_WITH_KEY;
-                default -> Idempotency.NON_IDEMPOTENT;
-            };
-            IdempotencyScope scope = switch (s.has("group") ? s.text("group") : "cell") {
-                case "all" -> IdempotencyScope.ALL;
-                case "zone" -> IdempotencyScope.ZONE;
-                default -> IdempotencyScope.CELL;
-            };
-            classes.add(new ServiceClass(
-                    s.text("name"),
-                    s.whole("aim-us"),
-                    s.number("aim-stretch", 0),
-                    s.whole("deadline-us"),
-                    s.number("worth", 1),
-                    s.number("late-worth", 0),
-                    repeat,
-                    scope,
-                    s.whole("key-ttl-us", 0),
-                    s.flag("stream"),
-                    (long) get(fresh, i),
-                    (long) get(grace, i),
-                    get(old, i),
-                    i < writes.size() && Boolean.TRUE.equals(writes.get(i))));
+    /** Rates in the bytes of the sockets. */
+    private List<Double> rates(String name) {
+        List<Double> rates = new ArrayList<>();
+        for (double rate : numbers(family, name)) {
+            rates.add(rate * sizeScale);
         }
-        return classes;
+        return rates;
     }
 
-    private static List<Tenant> tenants(JsonFields setup) {
+    private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
-        for (Map<String, Object> tenant :
-                setup.has("tenants") ? setup.objects("tenants") : List.<Map<String, Object>>of()) {
-            JsonFields t = new JsonFields(tenant, setup.where() + " tenants " + tenants.size());
-            tenants.add(new Tenant(t.text("name"), t.number("allowance-per-s", Double.MAX_VALUE)));
+        if (settings.has(Settings.TENANTS)) {
+            String path = settings.where() + " " + Settings.TENANTS;
+            for (JsonFields tenant : settings.indexedObjects(Settings.TENANTS, path)) {
+                tenants.add(new Tenant(
+                        tenant.text(SettingsKeys.Tenant.NAME),
+                        tenant.number(SettingsKeys.Tenant.QUOTA_PER_SECOND, Double.MAX_VALUE)));
+            }
         }
         return tenants;
     }
 
-    private static double get(double[] list, int i) {
-        return i < list.length ? list[i] : 0;
-    }
-
-    private static RoutingPermissions permissions(JsonFields caps, JsonFields info) {
-        SiblingFillPolicy siblingFills = switch (info.has("neighbours") ? info.text("neighbours") : "none") {
-            case "any" -> SiblingFillPolicy.ANY;
-            case "location" -> SiblingFillPolicy.OWN_ZONE;
-            default -> SiblingFillPolicy.NONE;
-        };
+    private RoutingPermissions permissions() {
+        String siblingFills = family.text(Family.SIBLING_FILLS, SettingsEnums.ABSENT);
         return new RoutingPermissions(
-                (int) caps.whole("try-limit"),
-                caps.flag("second-copies"),
-                caps.flag("cancel"),
-                caps.flag("probing"),
-                caps.flag("peer-messages"),
-                caps.flag("retry-after"),
-                caps.whole("max-retry-after-us", 0),
-                info.flag("merges-fills"),
-                info.flag("pass-through-ok"),
-                siblingFills);
-    }
-
-    private static PlatformRules rules(JsonFields rules, JsonFields info) {
+                (int) capabilities.whole(Capability.MAX_ATTEMPTS),
+                capabilities.flag(Capability.HEDGING),
+                capabilities.flag(Capability.CANCEL),
+                capabilities.flag(Capability.HEALTH_CHECKS),
+                capabilities.flag(Capability.GOSSIP),
+                capabilities.flag(Capability.RETRY_AFTER),
+                capabilities.whole(Capability.MAX_RETRY_AFTER_US, 0),
+                family.flag(Family.COALESCING),
+                family.flag(Family.DIRECT_TO_PARENTS),
+                SettingsEnums.siblingFillPolicy(siblingFills));
+    }
+
+    private PlatformRules platformRules() {
         return new PlatformRules(
-                rules.whole("stop-sending-within-us"),
-                rules.number("cold-from", 0),
-                rules.whole("warm-after-us"),
-                rules.number("fall-multiple", 0),
-                rules.whole("fall-us"),
-                info.number("parent-cold-from", 0),
-                info.whole("parent-cold-us", 0),
-                info.number("parent-breaks-at", 0),
-                info.number("root-fall-multiple", 0),
-                info.whole("origin-over-for-us", 0),
-                info.whole("notice-time-us", 0),
-                info.whole("purge-done-us", 0),
-                rules.whole("ask-every-us", 0));
+                rules.whole(Rule.DRAIN_GRACE_US),
+                rules.number(Rule.SLOW_START_FROM, 0),
+                rules.whole(Rule.SLOW_START_US),
+                rules.number(Rule.OVERLOAD_MULTIPLE, 0),
+                rules.whole(Rule.OVERLOAD_US),
+                family.number(Family.PARENT_SLOW_START_FROM, 0),
+                family.whole(Family.PARENT_SLOW_START_US, 0),
+                family.number(Family.PARENT_OVERLOAD_MULTIPLE, 0),
+                family.number(Family.ORIGIN_OVERLOAD_MULTIPLE, 0),
+                family.whole(Family.ORIGIN_OVERLOAD_US, 0),
+                family.whole(Family.PURGE_GRACE_US, 0),
+                family.whole(Family.PURGE_DONE_US, 0),
+                rules.whole(Rule.POLL_INTERVAL_US, 0));
     }
 }
--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 import petrelplank.routing.EndpointInfo;
@@ -43,10 +42,9 @@
     }
 
     static List<EndpointInfo> members(JsonFields f) {
-        List<Map<String, Object>> entries = f.objects("nodes-list");
+        List<JsonFields> entries = f.indexedObjects("nodes-list", f.where() + " entry");
         List<EndpointInfo> members = new ArrayList<>(entries.size());
-        for (int i = 0; i < entries.size(); i++) {
-            JsonFields e = new JsonFields(entries.get(i), f.where() + " entry " + i);
+        for (JsonFields e : entries) {
             String mode = e.text("mode");
             EndpointState state = switch (mode) {
                 case "up" -> EndpointState.UP;
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -35,16 +35,16 @@
 
     /** Answers one batch; the reply goes out without a line end. */
     void answer(byte[] line, int size, OutputStream output) throws IOException {
-        List<Map<String, Object>> events;
+        List<JsonFields> events;
         long now;
         try (JsonParser in = json.createParser(line, 0, size)) {
-            Object batch = in.nextToken() == null ? null : JsonValue.read(in);
+            JsonValue batch = in.nextToken() == null ? JsonValue.NULL : JsonValue.read(in);
             if (in.nextToken() != null) {
                 throw new FormatException("more than one value on the line, at " + at(in));
             }
-            JsonFields fields = new JsonFields(JsonValue.object(batch, "the batch"), "the batch");
+            JsonFields fields = batch.asObject("the batch");
             now = fields.whole("clock-us");
-            events = fields.objects("in");
+            events = fields.indexedObjects("in", "event");
         } catch (JsonProcessingException e) {
             throw new FormatException("not JSON: " + e.getOriginalMessage() + ", at byte "
                     + e.getLocation().getByteOffset());
@@ -54,8 +54,8 @@
         out.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
         out.writeStartObject();
         out.writeArrayFieldStart("out");
-        for (int i = 0; i < events.size(); i++) {
-            event(now, new JsonFields(events.get(i), "event " + i));
+        for (JsonFields event : events) {
+            event(now, event);
         }
         out.writeEndArray();
         out.writeEndObject();
@@ -92,14 +92,11 @@
 
     private Call decode(long now, String verb, int gateway, JsonFields f) {
         if (verb.equals("PROVISION")) {
-            Map<String, Object> setup = f.object("setup");
+            JsonFields setup = f.object("setup", "setup");
             long seed = f.whole("nonce64");
             return () -> {
                 crashed.remove(gateway);
-                routers.put(
-                        gateway,
-                        new RequestRouter(
-                                SettingsParser.settings(new JsonFields(setup, "setup")), seed, reply(gateway)));
+                routers.put(gateway, new RequestRouter(SettingsParser.settings(setup), seed, reply(gateway)));
             };
         }
         if (verb.equals("TEARDOWN")) {
--- a/src/test/java/petrelplank/settings/SettingsTest.java
+++ b/src/test/java/petrelplank/settings/SettingsTest.java
@@ -65,8 +65,7 @@
     private static RouterSettings read(JsonNode tree) throws IOException {
         try (JsonParser in = JSON.createParser(tree.toString())) {
             in.nextToken();
-            return SettingsParser.settings(
-                    new JsonFields(JsonValue.object(JsonValue.read(in), "settings"), "settings"));
+            return SettingsParser.settings(JsonValue.read(in).asObject("settings"));
         }
     }
 
