--- a/src/main/java/petrelplank/cli/BaseCommand.java
+++ b/src/main/java/petrelplank/cli/BaseCommand.java
@@ -1,50 +1,60 @@
 package petrelplank.cli;
 
 import java.io.File;
+import java.io.IOException;
 import java.nio.file.Files;
 import org.kohsuke.args4j.Option;
 
-/** What commands share: help, and one line for what can't be used. */
+/** A sub-command, with the options that all of them have. */
 abstract class BaseCommand {
-    /** Exit status where the arguments or a file can't be used. */
-    static final int UNUSABLE = 2;
-
-    @Option(name = "--help", help = true, usage = "tells the options and exit statuses")
+    @Option(name = "--help", help = true, usage = "print the options and exit statuses")
     private boolean help;
 
-    /** The forms that log lines may have. */
-    enum LogFormat {
-        /** Time, level, class and text. */
-        text,
-        /** An object a line. */
-        json
-    }
-
     @Option(name = "--log-format", metaVar = "text|json", usage = "the form of log lines on standard error")
-    private LogFormat logFormat = LogFormat.text;
+    private LogFormat logFormat = LogFormat.TEXT;
+
+    /**
+     * Runs the command.
+     *
+     * @return the exit status, one of {@link ExitStatus}
+     * @throws IOException when standard output breaks
+     */
+    public abstract int run() throws IOException;
 
-    LogFormat logFormat() {
+    final LogFormat logFormat() {
         return logFormat;
     }
 
-    boolean help() {
+    final boolean helpRequested() {
         return help;
     }
 
-    /** Why a file can't be written, told before the work and not after it; null where it can. */
+    /**
+     * Checks that a file can be written, so that a fault is reported before the work and not after it.
+     *
+     * @param file the file, which need not exist
+     * @return what is wrong; null where it can be written
+     */
     static String unwritable(File file) {
-        File folder = file.getAbsoluteFile().getParentFile();
-        return file.isDirectory()
-                ? file + ": is a directory"
-                : !folder.isDirectory()
-                        ? file + ": there is no directory " + folder
-                        : !Files.isWritable((file.exists() ? file : folder).toPath())
-                                ? file + ": can't be written"
-                                : null;
+        File directory = file.getAbsoluteFile().getParentFile();
+        if (file.isDirectory()) {
+            return file + ": is a directory";
+        }
+        if (!directory.isDirectory()) {
+            return file + ": there is no directory " + directory;
+        }
+        File changed = file.exists() ? file : directory;
+        return Files.isWritable(changed.toPath()) ? null : file + ": can't be written";
     }
 
-    static int unusable(String why) {
-        System.err.println("petrelplank: " + String.valueOf(why).replace('\n', ' '));
-        return UNUSABLE;
+    /**
+     * Reports input that can't be used, in one line on standard error.
+     *
+     * @param reason what is wrong
+     * @return the exit status
+     */
+    static int unusable(String reason) {
+        System.err.println("petrelplank: " + String.valueOf(reason).replace('\n', ' '));
+        return ExitStatus.UNUSABLE_INPUT;
     }
 }
--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -19,7 +19,7 @@
 import petrelplank.yaml.YamlException;
 
 /** {@code emulate}: plays a scenario and leaves the records of its fronts. */
-public final class EmulateCommand extends BaseCommand implements Command {
+public final class EmulateCommand extends BaseCommand {
     private static final Logger FRONTS = Logger.getLogger("petrelplank.proxy");
 
     @Argument(metaVar = "SCENARIO", usage = "a bundled scenario's name or a YAML file; silent-hub where none is named")
--- a/src/main/java/petrelplank/cli/JsonLogs.java
+++ b/src/main/java/petrelplank/cli/JsonLogs.java
@@ -4,11 +4,14 @@
 import java.util.logging.Handler;
 import java.util.logging.Logger;
 
-/** Log lines as JSON, by a library; apart from {@link Logs}, so that it is loaded only where it is asked for. */
+/**
+ * Log lines as JSON in the Elastic Common Schema. Apart from {@link Logs}, since the library behind it is only on the
+ * class path where JSON is asked for.
+ */
 final class JsonLogs {
     private JsonLogs() {}
 
-    static void set() {
+    static void install() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
             handler.setFormatter(new EcsFormatter());
         }
--- a/src/main/java/petrelplank/cli/Logs.java
+++ b/src/main/java/petrelplank/cli/Logs.java
@@ -4,36 +4,39 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** Logging: java.util.logging to standard error, one line each, until the process has ended. */
+/** Logging by java.util.logging: one line each to standard error, until the process has ended. */
 final class Logs {
-    private static final Logger MINA = mina();
+    private static final String LINE_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n";
+
+    /** Kept, since a logger that nothing refers to is collected together with its level. */
+    private static Logger networkLogger;
 
     private Logs() {}
 
-    /** Sets logging up; before anything logs, since the platform reads these properties once. */
-    static void set() {
+    /** Initializes logging; before anything logs, since the Java runtime reads these properties once. */
+    static void initialize() {
+        System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
+        System.setProperty("java.util.logging.SimpleFormatter.format", LINE_FORMAT);
         if (!(LogManager.getLogManager() instanceof PersistentLogManager)) {
             throw new IllegalStateException("logging was set up before, by " + LogManager.getLogManager());
         }
-        MINA.setLevel(Level.WARNING);
-        // Made by the first line else, and never once a shutdown has begun: SIGTERM before it left no log at all.
-        Logger.getLogger("").getHandlers();
+        networkLogger = Logger.getLogger("org.apache.mina");
+        networkLogger.setLevel(Level.WARNING);
+        createHandlers();
     }
 
     /**
-     * Sets the form of the lines.
-     *
-     * @param format {@code text}, or {@code json} for one object a line in the Elastic Common Schema
+     * Guards against a process without any log: handlers are created with the first line that is logged, but never
+     * once a shutdown has begun, as with a SIGTERM before that line.
      */
-    static void format(String format) {
-        if (format.equals("json")) {
-            JsonLogs.set();
-        }
+    private static void createHandlers() {
+        Logger.getLogger("").getHandlers();
     }
 
-    private static Logger mina() {
-        System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
-        System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
-        return Logger.getLogger("org.apache.mina");
+    /** Sets the form of the lines from now on. */
+    static void setFormat(LogFormat format) {
+        if (format == LogFormat.JSON) {
+            JsonLogs.install();
+        }
     }
 }
--- a/src/main/java/petrelplank/cli/PersistentLogManager.java
+++ b/src/main/java/petrelplank/cli/PersistentLogManager.java
@@ -2,9 +2,12 @@
 
 import java.util.logging.LogManager;
 
-/** Keeps the log's handlers after SIGTERM, when the platform's own hook would take them away at once. */
+/**
+ * A log manager that keeps its handlers until the process has ended. Guards against the loss of what is logged after
+ * SIGTERM: the log manager's own shutdown hook resets all handlers at once, while the proxy is still draining.
+ */
 public final class PersistentLogManager extends LogManager {
-    /** For the platform, which makes it by name. */
+    /** Called by the Java runtime, which finds this class by the name in a system property. */
     public PersistentLogManager() {}
 
     @Override
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -22,7 +22,7 @@
 import petrelplank.report.Summary;
 
 /** {@code report}: the course of an incident from the records of fronts. */
-public final class ReportCommand extends BaseCommand implements Command {
+public final class ReportCommand extends BaseCommand {
     /** Exit status where some of the files could not be read, and the report was made of the rest. */
     private static final int IN_PART = 3;
 
--- a/src/main/java/petrelplank/cli/ScenariosCommand.java
+++ b/src/main/java/petrelplank/cli/ScenariosCommand.java
@@ -6,7 +6,7 @@
 import petrelplank.emulator.Scenario;
 
 /** {@code scenarios}: lists the bundled ones. */
-public final class ScenariosCommand extends BaseCommand implements Command {
+public final class ScenariosCommand extends BaseCommand {
     /** For args4j, which makes it by reflection. */
     public ScenariosCommand() {}
 
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -14,7 +14,7 @@
 import petrelplank.yaml.YamlException;
 
 /** {@code serve}: one real front. */
-public final class ServeCommand extends BaseCommand implements Command {
+public final class ServeCommand extends BaseCommand {
     private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
 
     @Option(name = "--config", metaVar = "FILE", usage = "the configuration; else $EDGE_CONFIG")
--- a/src/main/java/petrelplank/cli/SimulateCommand.java
+++ b/src/main/java/petrelplank/cli/SimulateCommand.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import petrelplank.simulator.SimulatorAdapter;
 
-/** {@code drill}: the same decisions on the simulator's wire. */
-public final class SimulateCommand extends BaseCommand implements Command {
-    /** For args4j, which makes it by reflection. */
+/** {@code simulate}: the router of {@code serve} behind the simulator's protocol on standard input and output. */
+public final class SimulateCommand extends BaseCommand {
+    /** Called by args4j, by reflection. */
     public SimulateCommand() {}
 
     @Override
--- a/src/main/java/petrelplank/cli/ToolClassLoader.java
+++ b/src/main/java/petrelplank/cli/ToolClassLoader.java
@@ -3,6 +3,8 @@
 import java.io.File;
 import java.io.IOException;
 import java.lang.reflect.InvocationTargetException;
+import java.net.MalformedURLException;
+import java.net.URISyntaxException;
 import java.net.URL;
 import java.net.URLClassLoader;
 import java.nio.file.Path;
@@ -12,58 +14,88 @@
 import java.util.Set;
 
 /**
- * The libraries that a front on the platform does without stand apart, in {@code lib/tools}: the platform opens every
- * library on its class path at the start, and each would cost a descriptor and memory for good. Commands that need
- * them run in a class loader that has them.
+ * Runs commands that need libraries beyond the class path of {@code serve}. These are in {@code lib/tools}: the Java
+ * runtime opens every library on the class path at the start, and each would cost the proxy a descriptor and memory
+ * for good.
  */
 final class ToolClassLoader {
-    private static final Set<String> PLAIN = Set.of("serve", "drill", "version");
+    private static final Set<String> COMMANDS_WITHOUT_TOOLS =
+            Set.of(Main.SERVE, Main.SIMULATE, Main.SIMULATE_ALIAS, Main.VERSION);
+    private static final String[] LIBRARY_DIRECTORIES = {"lib", "lib/tools"};
+    /** In one of the libraries of {@code lib/tools}. */
+    private static final String TOOL_RESOURCE = "/org/apache/avro/Schema.class";
 
     private ToolClassLoader() {}
 
-    /** Whether a command line needs more than the class path has. */
-    static boolean missing(String... args) {
-        List<String> all = Arrays.asList(args);
-        boolean plain = args.length == 0 || args[0].startsWith("-") || PLAIN.contains(args[0]);
-        boolean more = !plain
-                || all.stream()
-                        .anyMatch(a -> a.startsWith("--operator") || a.equals("json") || a.equals("--log-format=json"));
-        return more && ToolClassLoader.class.getResource("/org/apache/avro/Schema.class") == null;
+    /** Whether a command line needs libraries that are not on the class path. */
+    static boolean isNeeded(String... args) {
+        return needsTools(args) && ToolClassLoader.class.getResource(TOOL_RESOURCE) == null;
+    }
+
+    /** Whether a command line needs the libraries of {@code lib/tools}. */
+    static boolean needsTools(String... args) {
+        if (args.length > 0 && !args[0].startsWith("-") && !COMMANDS_WITHOUT_TOOLS.contains(args[0])) {
+            return true;
+        }
+        for (String arg : args) {
+            if (optionNeedsTools(arg)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Records and the operator's YAML file need libraries, and so do log lines as JSON. */
+    private static boolean optionNeedsTools(String arg) {
+        return arg.startsWith("--operator") || arg.equals("json") || arg.equals("--log-format=json");
     }
 
     /**
-     * Runs the command line where all libraries are.
+     * Runs a command line in a class loader that has all libraries.
      *
      * @throws IOException when standard output breaks
      */
     static void run(String... args) throws IOException {
         try {
-            Path jar = Path.of(Main.class
-                    .getProtectionDomain()
-                    .getCodeSource()
-                    .getLocation()
-                    .toURI());
-            List<URL> urls = new ArrayList<>(List.of(jar.toUri().toURL()));
-            for (String folder : new String[] {"lib", "lib/tools"}) {
-                File[] files = jar.resolveSibling(folder).toFile().listFiles((d, n) -> n.endsWith(".jar"));
-                Arrays.sort(files == null ? new File[0] : files);
-                for (File file : files == null ? new File[0] : files) {
-                    urls.add(file.toURI().toURL());
-                }
-            }
-            ClassLoader loader =
-                    new URLClassLoader("tools", urls.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
+            ClassLoader loader = new URLClassLoader("tools", classPath(), ClassLoader.getPlatformClassLoader());
             Thread.currentThread().setContextClassLoader(loader);
             loader.loadClass(Main.class.getName())
                     .getMethod("start", String[].class)
                     .invoke(null, (Object) args);
         } catch (InvocationTargetException e) {
-            if (e.getCause() instanceof IOException io) {
-                throw io;
-            }
-            throw e.getCause() instanceof RuntimeException r ? r : new IllegalStateException(e.getCause());
-        } catch (ReflectiveOperationException | java.net.URISyntaxException e) {
+            throw rethrown(e.getCause());
+        } catch (ReflectiveOperationException | URISyntaxException e) {
             throw new IllegalStateException(e);
         }
     }
+
+    private static RuntimeException rethrown(Throwable cause) throws IOException {
+        if (cause instanceof IOException ioException) {
+            throw ioException;
+        }
+        return cause instanceof RuntimeException runtimeException ? runtimeException : new IllegalStateException(cause);
+    }
+
+    private static URL[] classPath() throws URISyntaxException, MalformedURLException {
+        Path jar = Path.of(
+                Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        List<URL> urls = new ArrayList<>();
+        urls.add(jar.toUri().toURL());
+        for (String directory : LIBRARY_DIRECTORIES) {
+            for (File library : libraries(jar.resolveSibling(directory).toFile())) {
+                urls.add(library.toURI().toURL());
+            }
+        }
+        return urls.toArray(URL[]::new);
+    }
+
+    /** The libraries of a directory, sorted, so that the class path is the same on every machine. */
+    private static File[] libraries(File directory) {
+        File[] libraries = directory.listFiles((parent, name) -> name.endsWith(".jar"));
+        if (libraries == null) {
+            return new File[0];
+        }
+        Arrays.sort(libraries);
+        return libraries;
+    }
 }
--- a/src/main/java/petrelplank/cli/VersionCommand.java
+++ b/src/main/java/petrelplank/cli/VersionCommand.java
@@ -1,14 +1,14 @@
 package petrelplank.cli;
 
-/** {@code version}: what this is. */
-public final class VersionCommand extends BaseCommand implements Command {
-    /** For args4j, which makes it by reflection. */
+/** {@code version}: prints the version of the program. */
+public final class VersionCommand extends BaseCommand {
+    /** Called by args4j, by reflection. */
     public VersionCommand() {}
 
     @Override
     public int run() {
         String version = VersionCommand.class.getPackage().getImplementationVersion();
         System.out.println("petrelplank " + (version == null ? "(not packaged)" : version));
-        return 0;
+        return ExitStatus.SUCCESS;
     }
 }
--- a/src/test/java/petrelplank/cli/CommandLineTest.java
+++ b/src/test/java/petrelplank/cli/CommandLineTest.java
@@ -1,50 +1,93 @@
 package petrelplank.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.kohsuke.args4j.CmdLineException;
 
+/** The sub-commands, their options and their exit statuses. */
 class CommandLineTest {
-    /** args4j makes commands by reflection: one that is not public ended every start. */
+    /** Guards against a command class that is not public: args4j creates them by reflection, and no command started. */
     @Test
-    void everySubCommandCanBeMade() throws CmdLineException {
-        assertInstanceOf(ServeCommand.class, Main.command("serve"));
-        assertInstanceOf(SimulateCommand.class, Main.command("drill"));
-        assertInstanceOf(VersionCommand.class, Main.command("version"));
-        assertInstanceOf(EmulateCommand.class, Main.command("emulate"));
-        assertInstanceOf(ReportCommand.class, Main.command("report", "DIR"));
-        assertInstanceOf(ScenariosCommand.class, Main.command("scenarios"));
-        for (String name : new String[] {"serve", "drill", "version", "emulate", "report", "scenarios"}) {
-            assertTrue(((BaseCommand) Main.command(name, "--help")).help(), name);
+    void everySubCommandCanBeCreated() throws CmdLineException {
+        assertInstanceOf(ServeCommand.class, Main.parse("serve"));
+        assertInstanceOf(SimulateCommand.class, Main.parse("simulate"));
+        assertInstanceOf(SimulateCommand.class, Main.parse("drill"));
+        assertInstanceOf(VersionCommand.class, Main.parse("version"));
+        assertInstanceOf(EmulateCommand.class, Main.parse("emulate"));
+        assertInstanceOf(ReportCommand.class, Main.parse("report", "DIR"));
+        assertInstanceOf(ScenariosCommand.class, Main.parse("scenarios"));
+        for (String name : new String[] {"serve", "simulate", "drill", "version", "emulate", "report", "scenarios"}) {
+            assertTrue(Main.parse(name, "--help").helpRequested(), name);
         }
     }
 
-    /** One would silently leave the other out. */
     @Test
-    void traceAndRecordsTogetherAreTurnedDown() {
-        CmdLineException e = assertThrows(
-                CmdLineException.class, () -> Main.command("serve", "--trace", "--operator", "operator.yaml"));
-        assertTrue(e.getMessage().contains("--trace") && e.getMessage().contains("--operator"), e.getMessage());
+    void helpNamesEverySubCommandAndLeavesTheAliasOut() {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        Main.printHelp(new PrintStream(out, true, StandardCharsets.UTF_8));
+        String help = out.toString(StandardCharsets.UTF_8).replaceAll("\\s+", " ");
+        for (String name : new String[] {"serve", "simulate", "version", "emulate", "report", "scenarios"}) {
+            assertTrue(help.contains(" " + name + ": "), help);
+        }
+        assertFalse(help.contains("drill"), help);
+    }
+
+    @Test
+    void commandsOfTheProxyAndOfTheSimulatorDoWithoutTheToolLibraries() {
+        for (String name : new String[] {"serve", "simulate", "drill", "version", "--help"}) {
+            assertFalse(ToolClassLoader.needsTools(name), name);
+        }
+        assertFalse(ToolClassLoader.needsTools());
+        for (String name : new String[] {"emulate", "report", "scenarios"}) {
+            assertTrue(ToolClassLoader.needsTools(name), name);
+        }
+        assertTrue(ToolClassLoader.needsTools("serve", "--operator", "operator.yaml"));
+        assertTrue(ToolClassLoader.needsTools("serve", "--log-format", "json"));
+        assertTrue(ToolClassLoader.needsTools("simulate", "--log-format=json"));
+        assertFalse(ToolClassLoader.needsTools("serve", "--log-format", "text"));
+    }
+
+    @Test
+    void logFormatsAreNamedInLowerCase() throws CmdLineException {
+        assertEquals(LogFormat.TEXT, Main.parse("version").logFormat());
+        assertEquals(
+                LogFormat.TEXT, Main.parse("version", "--log-format", "text").logFormat());
+        assertEquals(
+                LogFormat.JSON, Main.parse("version", "--log-format", "json").logFormat());
+        assertThrows(CmdLineException.class, () -> Main.parse("version", "--log-format", "xml"));
+    }
+
+    /** Either one would silently leave the other out. */
+    @Test
+    void traceAndRecordsTogetherAreRejected() {
+        CmdLineException rejection = assertThrows(
+                CmdLineException.class, () -> Main.parse("serve", "--trace", "--operator", "operator.yaml"));
+        String message = rejection.getMessage();
+        assertTrue(message.contains("--trace") && message.contains("--operator"), message);
     }
 
     @Test
-    void unusableConfigurationEndsServeWithStatusTwo(@TempDir Path folder) throws IOException, CmdLineException {
-        Path file = folder.resolve("config.json");
+    void unusableConfigurationEndsServeWithStatusTwo(@TempDir Path directory) throws IOException, CmdLineException {
+        Path file = directory.resolve("config.json");
         for (String text : new String[] {"", "{", "[]", "{\"limits\":{}}", "{\"limits\":3}"}) {
             Files.writeString(file, text);
-            assertEquals(2, Main.command("serve", "--config", file.toString()).run(), text);
+            assertEquals(2, Main.parse("serve", "--config", file.toString()).run(), text);
         }
         assertEquals(
                 2,
-                Main.command("serve", "--config", folder.resolve("none").toString())
+                Main.parse("serve", "--config", directory.resolve("none").toString())
                         .run());
     }
 }
--- a/src/test/java/petrelplank/cli/ReportTest.java
+++ b/src/test/java/petrelplank/cli/ReportTest.java
@@ -27,7 +27,7 @@
     Path folder;
 
     private static int run(Object... args) throws IOException, CmdLineException {
-        return Main.command(Arrays.stream(args).map(Object::toString).toArray(String[]::new))
+        return Main.parse(Arrays.stream(args).map(Object::toString).toArray(String[]::new))
                 .run();
     }
 
