--- a/src/test/java/petrelplank/cli/OtherSiteTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
@@ -11,7 +11,7 @@
 import petrelplank.upstream.FakeServer;
 
 /** A site with other settings: no load reports, no probes, joined fills, copies with a short fresh time and long grace. */
-class OtherSiteTest extends LoopbackFixture {
+class LoopbackAlternativeSettingsTest extends LoopbackFixture {
     private static final String KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
     @Override
