--- a/src/test/java/petrelplank/cli/CacheNode.java
+++ b/src/test/java/petrelplank/cli/CacheNode.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A stand-in for a cache node on the line protocol: every command with a request id is answered as a hit with the
- * body {@code abc}; {@code abort} is taken without a word. Counts connections and commands.
+ * A cache for tests, by the line protocol: responds to every command with a request id as to a hit with the body
+ * {@code abc}, and to {@code abort} not at all. Counts connections and commands.
  */
 final class CacheNode extends StandIn {
     static final String BODY = "abc";
@@ -39,11 +39,11 @@
     }
 
     @Override
-    void serve(Socket s) {
-        try (s) {
+    void serve(Socket connection) {
+        try (connection) {
             BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1));
-            OutputStream out = s.getOutputStream();
+                    new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.ISO_8859_1));
+            OutputStream out = connection.getOutputStream();
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
                 if (words.length < 2 || words[0].equals("abort")) {
@@ -55,7 +55,7 @@
                 out.flush();
             }
         } catch (IOException e) {
-            // the front ended the connection
+            // closed by the proxy
         }
     }
 }
--- a/src/test/java/petrelplank/cli/ListService.java
+++ b/src/test/java/petrelplank/cli/ListService.java
@@ -12,15 +12,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A stand-in for the coordinator, after the protocol page: reads {@code follow N}, sends the whole list as event 1
- * where N is below it, then the last number alone each second. Counts the calls it served and the streams open now.
+ * A discovery service for tests: reads {@code follow N}, sends the complete endpoint list as event 1 where N is below
+ * 1, and then the number of the last event each second as a heartbeat. Counts the calls served and the open streams.
  */
 final class ListService extends StandIn {
+    private static final String FOLLOW = "follow ";
+    private static final byte[] HEARTBEAT = "1\n".getBytes(StandardCharsets.US_ASCII);
+    private static final int HEARTBEAT_MS = 1_000;
+
     private final String list;
     private final AtomicInteger calls = new AtomicInteger();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-    /** @param instances the JSON array of the list's instances */
+    /** @param instances the JSON array of the list's endpoints */
     ListService(String instances) throws IOException {
         super("list-service");
         list = "{\"index\":1,\"endpoints\":{\"reset\":false,\"instances\":" + instances + "}}\n";
@@ -30,42 +34,47 @@
         return new InetSocketAddress("127.0.0.1", port());
     }
 
-    /** Calls that reached it whole, with a {@code follow} line. */
+    /** Calls that arrived with a complete {@code follow} line. */
     int calls() {
         return calls.get();
     }
 
-    /** Streams that stand now. */
+    /** Streams that are open now. */
     int open() {
         return open.size();
     }
 
     @Override
-    void serve(Socket s) {
-        try (s) {
+    void serve(Socket connection) {
+        try (connection) {
             BufferedReader in =
-                    new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+                    new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.US_ASCII));
             String follow = in.readLine();
-            if (follow == null || !follow.startsWith("follow ")) {
+            if (follow == null || !follow.startsWith(FOLLOW)) {
                 return;
             }
             calls.incrementAndGet();
-            open.add(s);
-            OutputStream out = s.getOutputStream();
-            if (Long.parseLong(follow.substring(7).trim()) < 1) {
+            open.add(connection);
+            OutputStream out = connection.getOutputStream();
+            if (lastEventOf(follow) < 1) {
                 out.write(list.getBytes(StandardCharsets.US_ASCII));
             }
             while (!closed) {
-                out.write("1\n".getBytes(StandardCharsets.US_ASCII));
+                out.write(HEARTBEAT);
                 out.flush();
-                Thread.sleep(1_000);
+                Thread.sleep(HEARTBEAT_MS);
             }
         } catch (IOException e) {
-            // the front or the relay ended the stream
+            // closed by the proxy, or by a relay between
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(s);
+            open.remove(connection);
         }
     }
+
+    /** The number of the last event that the proxy has. */
+    private static long lastEventOf(String follow) {
+        return Long.parseLong(follow.substring(FOLLOW.length()).trim());
+    }
 }
--- a/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
@@ -10,9 +10,14 @@
 import petrelplank.record.Event;
 import petrelplank.upstream.FakeServer;
 
-/** A site with other settings: no load reports, no probes, joined fills, copies with a short fresh time and long grace. */
+/**
+ * Settings that the other loopback tests don't have: tenants, request coalescing, short freshness with a long
+ * stale-if-error time; no load reports, no health checks, no hedging.
+ */
 class LoopbackAlternativeSettingsTest extends LoopbackFixture {
     private static final String KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+    private static final Pattern MAX_AGE = Pattern.compile(",oldest=(\\d+)");
+    private static final int BURST = 12;
 
     @Override
     String settings() {
@@ -32,13 +37,13 @@
                                 + "{\"name\":\"small\",\"allowance-per-s\":0.001},{\"name\":\"large\",\"allowance-per-s\":1000}]");
     }
 
-    private static long oldestMs(FakeServer.Line fetch) {
-        Matcher oldest = Pattern.compile(",oldest=(\\d+)").matcher(fetch.text());
+    private static long maxAgeMs(FakeServer.Line fetch) {
+        Matcher oldest = MAX_AGE.matcher(fetch.text());
         assertThat(oldest.find()).as(fetch.text()).isTrue();
         return Long.parseLong(oldest.group(1));
     }
 
-    /** Without reports the answers alone tell; nothing else is asked of a cache, and a report all the same is no fault. */
+    /** Without load reports responses alone count; a cache gets no health check, and a report all the same is no fault. */
     @Test
     void servesWithoutReportsAndAsksForNone() throws IOException, InterruptedException {
         for (int i = 0; i < 5; i++) {
@@ -49,13 +54,13 @@
             assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
         }
         assertThat(cache.quiet() && parent.quiet() && origin.quiet())
-                .as("no probe")
+                .as("no health check")
                 .isTrue();
     }
 
-    /** Fills under way may be joined, but for those that may bring what a purge forbids. */
+    /** A request may be coalesced with a fill under way, unless the fill may bring what a purge forbids. */
     @Test
-    void fillsAreJoinedUnlessAPurgeCameBefore() throws IOException, InterruptedException {
+    void fillsAreCoalescedUnlessAPurgeCameBefore() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         assertThat(fetch.text()).contains(",from=p-1").containsPattern(",mode=\\S*share");
@@ -65,28 +70,28 @@
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line after = cache.next();
         assertThat(after.text()).doesNotContain("share").doesNotContain("swr");
-        assertThat(oldestMs(after)).as("no copy from before the purge").isLessThanOrEqualTo(2000);
+        assertThat(maxAgeMs(after)).as("no copy from before the purge").isLessThanOrEqualTo(2000);
         after.reply("bbbbbbbbbbbbbbbb ACK tell=MISS 3\r\ntwo\r\n");
         assertThat(client.answer()).endsWith("two");
     }
 
-    /** An old copy will do only after a first look for a fresh one, and no older than fresh time and grace together. */
+    /** A stale copy is allowed only after a failed attempt at a fresh one, within the stale-if-error time. */
     @Test
-    void graceIsUsedOnlyWhereNothingFreshIsHad() throws IOException, InterruptedException {
+    void staleCopyIsAllowedOnlyWhereNoFreshOneIsHad() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fresh = cache.next();
-        assertThat(oldestMs(fresh)).isEqualTo(2000);
+        assertThat(maxAgeMs(fresh)).isEqualTo(2000);
         assertThat(fresh.text()).containsPattern(",mode=\\S*swr");
         fresh.reply("aaaaaaaaaaaaaaaa NOENT tell=UP_MISS 0\r\n\r\n");
         FakeServer.Line old = cache.next();
-        assertThat(oldestMs(old)).isEqualTo(62_000);
+        assertThat(maxAgeMs(old)).isEqualTo(62_000);
         old.reply("aaaaaaaaaaaaaaaa ACK tell=STALE 3\r\nold\r\n");
         assertThat(client.answer()).startsWith("1 Status: 200").endsWith("old");
     }
 
-    /** An answer that comes twice ends one attempt: not the retry of its request at the same cache, which is still out. */
+    /** A response that comes twice ends one attempt, and not the retry of its request at the same cache. */
     @Test
-    void answerThatComesTwiceDoesNotEndTheRetry() throws IOException, InterruptedException {
+    void responseThatComesTwiceDoesNotEndTheRetry() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         first.reply("aaaaaaaaaaaaaaaa NOENT tell=UP_MISS 0\r\n\r\n");
@@ -105,9 +110,9 @@
                 .isTrue();
     }
 
-    /** No second copy: the first attempt is given up on the wire before the next one is written. */
+    /** Without hedging, the first attempt is cancelled on the wire before the next one is written. */
     @Test
-    void silentAttemptIsCalledOffBeforeTheNextOneIsWritten() throws IOException, InterruptedException {
+    void unresponsiveAttemptIsCancelledBeforeTheNextOneIsWritten() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         assertThat(first.text()).startsWith("fetch aaaaaaaaaaaaaaaa ");
@@ -119,93 +124,66 @@
         assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
     }
 
-    /** X-Tenant reaches the router: a burst over its allowance is turned away sooner than one within. */
+    /** X-Tenant reaches the router: more of a burst over its quota is rejected than of one within. */
     @Test
-    void aTenantOverItsAllowanceIsTurnedAwayFirst() throws IOException, InterruptedException {
-        int large = sentOfABurst("large", 'a');
-        for (int i = 0; i < large; i++) {
+    void tenantOverItsQuotaIsRejectedFirst() throws IOException, InterruptedException {
+        int sentOfLarge = sentOfABurst("large", 'a');
+        for (int i = 0; i < sentOfLarge; i++) {
             FakeServer.Line fetch = cache.next();
             fetch.reply(fetch.word(1) + " ACK tell=HIT 3\r\none\r\n");
             client.answer();
         }
-        assertThat(sentOfABurst("small", 'b')).isLessThan(large);
+        assertThat(sentOfABurst("small", 'b')).isLessThan(sentOfLarge);
     }
 
-    /** Of 12 requests at once, those that go out; the refusals of the others are read. */
-    private int sentOfABurst(String tenant, char id) throws IOException, InterruptedException {
+    /** Asks for {@code BURST} requests at once; the number that was sent on, once the rejections of the others are read. */
+    private int sentOfABurst(String tenant, char idStart) throws IOException, InterruptedException {
         int before = recorded.size();
-        for (int i = 0; i < 12; i++) {
-            client.ask(
-                    i + 1,
-                    "/invoke/media",
-                    NOTHING,
-                    "X-Request-Id",
-                    (id + "00000000000000" + Integer.toHexString(i)),
-                    "X-Timeout-Ms",
-                    "60000",
-                    "X-Object",
-                    "7f3a9c21e0b4d655",
-                    "X-N",
-                    "0",
-                    "X-Shard",
-                    "17",
-                    "X-Tenant",
-                    tenant);
+        for (int i = 0; i < BURST; i++) {
+            String request = idStart + "00000000000000" + Integer.toHexString(i);
+            client.ask(i + 1, "/invoke/media", NOTHING, RequestHeaders.of(request, "X-Tenant", tenant));
         }
         int sent = 0;
-        int over = 0;
-        for (int looks = 0; looks < 4000 && sent + over < 12; looks++) {
+        int rejected = 0;
+        for (int polls = 0; polls < 4000 && sent + rejected < BURST; polls++) {
             Thread.sleep(5);
             List<Event> all = List.copyOf(recorded);
             List<Event> since = all.subList(before, all.size());
-            sent = (int)
-                    since.stream().filter(e -> e instanceof Event.AttemptSent).count();
-            over = (int) since.stream()
-                    .filter(e -> e instanceof Event.RequestCompleted)
-                    .count();
+            sent = count(since, Event.AttemptSent.class);
+            rejected = count(since, Event.RequestCompleted.class);
         }
-        assertThat(sent + over).isEqualTo(12);
-        for (int i = 0; i < over; i++) {
+        assertThat(sent + rejected).isEqualTo(BURST);
+        for (int i = 0; i < rejected; i++) {
             assertThat(client.answer()).contains("Status: 503");
         }
         return sent;
     }
 
-    /** A keyed write is repeated only while the repeat arrives inside the window, a connect time-out counted in. */
+    private static int count(List<Event> events, Class<? extends Event> type) {
+        return (int) events.stream().filter(type::isInstance).count();
+    }
+
+    /** A write with an idempotency key is retried only where that arrives in the key's window, a connect included. */
     @Test
-    void keyedRepeatArrivesInsideItsWindowOrIsNotSent() throws IOException, InterruptedException {
-        for (long laterMs : new long[] {1_000, 2_700}) {
-            String id = "aaaaaaaaaaaa" + laterMs;
-            client.ask(
-                    1,
-                    "/invoke/receipt",
-                    "mark".getBytes(),
-                    "X-Request-Id",
-                    id,
-                    "X-Timeout-Ms",
-                    "60000",
-                    "X-Object",
-                    "7f3a9c21e0b4d655",
-                    "X-N",
-                    "0",
-                    "X-Shard",
-                    "17",
-                    "Idempotency-Key",
-                    KEY);
-            FakeServer.Line first = origin.next();
-            origin.next();
-            laterUs.addAndGet(laterMs * 1000);
-            first.reset();
-            if (laterMs < 2_600) {
-                FakeServer.Line again = parent.next();
-                assertThat(again.text()).startsWith("fetch " + id).contains(",nonce=" + KEY);
-                parent.next();
-                again.reply(id + " ACK - 2\r\nok\r\n");
-                assertThat(client.answer()).endsWith("ok");
-            } else {
-                assertThat(client.answer()).startsWith("1 Status: 504");
-                assertThat(parent.quiet() && origin.quiet()).isTrue();
-            }
-        }
+    void keyedRetryArrivesInsideItsWindowOrIsNotSent() throws IOException, InterruptedException {
+        resetKeyedWriteAfter("aaaaaaaaaaaa1000", 1_000);
+        FakeServer.Line retry = parent.next();
+        assertThat(retry.text()).startsWith("fetch aaaaaaaaaaaa1000").contains(",nonce=" + KEY);
+        parent.next();
+        retry.reply("aaaaaaaaaaaa1000 ACK - 2\r\nok\r\n");
+        assertThat(client.answer()).endsWith("ok");
+
+        resetKeyedWriteAfter("aaaaaaaaaaaa2700", 2_700);
+        assertThat(client.answer()).startsWith("1 Status: 504");
+        assertThat(parent.quiet() && origin.quiet()).isTrue();
+    }
+
+    private void resetKeyedWriteAfter(String request, long laterMs) throws IOException, InterruptedException {
+        String[] headers = RequestHeaders.of(request, "Idempotency-Key", KEY);
+        client.ask(1, "/invoke/receipt", "mark".getBytes(), headers);
+        FakeServer.Line first = origin.next();
+        origin.next();
+        laterUs.addAndGet(laterMs * 1000);
+        first.reset();
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackFixture.java
+++ b/src/test/java/petrelplank/cli/LoopbackFixture.java
@@ -1,18 +1,16 @@
 package petrelplank.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Instant;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.Semaphore;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
@@ -24,10 +22,14 @@
 import petrelplank.settings.Configuration;
 import petrelplank.upstream.FakeServer;
 
-/** The whole front on loopback sockets, against scripted peers. Time-outs here only end a test that has failed. */
+/**
+ * A complete proxy on loopback sockets, with scripted servers, a scripted discovery service and a client. Time-outs
+ * only end a test that has failed.
+ */
 abstract class LoopbackFixture {
     static final byte[] NOTHING = new byte[0];
     static final int SOCKETS = 60;
+    private static final long STEP_US = 500_000;
     static final String SETTINGS = """
         {"balancers":1,"caps":{"cancel":true,"connect-timeout-us":400000,"conn-idle-us":15000000,"max-streams":100,
         "max-retry-after-us":2000000,"peer-messages":false,"probing":true,"retry-after":true,"second-copies":true,
@@ -55,53 +57,29 @@
     FakeServer.Line follow;
     Path file;
     final List<Event> recorded = new CopyOnWriteArrayList<>();
-    /** Run in the event thread as it records an event: holds that thread at a known place. */
+    /** Called in the event thread with each event that it records; can hold that thread at a known place. */
     volatile Consumer<Event> onRecord = event -> {};
-    /** Moves the front's clock on. */
+    /** Moves the proxy's clock on. */
     final AtomicLong laterUs = new AtomicLong();
-    /** Looks at it that move it on by half a second each, as in a process that waits for its turn. */
+    /** Reads of the clock that each move it on by half a second, as in a process that waits for the processor. */
     final AtomicInteger steps = new AtomicInteger();
-    /** Taken away to hold the I/O thread up at its next look at the clock. */
+    /** Acquired by a test to hold the I/O thread at its next read of the clock. */
     final Semaphore ioTurn = new Semaphore(1);
 
-    /** The settings that the front is started with. */
+    /** The settings that the proxy is started with. */
     String settings() {
         return SETTINGS;
     }
 
     @BeforeEach
-    void start(@TempDir Path folder) throws IOException, InterruptedException {
+    void start(@TempDir Path directory) throws IOException, InterruptedException {
         cache = new FakeServer();
         parent = new FakeServer();
         origin = new FakeServer();
         coordinator = new FakeServer();
-        file = folder.resolve("config.json");
-        Files.writeString(
-                file,
-                "{\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
-                        + SOCKETS + ",\"memory_mb\":1},\"coordinator\":\"" + coordinator.address()
-                        + "\",\"known\":{\"index\":1,"
-                        + "\"updates\":[{\"index\":1,\"endpoints\":{\"instances\":["
-                        + entry("c-1", cache, "edge-1", "box", "active")
-                        + "," + entry("p-1", parent, "north", "parent", "active") + ","
-                        + entry("o-1", origin, "north", "origin", "active") + "]}}]},\"settings\":" + settings() + "}");
-        Configuration c = Configuration.read(file.toFile());
-        front = new ProxyServer(
-                c,
-                () -> {
-                    Instant now = Instant.now();
-                    if (Thread.currentThread().getName().contains("Processor")) {
-                        // The time it saw is old when it goes on, as in a thread that lost the processor.
-                        ioTurn.acquireUninterruptibly();
-                        ioTurn.release();
-                    }
-                    long step = steps.getAndUpdate(n -> Math.max(0, n - 1)) > 0 ? 500_000 : 0;
-                    return now.getEpochSecond() * 1_000_000 + now.getNano() / 1000 + laterUs.addAndGet(step);
-                },
-                (unixUs, event) -> {
-                    recorded.add(event);
-                    onRecord.accept(event);
-                });
+        file = directory.resolve("config.json");
+        Files.writeString(file, configuration());
+        front = new ProxyServer(Configuration.read(file.toFile()), this::nowUs, this::record);
         front.open(new InetSocketAddress("127.0.0.1", 0));
         events = new Thread(front::run);
         events.start();
@@ -109,6 +87,37 @@
         follow = coordinator.next();
         assertEquals("follow 1", follow.text());
         follow.reply("1\n");
+        awaitHealth();
+    }
+
+    private String configuration() {
+        return "{\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + SOCKETS
+                + ",\"memory_mb\":1},\"coordinator\":\"" + coordinator.address()
+                + "\",\"known\":{\"index\":1,\"updates\":[{\"index\":1,\"endpoints\":{\"instances\":["
+                + entry("c-1", cache, "edge-1", "box", "active") + ","
+                + entry("p-1", parent, "north", "parent", "active") + ","
+                + entry("o-1", origin, "north", "origin", "active") + "]}}]},\"settings\":" + settings() + "}";
+    }
+
+    private long nowUs() {
+        Instant now = Instant.now();
+        if (Thread.currentThread().getName().contains("Processor")) {
+            // The time read is old when the thread goes on, as in a thread that lost the processor.
+            ioTurn.acquireUninterruptibly();
+            ioTurn.release();
+        }
+        long stepUs = steps.getAndUpdate(left -> Math.max(0, left - 1)) > 0 ? STEP_US : 0;
+        return TimeUnit.SECONDS.toMicros(now.getEpochSecond())
+                + TimeUnit.NANOSECONDS.toMicros(now.getNano())
+                + laterUs.addAndGet(stepUs);
+    }
+
+    private void record(long unixUs, Event event) {
+        recorded.add(event);
+        onRecord.accept(event);
+    }
+
+    private void awaitHealth() throws IOException {
         do {
             client.ask(1, "/_health", NOTHING);
         } while (!client.answer().startsWith("1 Status: 200"));
@@ -125,54 +134,21 @@
         client.close();
         front.close();
         events.join();
-        recordsAreSound();
+        RecordedEventOrder.check(recorded);
         for (FakeServer server : new FakeServer[] {cache, parent, origin, coordinator}) {
             server.close();
         }
     }
 
-    /** Whatever a test did: no second final answer, no end of what was not sent, nothing sent that was not taken. */
-    private void recordsAreSound() {
-        Set<Long> taken = new HashSet<>();
-        Set<Long> over = new HashSet<>();
-        Set<String> out = new HashSet<>();
-        for (Event event : recorded) {
-            if (event instanceof Event.RequestAdmitted t) {
-                assertTrue(taken.add(t.request()), t.toString());
-            } else if (event instanceof Event.AttemptSent s) {
-                assertTrue(taken.contains(s.request()) && out.add(s.request() + " " + s.attempt()), s.toString());
-            } else if (event instanceof Event.AttemptEnded e) {
-                assertTrue(out.remove(e.request() + " " + e.attempt()), e.toString());
-            } else if (event instanceof Event.RequestCompleted a) {
-                assertTrue(taken.contains(a.request()) && over.add(a.request()), a.toString());
-            } else if (event instanceof Event.ClientDisconnected l) {
-                assertTrue(taken.contains(l.request()) && over.add(l.request()), l.toString());
-            }
-        }
-        assertTrue(recorded.get(0) instanceof Event.ProxyStarted);
-    }
-
-    /** What a client tells of a request for the usual object, as pairs of name and value. */
     static String[] headers(String request) {
-        return new String[] {
-            "X-Request-Id",
-            request,
-            "X-Timeout-Ms",
-            "60000",
-            "X-Object",
-            "7f3a9c21e0b4d655",
-            "X-N",
-            "0",
-            "X-Shard",
-            "17"
-        };
+        return RequestHeaders.of(request);
     }
 
     void ask(int id, String request, String type) throws IOException {
         client.ask(id, "/invoke/" + type, type.equals("media") ? NOTHING : "move".getBytes(), headers(request));
     }
 
-    /** Writes an event, and waits for the break behind it to show that it was heard. */
+    /** Sends an event and breaks the stream; that the proxy follows from behind the event shows that it was read. */
     void coordinatorTells(String event) throws IOException, InterruptedException {
         follow.reply(event + "\n");
         follow.socket().shutdownOutput();
--- a/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
@@ -9,17 +9,13 @@
 
 /** Memory that open requests hold, on loopback sockets. */
 class LoopbackMemoryTest extends LoopbackFixture {
-    /** Bodies are held until their answer: hundreds of large ones would take all memory. */
+    /** Guards against hundreds of large bodies, which are held until their response and would take all memory. */
     @Test
     void bodiesOfOpenRequestsAreBoundedByMemory() throws IOException, InterruptedException {
         byte[] body = new byte[60_000];
-        String[] move = {
-            "X-Request-Id", "", "X-Timeout-Ms", "60000", "X-Object", "7f3a9c21e0b4d655", "X-N", "0", "X-Shard", "17"
-        };
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
-            move[1] = "c00000000000000" + i;
-            client.ask(i + 1, "/invoke/stock-move", body, move);
+            client.ask(i + 1, "/invoke/stock-move", body, headers("c00000000000000" + i));
             sent[i] = origin.next();
             origin.next();
         }
--- a/src/test/java/petrelplank/cli/LoopbackTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackTest.java
@@ -16,27 +16,27 @@
 import petrelplank.settings.FormatException;
 import petrelplank.upstream.FakeServer;
 
-/** Requests and their answers, on loopback sockets. */
+/** Requests and their responses, on loopback sockets. */
 class LoopbackTest extends LoopbackFixture {
-    /** What the first clients need is run before, by the front's own means, and leaves nothing behind. */
+    /** The warm-up takes the way of a client's requests and leaves nothing behind. */
     @Test
-    void warmUpAsksTheFrontAndSendsNothingToServers() throws IOException {
+    void warmUpAsksTheProxyAndSendsNothingToServers() throws IOException {
         ListenerWarmup.ask(front.address(), 2);
         client.ask(1, "/_health", NOTHING);
         assertTrue(client.answer().startsWith("1 Status: 200"));
         assertTrue(cache.quiet() && parent.quiet() && origin.quiet());
-        assertThrows(IOException.class, () -> ListenerWarmup.ask(new InetSocketAddress("127.0.0.1", unused()), 1));
+        assertThrows(IOException.class, () -> ListenerWarmup.ask(new InetSocketAddress("127.0.0.1", unusedPort()), 1));
     }
 
     /** A port that nothing listens at. */
-    private static int unused() throws IOException {
+    private static int unusedPort() throws IOException {
         try (FakeServer closed = new FakeServer()) {
             return Integer.parseInt(closed.address().substring(closed.address().indexOf(':') + 1));
         }
     }
 
     @Test
-    void healthIsGoodAndABadRequestIsAnsweredAsSuch() throws IOException {
+    void healthIsGoodAndABadRequestIsRejected() throws IOException {
         client.ask(1, "/_health", NOTHING);
         assertTrue(client.answer().startsWith("1 Status: 200"));
         String id = "9b1f03aa5c7e2d41";
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void answersAreServedWholeOnceAndInAnyOrder() throws IOException, InterruptedException {
+    void responsesAreServedCompleteOnceAndInAnyOrder() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line one = cache.next();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void abortedRequestIsCalledOffAndNeverAnswered() throws IOException, InterruptedException {
+    void abortedRequestIsCancelledAndNeverAnswered() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         client.abort(1);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void resetReadIsSentAgainAndServed() throws IOException, InterruptedException {
+    void readWhoseConnectionIsResetIsRetried() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         cache.next().reset();
         FakeServer.Line again = parent.next();
@@ -104,9 +104,9 @@
         assertTrue(client.answer().endsWith("one"));
     }
 
-    /** Just started under part of a core, fronts took all their caches for dead, since they came to no connect in time. */
+    /** Guards against a proxy short of processor time that took all its caches for dead: its connects came too late. */
     @Test
-    void frontThatIsHeldUpItselfTakesNoServerForDead() throws IOException, InterruptedException {
+    void proxyThatIsHeldUpItselfEjectsNoServer() throws IOException, InterruptedException {
         steps.set(20);
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
@@ -126,7 +126,7 @@
         assertTrue(client.answer().endsWith("one"));
     }
 
-    /** A spoilt answer ends what is open on its connection, and nothing on the others. */
+    /** A malformed response ends what is in flight on its connection, and nothing on the others. */
     @Test
     void fewRequestsShareAConnection() throws IOException, InterruptedException {
         FakeServer.Line[] sent = new FakeServer.Line[3];
@@ -143,16 +143,16 @@
         assertTrue(client.answer().endsWith("ok"));
     }
 
-    /** Nothing behind an answer that stops short can be read, while the connection stays open. */
+    /** Nothing behind a truncated response can be read, while the connection stays open. */
     @Test
-    void answerThatStopsShortEndsItsConnection() throws IOException, InterruptedException {
+    void truncatedResponseEndsItsConnection() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 10\r\nhalf");
         assertTrue(cache.ended() == first.socket());
     }
 
-    /** Without a handler the platform ends the process at SIGHUP. */
+    /** Without a handler the Java runtime ends the process at SIGHUP. */
     @Test
     void signalRunsItsHandlerInsteadOfEndingTheProcess() throws IOException, InterruptedException {
         CountDownLatch handled = new CountDownLatch(1);
@@ -161,60 +161,53 @@
         handled.await();
     }
 
-    /** A client's copy is called current only where a cache has named that very copy. */
+    /** A client's copy is called current only where the cache names that very copy, whatever it named before. */
     @Test
-    void copyIsCalledCurrentOnlyWhereACacheHasNamedIt() throws IOException, InterruptedException {
-        for (String[] said : new String[][] {
-            {"ver=4be0,tell=HIT", "1 Status: 200", "aaaaaaaaaaaaaaaa"},
-            {"ver=77aa,tell=HIT", "again", "bbbbbbbbbbbbbbbb"},
-            {"tell=HIT", "again", "cccccccccccccccc"}
-        }) {
-            client.ask(
-                    1,
-                    "/invoke/media",
-                    NOTHING,
-                    "X-Request-Id",
-                    said[2],
-                    "X-Timeout-Ms",
-                    "60000",
-                    "X-Object",
-                    "7f3a9c21e0b4d655",
-                    "X-N",
-                    "0",
-                    "X-Shard",
-                    "17",
-                    "X-Mine",
-                    "\"4be0\"");
-            FakeServer.Line fetch = cache.next();
-            assertTrue(fetch.text().contains(",seen=4be0"), fetch.text());
-            fetch.reply(said[2] + " NOMOD " + said[0] + " 0\r\n\r\n");
-            if (said[1].equals("again")) {
-                parent.next().reply(said[2] + " ACK ver=77aa 3\r\none\r\n");
-                assertTrue(client.answer().endsWith("one"));
-            } else {
-                String answer = client.answer();
-                assertTrue(answer.startsWith(said[1]) && answer.contains("X-Still: 1"), answer);
-            }
-        }
+    void copyIsCalledCurrentOnlyWhereTheCacheNamesIt() throws IOException, InterruptedException {
+        askForACopyNewerThan4be0("aaaaaaaaaaaaaaaa").reply("aaaaaaaaaaaaaaaa NOMOD ver=4be0,tell=HIT 0\r\n\r\n");
+        String answer = client.answer();
+        assertTrue(answer.startsWith("1 Status: 200") && answer.contains("X-Still: 1"), answer);
+        isFetchedElsewhereAfter("bbbbbbbbbbbbbbbb", "ver=77aa,tell=HIT");
+        isFetchedElsewhereAfter("cccccccccccccccc", "tell=HIT");
     }
 
-    /** Sizes told with requests count as the settings do; limits and patience go by the bytes of the sockets. */
+    private void isFetchedElsewhereAfter(String request, String fields) throws IOException, InterruptedException {
+        askForACopyNewerThan4be0(request).reply(request + " NOMOD " + fields + " 0\r\n\r\n");
+        parent.next().reply(request + " ACK ver=77aa 3\r\none\r\n");
+        assertTrue(client.answer().endsWith("one"));
+    }
+
+    private FakeServer.Line askForACopyNewerThan4be0(String request) throws IOException, InterruptedException {
+        client.ask(1, "/invoke/media", NOTHING, RequestHeaders.of(request, "X-Mine", "\"4be0\""));
+        FakeServer.Line fetch = cache.next();
+        assertTrue(fetch.text().contains(",seen=4be0"), fetch.text());
+        return fetch;
+    }
+
+    /** Sizes told with requests count as the settings do; limits and time-outs go by the bytes of the sockets. */
     @Test
     void sizesToldAreScaledToTheSockets() throws IOException {
-        assertEquals(1, Configuration.read(file.toFile()).sizeScale());
-        Files.writeString(file, Files.readString(file).replaceFirst("\\{", "{\"flow_bytes_per_s\":20480,"));
-        assertEquals(20 / 8000.0, Configuration.read(file.toFile()).sizeScale());
+        assertEquals(1, configuration().sizeScale());
+        configure("\\{", "{\"flow_bytes_per_s\":20480,");
+        assertEquals(20 / 8000.0, configuration().sizeScale());
     }
 
     /** Objects on the sockets may have other sizes than the settings count in; all rates follow the sockets. */
     @Test
     void ratesAreInTheBytesOfTheSockets() throws IOException {
-        assertEquals(8000, Configuration.read(file.toFile()).settings().flowKbPerSecond());
-        Files.writeString(file, Files.readString(file).replaceFirst("\\{", "{\"flow_bytes_per_s\":20480,"));
-        assertEquals(20, Configuration.read(file.toFile()).settings().flowKbPerSecond());
-        Files.writeString(file, Files.readString(file).replace("20480", "-1"));
-        assertTrue(assertThrows(FormatException.class, () -> Configuration.read(file.toFile()))
-                .getMessage()
-                .contains("flow_bytes_per_s"));
+        assertEquals(8000, configuration().settings().flowKbPerSecond());
+        configure("\\{", "{\"flow_bytes_per_s\":20480,");
+        assertEquals(20, configuration().settings().flowKbPerSecond());
+        configure("20480", "-1");
+        FormatException fault = assertThrows(FormatException.class, this::configuration);
+        assertTrue(fault.getMessage().contains("flow_bytes_per_s"));
+    }
+
+    private Configuration configuration() throws IOException {
+        return Configuration.read(file.toFile());
+    }
+
+    private void configure(String pattern, String replacement) throws IOException {
+        Files.writeString(file, Files.readString(file).replaceFirst(pattern, replacement));
     }
 }
--- a/src/test/java/petrelplank/cli/StandIn.java
+++ b/src/test/java/petrelplank/cli/StandIn.java
@@ -5,17 +5,15 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** A stand-in that listens on loopback at a free port and serves each connection on a thread of its own. */
+/** A server for tests: listens on loopback at a free port and serves each connection in a thread of its own. */
 abstract class StandIn implements AutoCloseable {
     private final ServerSocket listener;
-    /** Set once the test is over. */
+    /** Whether {@link #close} was called. */
     protected volatile boolean closed;
 
     StandIn(String name) throws IOException {
         listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-        Thread t = new Thread(this::accept, name);
-        t.setDaemon(true);
-        t.start();
+        startDaemon(this::accept, name);
     }
 
     /** The port it listens at. */
@@ -23,20 +21,24 @@
         return listener.getLocalPort();
     }
 
-    /** A connection was accepted, before it is served. */
+    /** Called with each connection that is accepted, before it is served. */
     void accepted() {}
 
-    /** Serves one connection until it ends; on its own thread. */
-    abstract void serve(Socket s);
+    /** Serves one connection until it ends, in its own thread. */
+    abstract void serve(Socket connection);
+
+    private static void startDaemon(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
+        thread.setDaemon(true);
+        thread.start();
+    }
 
     private void accept() {
         while (!closed) {
             try {
-                Socket s = listener.accept();
+                Socket connection = listener.accept();
                 accepted();
-                Thread t = new Thread(() -> serve(s), "stand-in-connection");
-                t.setDaemon(true);
-                t.start();
+                startDaemon(() -> serve(connection), "fake-server-connection");
             } catch (IOException e) {
                 return;
             }
--- a/src/test/java/petrelplank/settings/SettingsTest.java
+++ b/src/test/java/petrelplank/settings/SettingsParserTest.java
@@ -23,7 +23,7 @@
 import petrelplank.routing.WeightMeaning;
 
 /** Settings that are absent, of the wrong type or contradictory: the default that is documented, or place and rule. */
-class SettingsTest {
+class SettingsParserTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String SETUP = """
         {"balancers":4,"caps":{"cancel":true,"connect-timeout-us":400000,"conn-idle-us":15000000,"max-streams":100,
