--- a/src/test/java/petrelplank/settings/SettingsParserTest.java
+++ b/src/test/java/petrelplank/settings/SettingsParserTest.java
@@ -10,8 +10,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
@@ -22,10 +22,10 @@
 import petrelplank.routing.SiblingFillPolicy;
 import petrelplank.routing.WeightMeaning;
 
-/** Settings that are absent, of the wrong type or contradictory: the default that is documented, or place and rule. */
+/** Settings that are absent, of the wrong type or contradictory have their documented default, or are reported. */
 class SettingsParserTest {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String SETUP = """
+    private static final String SETTINGS = """
         {"balancers":4,"caps":{"cancel":true,"connect-timeout-us":400000,"conn-idle-us":15000000,"max-streams":100,
         "max-retry-after-us":500000,"peer-messages":false,"probing":false,"retry-after":true,"second-copies":false,
         "try-limit":8},"discovery":"automatic","family-info":{"class-grace-us":[20000000,0],"class-write":[false,true],
@@ -42,8 +42,8 @@
         "late-worth":0,"name":"mark","repeat":"guarded","stream":false,"worth":3.0}],"tenants":[{"name":"acme",
         "allowance-per-s":40.5,"fraction":0.4},{"name":"other","allowance-per-s":60,"fraction":0.6}],
         "weights":"rough","zone":"edge-1"}""";
-    /** Without these there is nothing to decide by; all others have a default. */
-    private static final Set<String> NEEDED = Set.of(
+    /** All other settings have a default. */
+    private static final Set<String> REQUIRED = Set.of(
             "balancers",
             "caps",
             "try-limit",
@@ -62,31 +62,41 @@
             "repeat",
             "zone");
 
-    private static RouterSettings read(JsonNode tree) throws IOException {
-        try (JsonParser in = JSON.createParser(tree.toString())) {
-            in.nextToken();
-            return SettingsParser.settings(JsonValue.read(in).asObject("settings"));
+    /** Read by {@link Configuration}, or not at all. */
+    private static final Set<String> NOT_CHECKED = Set.of("fraction", "how", "conn-idle-us", "max-streams");
+
+    private static final List<String> OF_ALL_TYPES = List.of("\"what\"", "[[1]]", "{\"a\":1}", "true", "-7.5");
+
+    private static RouterSettings parse(JsonNode tree) throws IOException {
+        try (JsonParser parser = JSON.createParser(tree.toString())) {
+            parser.nextToken();
+            return SettingsParser.settings(JsonValue.read(parser).asObject("settings"));
         }
     }
 
     private static ObjectNode tree() throws IOException {
-        return (ObjectNode) JSON.readTree(SETUP);
+        return (ObjectNode) JSON.readTree(SETTINGS);
     }
 
-    /** The paths of all fields of objects. */
-    private static List<String> paths(JsonNode node, String at) {
+    /** The JSON pointers of all fields of objects in a tree. */
+    private static List<String> paths(JsonNode tree) {
         List<String> paths = new ArrayList<>();
+        addPaths(tree, "", paths);
+        return paths;
+    }
+
+    private static void addPaths(JsonNode node, String path, List<String> paths) {
         if (node instanceof ObjectNode object) {
-            object.properties().forEach(e -> {
-                paths.add(at + "/" + e.getKey());
-                paths.addAll(paths(e.getValue(), at + "/" + e.getKey()));
-            });
+            for (Map.Entry<String, JsonNode> field : object.properties()) {
+                String fieldPath = path + "/" + field.getKey();
+                paths.add(fieldPath);
+                addPaths(field.getValue(), fieldPath, paths);
+            }
         } else if (node instanceof ArrayNode array) {
             for (int i = 0; i < array.size(); i++) {
-                paths.addAll(paths(array.get(i), at + "/" + i));
+                addPaths(array.get(i), path + "/" + i, paths);
             }
         }
-        return paths;
     }
 
     private static ObjectNode parent(JsonNode tree, String path) {
@@ -98,67 +108,63 @@
     }
 
     @Test
-    void tenantsAreReadWithTheirAllowances() throws IOException {
-        RouterSettings settings = read(tree());
+    void tenantsAreReadWithTheirQuotas() throws IOException {
+        RouterSettings settings = parse(tree());
         assertThat(settings.tenants())
-                .extracting(t -> t.name() + " " + t.quotaPerSecond())
+                .extracting(tenant -> tenant.name() + " " + tenant.quotaPerSecond())
                 .containsExactly("acme 40.5", "other 60.0");
         assertThat(settings.overQuotaWeightFactor()).isEqualTo(0.1);
     }
 
-    /** What is absent, or null, is named where it is needed; else the front starts with the default. */
+    /** A required setting that is absent or null is named in the error; without any other, the default holds. */
     @Test
-    void absentSettingsAreNamedOrHaveADefault() throws IOException {
-        Set<String> refused = new TreeSet<>();
-        for (String path : paths(tree(), "")) {
+    void absentSettingsAreReportedOrHaveADefault() throws IOException {
+        Set<String> reported = new TreeSet<>();
+        for (String path : paths(tree())) {
             ObjectNode without = tree();
             parent(without, path).remove(name(path));
             ObjectNode empty = tree();
             parent(empty, path).putNull(name(path));
             for (JsonNode tree : List.of(without, empty)) {
                 try {
-                    read(tree);
+                    parse(tree);
                 } catch (FormatException | IllegalArgumentException e) {
                     assertThat(e.getMessage()).as(path).contains(name(path)).doesNotContain("\n");
-                    refused.add(name(path));
+                    reported.add(name(path));
                 }
             }
         }
-        assertThat(refused).isEqualTo(new TreeSet<>(NEEDED));
+        assertThat(reported).isEqualTo(new TreeSet<>(REQUIRED));
     }
 
-    /** A value of another type is never taken for something else, nor does it end in a fault of the program. */
+    /** A value of another type is never taken for something else, and is no fault of the program. */
     @Test
-    void settingsOfTheWrongTypeAreNamed() throws IOException {
-        for (String path : paths(tree(), "")) {
-            for (JsonNode other : Arrays.asList(
-                    JSON.readTree("\"what\""),
-                    JSON.readTree("[[1]]"),
-                    JSON.readTree("{\"a\":1}"),
-                    JSON.readTree("true"),
-                    JSON.readTree("-7.5"))) {
-                ObjectNode tree = tree();
-                JsonNode was = tree.at(path);
-                if (was.getNodeType() != other.getNodeType()) {
-                    parent(tree, path).set(name(path), other);
-                    if (name(path).equals("fraction")
-                            || name(path).equals("how")
-                            || name(path).equals("conn-idle-us")
-                            || name(path).equals("max-streams")) {
-                        continue; // read elsewhere, or not at all
-                    }
-                    assertThatThrownBy(() -> read(tree))
-                            .as(path + " " + other)
-                            .isInstanceOfAny(FormatException.class, IllegalArgumentException.class)
-                            .hasMessageContaining(name(path));
+    void settingsOfTheWrongTypeAreReported() throws IOException {
+        for (String path : paths(tree())) {
+            if (NOT_CHECKED.contains(name(path))) {
+                continue;
+            }
+            for (String text : OF_ALL_TYPES) {
+                JsonNode value = JSON.readTree(text);
+                if (tree().at(path).getNodeType() != value.getNodeType()) {
+                    assertReported(path, value, name(path));
                 }
             }
         }
     }
 
+    private static void assertReported(String path, JsonNode value, String message) throws IOException {
+        ObjectNode tree = tree();
+        parent(tree, path).set(name(path), value);
+        assertThatThrownBy(() -> parse(tree))
+                .as(path + " " + value)
+                .isInstanceOfAny(FormatException.class, IllegalArgumentException.class)
+                .hasMessageContaining(message);
+    }
+
     @Test
-    void contradictionsAreNamedWithTheirRule() throws IOException {
-        String[][] cases = {
+    void contradictionsAreReportedWithTheirRule() throws IOException {
+        String[][] pathValueAndRule = {
             {"/zone", "\"south\"", "must be one of"},
             {"/balancers", "0", "above 0"},
             {"/caps/try-limit", "0", "above 0"},
@@ -175,19 +181,14 @@
             {"/caps/connect-timeout-us", "-1", "0 or more"},
             {"/family-info/flow-kb-per-s", "-1", "0 or more"}
         };
-        for (String[] one : cases) {
-            ObjectNode tree = tree();
-            parent(tree, one[0]).set(name(one[0]), JSON.readTree(one[1]));
-            assertThatThrownBy(() -> read(tree))
-                    .as(one[0])
-                    .isInstanceOfAny(FormatException.class, IllegalArgumentException.class)
-                    .hasMessageContaining(one[2]);
+        for (String[] contradiction : pathValueAndRule) {
+            assertReported(contradiction[0], JSON.readTree(contradiction[1]), contradiction[2]);
         }
     }
 
-    /** A word that this program does not know never allows more than it may: no repeat, no source, no note, no weight. */
+    /** A word that is not known never allows more than may be: no retry, no sibling fill, no cache status, no weight. */
     @Test
-    void unknownWordsAreTakenForTheMostCarefulOne() throws IOException {
+    void unknownWordsStandForTheMostCarefulValue() throws IOException {
         ObjectNode tree = tree();
         for (String path : List.of(
                 "/services/0/repeat",
@@ -197,7 +198,7 @@
                 "/weights")) {
             parent(tree, path).put(name(path), "new-word");
         }
-        RouterSettings settings = read(tree);
+        RouterSettings settings = parse(tree);
         assertThat(settings.classes().get(0).idempotency()).isEqualTo(Idempotency.NON_IDEMPOTENT);
         assertThat(settings.classes().get(0).idempotencyScope()).isEqualTo(IdempotencyScope.CELL);
         assertThat(settings.cacheStatusDetail()).isEqualTo(CacheStatusDetail.NONE);
