--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -91,7 +91,7 @@
         toServers.getSessionConfig().setTcpNoDelay(true);
         toServers.getSessionConfig().setReadBufferSize(READ_BUFFER);
         toServers.getSessionConfig().setMaxReadBufferSize(MOST_READ_BUFFER);
-        int sockets = Math.max(1, c.sockets() * SOCKET_PARTS / 5);
+        int sockets = Math.max(1, c.maxDescriptors() * SOCKET_PARTS / 5);
         DescriptorBudget ofClients = new DescriptorBudget(sockets);
         DescriptorBudget ofServers = new DescriptorBudget(sockets);
         io.share(toServers, ofServers);
@@ -102,9 +102,9 @@
         acceptor.setBacklog(BACKLOG);
         ConnectionLimits limits = new ConnectionLimits(
                 ofServers,
-                c.streams(),
+                c.maxStreamsPerConnection(),
                 Math.max(LEAST_CONNECT_US, c.settings().connectTimeoutUs()),
-                c.idleUs(),
+                c.idleTimeoutUs(),
                 ConnectionLimits.perServer(c.settings().zoneGatewayCount()),
                 c.settings().permissions().hedging());
         front = new EdgeProxy(loop, c.settings(), c.seed(), OPEN_PER_MB * c.memoryMb(), sink, (l, relay) -> {
@@ -113,14 +113,14 @@
             return pool;
         });
         settings = c.settings();
-        for (JsonFields known : c.known()) {
+        for (JsonFields known : c.knownEvents()) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(known);
             front.onEvent(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
                 change.entries().forEach(e -> list.add(e.member()));
             }
         }
-        follower = new DiscoveryClient(loop, front, toCoordinator, c.coordinator(), c.seed());
+        follower = new DiscoveryClient(loop, front, toCoordinator, c.discoveryAddress(), c.seed());
         clients = new FastCgiAcceptor(loop, front, acceptor, ofClients, (long) c.memoryMb() << 20, c.sizeScale());
         long longest = c.settings().classes().stream()
                 .mapToLong(ServiceClass::deadlineUs)
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -23,9 +23,6 @@
 
 /** {@code report}: the course of an incident from the records of fronts. */
 public final class ReportCommand extends BaseCommand {
-    /** Exit status where some of the files could not be read, and the report was made of the rest. */
-    private static final int IN_PART = 3;
-
     @Argument(metaVar = "DIR", required = true, usage = "directories with records, or record files")
     private List<String> places = new ArrayList<>();
 
@@ -77,6 +74,6 @@
             Files.writeString(out.toPath(), Page.of(course, findings, reader.troubles()));
         }
         System.out.print(Summary.of(course, findings));
-        return reader.troubles().isEmpty() ? 0 : IN_PART;
+        return reader.troubles().isEmpty() ? ExitStatus.SUCCESS : ExitStatus.INCOMPLETE_RECORDS;
     }
 }
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -54,7 +54,7 @@
                 LOG.warning("started with SIGHUP ignored (nohup?): a new configuration will not be read");
             }
             Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(front), "drain"));
-            front.open(listen == null ? c.listen() : Addresses.parse(listen));
+            front.open(listen == null ? c.listenAddress() : Addresses.parse(listen));
         } catch (JsonProcessingException e) {
             return unusable(config + ": not JSON: " + e.getOriginalMessage());
         } catch (YamlException e) {
@@ -70,7 +70,7 @@
     static void reload(ProxyServer front, File file) {
         try {
             Configuration next = Configuration.read(file);
-            front.follow(next.coordinator(), next.known());
+            front.follow(next.discoveryAddress(), next.knownEvents());
         } catch (IOException | RuntimeException e) {
             LOG.warning("SIGHUP: " + file + " can't be used, the old configuration stays: "
                     + String.valueOf(e.getMessage()).replace('\n', ' '));
--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -37,11 +37,11 @@
      * @return the event
      */
     public static DiscoveryEvent decode(JsonFields f) {
-        long index = f.whole("index");
+        long index = f.integer("index");
         if (f.has("evict")) {
             JsonFields purge = f.object("evict");
             Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
-            return new DiscoveryEvent.Purge(index, object, (int) purge.whole("shard", -1), purge.whole("unix_ms"));
+            return new DiscoveryEvent.Purge(index, object, (int) purge.integer("shard", -1), purge.integer("unix_ms"));
         }
         if (!f.has("endpoints")) {
             // Guards against a kind of event not known here: it is passed over, and its number counts as heard.
@@ -49,21 +49,21 @@
         }
         JsonFields list = f.object("endpoints");
         List<DiscoveryEvent.Entry> entries = new ArrayList<>();
-        for (JsonFields e : list.objects("instances", list.where() + " instance")) {
+        for (JsonFields e : list.objects("instances", list.path() + " instance")) {
             EndpointState state = switch (e.text("lifecycle")) {
                 case "active" -> EndpointState.UP;
                 case "leaving" -> EndpointState.DRAINING;
                 case "left" -> EndpointState.REMOVED;
-                default -> throw new FormatException(e.where() + ": lifecycle " + e.text("lifecycle"));
+                default -> throw new FormatException(e.path(), "lifecycle " + e.text("lifecycle"));
             };
             EndpointInfo member = new EndpointInfo(
                     e.text("instanceId"),
                     e.text("zone"),
                     e.text("machineType"),
-                    (int) e.whole("cell", 0),
+                    (int) e.integer("cell", 0),
                     state,
                     e.number("weight", 1),
-                    1000 * e.whole("startedAtMs", 0));
+                    1000 * e.integer("startedAtMs", 0));
             InetSocketAddress address = Addresses.parse(e.text("hostPort"));
             entries.add(new DiscoveryEvent.Entry(member, address));
         }
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -15,37 +15,37 @@
  * The configuration file of one proxy.
  *
  * @param name the proxy's name
- * @param listen the address at which clients connect
+ * @param listenAddress the address at which clients connect
  * @param seed seeds the random numbers
- * @param sockets descriptors that the process may hold
+ * @param maxDescriptors descriptors that the process may hold
  * @param memoryMb the memory limit of the process
- * @param coordinator the address of the discovery service
- * @param knownIndex the number of the last event in {@code known}
- * @param known events of the discovery service up to that number, one object each
+ * @param discoveryAddress the address of the discovery service
+ * @param knownIndex the number of the last event in {@code knownEvents}
+ * @param knownEvents events of the discovery service up to that number, one object each
  * @param settings the settings of the router, as the simulator has them too
- * @param streams requests in flight on one upstream connection at most
- * @param idleUs servers close idle connections after this time
+ * @param maxStreamsPerConnection requests in flight on one upstream connection at most
+ * @param idleTimeoutUs servers close idle connections after this time
  * @param sizeScale bytes on the sockets over those that the settings and the clients count in
  */
 public record Configuration(
         String name,
-        InetSocketAddress listen,
+        InetSocketAddress listenAddress,
         long seed,
-        int sockets,
+        int maxDescriptors,
         int memoryMb,
-        InetSocketAddress coordinator,
+        InetSocketAddress discoveryAddress,
         long knownIndex,
-        List<JsonFields> known,
+        List<JsonFields> knownEvents,
         RouterSettings settings,
-        int streams,
-        long idleUs,
+        int maxStreamsPerConnection,
+        long idleTimeoutUs,
         double sizeScale) {
     private static final JsonFactory JSON = new JsonFactory();
     private static final String DEFAULT_NAME = "front";
-    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
     private static final int DEFAULT_MEMORY_MB = 192;
-    private static final int DEFAULT_STREAMS = 100;
-    private static final long DEFAULT_IDLE_US = 15_000_000;
+    private static final int DEFAULT_MAX_STREAMS = 100;
+    private static final long DEFAULT_IDLE_TIMEOUT_US = 15_000_000;
 
     /**
      * Reads a configuration file.
@@ -73,14 +73,14 @@
                 file.text(Config.NAME, DEFAULT_NAME),
                 Addresses.parse(file.text(Config.LISTEN_ADDRESS)),
                 file.hex(Config.SEED),
-                (int) limits.whole(Config.MAX_DESCRIPTORS, DEFAULT_SOCKETS),
-                (int) limits.whole(Config.MEMORY_MB, DEFAULT_MEMORY_MB),
+                (int) limits.integer(Config.MAX_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS),
+                (int) limits.integer(Config.MEMORY_MB, DEFAULT_MEMORY_MB),
                 Addresses.parse(file.text(Config.DISCOVERY_ADDRESS)),
-                known.whole(Config.KNOWN_INDEX, 0),
+                known.integer(Config.KNOWN_INDEX, 0),
                 known.objects(Config.KNOWN_EVENTS, "known update"),
                 SettingsParser.settings(settings, file.number(Config.FLOW_BYTES_PER_SECOND, 0)),
-                (int) Math.max(1, capabilities.whole(Capability.MAX_STREAMS_PER_CONNECTION, DEFAULT_STREAMS)),
-                Math.max(1, capabilities.whole(Capability.IDLE_TIMEOUT_US, DEFAULT_IDLE_US)),
+                (int) Math.max(1, capabilities.integer(Capability.MAX_STREAMS_PER_CONNECTION, DEFAULT_MAX_STREAMS)),
+                Math.max(1, capabilities.integer(Capability.IDLE_TIMEOUT_US, DEFAULT_IDLE_TIMEOUT_US)),
                 SettingsParser.sizeScale(settings, file.number(Config.FLOW_BYTES_PER_SECOND, 0)));
     }
 }
--- a/src/main/java/petrelplank/settings/JsonFields.java
+++ b/src/main/java/petrelplank/settings/JsonFields.java
@@ -25,7 +25,7 @@
     }
 
     /** Names the object in messages. */
-    public String where() {
+    public String path() {
         return path;
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** A whole number that must be there; one beyond 64 bits is cut to its low ones. */
-    public long whole(String name) {
+    public long integer(String name) {
         Object value = value(name);
         if (value instanceof Long number) {
             return number;
@@ -94,8 +94,8 @@
     }
 
     /** A whole number, or the other value where it is absent. */
-    public long whole(String name, long otherwise) {
-        return has(name) ? whole(name) : otherwise;
+    public long integer(String name, long otherwise) {
+        return has(name) ? integer(name) : otherwise;
     }
 
     /** A number, or the other value where it is absent. */
--- a/src/main/java/petrelplank/settings/ServiceClassParser.java
+++ b/src/main/java/petrelplank/settings/ServiceClassParser.java
@@ -29,7 +29,7 @@
 
     List<ServiceClass> parse() {
         List<JsonFields> services =
-                settings.indexedObjects(Settings.SERVICE_CLASSES, settings.where() + " " + Settings.SERVICE_CLASSES);
+                settings.indexedObjects(Settings.SERVICE_CLASSES, settings.path() + " " + Settings.SERVICE_CLASSES);
         List<ServiceClass> classes = new ArrayList<>();
         for (JsonFields service : services) {
             classes.add(parse(service, classes.size()));
@@ -43,14 +43,14 @@
                 SettingsEnums.idempotencyScope(service.text(Service.IDEMPOTENCY_SCOPE, SettingsEnums.ABSENT));
         return new ServiceClass(
                 service.text(Service.NAME),
-                service.whole(Service.LATENCY_OBJECTIVE_US),
+                service.integer(Service.LATENCY_OBJECTIVE_US),
                 service.number(Service.OBJECTIVE_SIZE_FACTOR, 0),
-                service.whole(Service.DEADLINE_US),
+                service.integer(Service.DEADLINE_US),
                 service.number(Service.PRIORITY_WEIGHT, DEFAULT_PRIORITY_WEIGHT),
                 service.number(Service.LATE_WEIGHT_FACTOR, 0),
                 idempotency,
                 scope,
-                service.whole(Service.IDEMPOTENCY_WINDOW_US, 0),
+                service.integer(Service.IDEMPOTENCY_WINDOW_US, 0),
                 service.flag(Service.STREAMED),
                 (long) elementOrZero(freshnessUs, index),
                 (long) elementOrZero(staleIfErrorUs, index),
--- a/src/main/java/petrelplank/settings/SettingsParser.java
+++ b/src/main/java/petrelplank/settings/SettingsParser.java
@@ -75,8 +75,8 @@
         List<String> kinds = settings.texts(Settings.KINDS);
         List<String> reportFields = reportFields();
         return new RouterSettings(
-                (int) settings.whole(Settings.SELF),
-                (int) settings.whole(Settings.GATEWAYS),
+                (int) settings.integer(Settings.SELF),
+                (int) settings.integer(Settings.GATEWAYS),
                 settings.text(Settings.ZONE),
                 settings.texts(Settings.ZONES),
                 integers(Family.ZONE_GATEWAYS),
@@ -89,7 +89,7 @@
                 SettingsEnums.cacheStatusDetail(family.text(Family.CACHE_STATUS_DETAIL, SettingsEnums.ABSENT)),
                 reportFields,
                 SettingsEnums.watchEndpoints(settings.text(Settings.DISCOVERY_MODE)),
-                capabilities.whole(Capability.CONNECT_TIMEOUT_US, 0),
+                capabilities.integer(Capability.CONNECT_TIMEOUT_US, 0),
                 new ServiceClassParser(settings, family).parse(),
                 permissions(),
                 platformRules(),
@@ -107,7 +107,7 @@
 
     /** The kind of endpoint at the index that a setting gives; null where it gives none. */
     private String kind(List<String> kinds, String name) {
-        long index = family.whole(name, -1);
+        long index = family.integer(name, -1);
         return index >= 0 && index < kinds.size() ? kinds.get((int) index) : null;
     }
 
@@ -131,7 +131,7 @@
     private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
         if (settings.has(Settings.TENANTS)) {
-            String path = settings.where() + " " + Settings.TENANTS;
+            String path = settings.path() + " " + Settings.TENANTS;
             for (JsonFields tenant : settings.indexedObjects(Settings.TENANTS, path)) {
                 tenants.add(new Tenant(
                         tenant.text(SettingsKeys.Tenant.NAME),
@@ -144,13 +144,13 @@
     private RoutingPermissions permissions() {
         String siblingFills = family.text(Family.SIBLING_FILLS, SettingsEnums.ABSENT);
         return new RoutingPermissions(
-                (int) capabilities.whole(Capability.MAX_ATTEMPTS),
+                (int) capabilities.integer(Capability.MAX_ATTEMPTS),
                 capabilities.flag(Capability.HEDGING),
                 capabilities.flag(Capability.CANCEL),
                 capabilities.flag(Capability.HEALTH_CHECKS),
                 capabilities.flag(Capability.GOSSIP),
                 capabilities.flag(Capability.RETRY_AFTER),
-                capabilities.whole(Capability.MAX_RETRY_AFTER_US, 0),
+                capabilities.integer(Capability.MAX_RETRY_AFTER_US, 0),
                 family.flag(Family.COALESCING),
                 family.flag(Family.DIRECT_TO_PARENTS),
                 SettingsEnums.siblingFillPolicy(siblingFills));
@@ -158,18 +158,18 @@
 
     private PlatformRules platformRules() {
         return new PlatformRules(
-                rules.whole(Rule.DRAIN_GRACE_US),
+                rules.integer(Rule.DRAIN_GRACE_US),
                 rules.number(Rule.SLOW_START_FROM, 0),
-                rules.whole(Rule.SLOW_START_US),
+                rules.integer(Rule.SLOW_START_US),
                 rules.number(Rule.OVERLOAD_MULTIPLE, 0),
-                rules.whole(Rule.OVERLOAD_US),
+                rules.integer(Rule.OVERLOAD_US),
                 family.number(Family.PARENT_SLOW_START_FROM, 0),
-                family.whole(Family.PARENT_SLOW_START_US, 0),
+                family.integer(Family.PARENT_SLOW_START_US, 0),
                 family.number(Family.PARENT_OVERLOAD_MULTIPLE, 0),
                 family.number(Family.ORIGIN_OVERLOAD_MULTIPLE, 0),
-                family.whole(Family.ORIGIN_OVERLOAD_US, 0),
-                family.whole(Family.PURGE_GRACE_US, 0),
-                family.whole(Family.PURGE_DONE_US, 0),
-                rules.whole(Rule.POLL_INTERVAL_US, 0));
+                family.integer(Family.ORIGIN_OVERLOAD_US, 0),
+                family.integer(Family.PURGE_GRACE_US, 0),
+                family.integer(Family.PURGE_DONE_US, 0),
+                rules.integer(Rule.POLL_INTERVAL_US, 0));
     }
 }
--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -29,20 +29,20 @@
     private SimulatorEventDecoder() {}
 
     static AttemptStatus status(JsonFields f) {
-        long code = f.whole("rc");
+        long code = f.integer("rc");
         if (code < 1 || code >= STATUS.length) {
-            throw new FormatException(f.where() + ": rc " + code + " is none of the endings");
+            throw new FormatException(f.path(), "rc " + code + " is none of the endings");
         }
         return STATUS[(int) code];
     }
 
     static CacheStatus cacheStatus(JsonFields f) {
-        long code = f.whole("note", 0);
+        long code = f.integer("note", 0);
         return code < 0 || code >= NOTE.length ? CacheStatus.NONE : NOTE[(int) code];
     }
 
     static List<EndpointInfo> members(JsonFields f) {
-        List<JsonFields> entries = f.indexedObjects("nodes-list", f.where() + " entry");
+        List<JsonFields> entries = f.indexedObjects("nodes-list", f.path() + " entry");
         List<EndpointInfo> members = new ArrayList<>(entries.size());
         for (JsonFields e : entries) {
             String mode = e.text("mode");
@@ -50,16 +50,16 @@
                 case "up" -> EndpointState.UP;
                 case "draining" -> EndpointState.DRAINING;
                 case "removed" -> EndpointState.REMOVED;
-                default -> throw new FormatException(e.where() + ": mode \"" + mode + "\" is unknown");
+                default -> throw new FormatException(e.path(), "mode \"" + mode + "\" is unknown");
             };
             members.add(new EndpointInfo(
                     e.text("cache"),
                     e.text("rack-zone"),
                     e.text("hw"),
-                    (int) e.whole("block", 0),
+                    (int) e.integer("block", 0),
                     state,
                     e.number("share", 1),
-                    e.whole("born-us", 0)));
+                    e.integer("born-us", 0)));
         }
         return members;
     }
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -43,7 +43,7 @@
                 throw new FormatException("more than one value on the line, at " + at(in));
             }
             JsonFields fields = batch.asObject("the batch");
-            now = fields.whole("clock-us");
+            now = fields.integer("clock-us");
             events = fields.indexedObjects("in", "event");
         } catch (JsonProcessingException e) {
             throw new FormatException("not JSON: " + e.getOriginalMessage() + ", at byte "
@@ -69,10 +69,10 @@
     private void event(long now, JsonFields f) throws IOException {
         String verb = f.text("verb");
         if (verb.equals("MANIFEST")) {
-            lists.put((int) f.whole("list"), SimulatorEventDecoder.members(f));
+            lists.put((int) f.integer("list"), SimulatorEventDecoder.members(f));
             return;
         }
-        int gateway = (int) f.whole("gateway");
+        int gateway = (int) f.integer("gateway");
         Call call = decode(now, verb, gateway, f);
         try {
             call.run();
@@ -93,7 +93,7 @@
     private Call decode(long now, String verb, int gateway, JsonFields f) {
         if (verb.equals("PROVISION")) {
             JsonFields setup = f.object("setup", "setup");
-            long seed = f.whole("nonce64");
+            long seed = f.integer("nonce64");
             return () -> {
                 crashed.remove(gateway);
                 routers.put(gateway, new RequestRouter(SettingsParser.settings(setup), seed, reply(gateway)));
@@ -107,7 +107,7 @@
             return () -> {};
         }
         if (router == null) {
-            throw new FormatException(f.where() + ": gateway " + gateway + " was not provisioned");
+            throw new FormatException(f.path(), "gateway " + gateway + " was not provisioned");
         }
         switch (verb) {
             case "REGISTRY": {
@@ -115,9 +115,9 @@
                 if (how.equals("X")) {
                     return () -> router.discoveryFailed(now);
                 }
-                List<EndpointInfo> list = lists.get((int) f.whole("list"));
+                List<EndpointInfo> list = lists.get((int) f.integer("list"));
                 if (list == null) {
-                    throw new FormatException(f.where() + ": no list " + f.whole("list"));
+                    throw new FormatException(f.path(), "no list " + f.integer("list"));
                 }
                 return () -> router.endpointsChanged(now, !how.equals("D"), list);
             }
@@ -125,10 +125,10 @@
                 RoutingRequest request = new RoutingRequest(
                         f.text("job"),
                         f.hex("resource"),
-                        f.whole("part", 0),
-                        (int) f.whole("label-no", 0),
+                        f.integer("part", 0),
+                        (int) f.integer("label-no", 0),
                         f.text("grade"),
-                        f.whole("not-after-us"),
+                        f.integer("not-after-us"),
                         f.number("length-kb", 0),
                         f.flag("is-write"),
                         f.flag("repeat"),
@@ -138,19 +138,19 @@
             case "OUTCOME": {
                 AttemptOutcome outcome = new AttemptOutcome(
                         f.text("job"),
-                        (int) f.whole("send-no"),
+                        (int) f.integer("send-no"),
                         SimulatorEventDecoder.status(f),
-                        f.whole("lag-us"),
+                        f.integer("lag-us"),
                         f.flag("settled"),
                         SimulatorEventDecoder.cacheStatus(f),
-                        f.whole("source-wait-us", 0),
+                        f.integer("source-wait-us", 0),
                         f.numbers("load"),
                         0);
                 return () -> router.attemptEnded(now, outcome);
             }
             case "ESTABLISHED": {
                 String job = f.text("job");
-                int attempt = (int) f.whole("send-no");
+                int attempt = (int) f.integer("send-no");
                 return () -> router.streamStarted(now, job, attempt);
             }
             case "CLIENT_GONE": {
@@ -158,32 +158,32 @@
                 return () -> router.clientDisconnected(now, job);
             }
             case "TIMEOUT_FIRED": {
-                long nonce = f.whole("nonce");
+                long nonce = f.integer("nonce");
                 return () -> router.timerFired(now, nonce);
             }
             case "OUTDATED": {
-                long age = f.whole("copy-age-us");
+                long age = f.integer("copy-age-us");
                 if (f.has("resource")) {
                     long object = f.hex("resource");
                     return () -> router.objectPurged(now, object, age);
                 }
-                int group = (int) f.whole("group");
+                int group = (int) f.integer("group");
                 return () -> router.groupPurged(now, group, age);
             }
             case "CHECKED": {
                 String cache = f.text("cache");
                 AttemptStatus status = SimulatorEventDecoder.status(f);
-                long lag = f.whole("lag-us");
+                long lag = f.integer("lag-us");
                 double[] load = f.numbers("load");
                 return () -> router.healthChecked(now, cache, status, lag, load);
             }
             case "MAIL": {
-                int from = (int) f.whole("neighbour");
+                int from = (int) f.integer("neighbour");
                 byte[] data = f.bytes("bytes");
                 return () -> router.gossipReceived(now, from, data);
             }
             default:
-                throw new FormatException(f.where() + ": unknown verb \"" + verb + "\"");
+                throw new FormatException(f.path(), "unknown verb \"" + verb + "\"");
         }
     }
 
--- a/src/test/java/petrelplank/settings/JsonFieldsTest.java
+++ b/src/test/java/petrelplank/settings/JsonFieldsTest.java
@@ -36,7 +36,7 @@
         assertFault(() -> fields.object("text"), "event: \"text\"", "expected an object, found 5");
         assertFault(() -> fields.objects("list", "entry"), "event: \"list\"", "expected an object, found 3");
         JsonFields inner = fields.object("inner");
-        assertFault(() -> inner.whole("number"), "event inner", "\"number\" should be a whole number, found x");
+        assertFault(() -> inner.integer("number"), "event inner", "\"number\" should be a whole number, found x");
     }
 
     @Test
