--- a/src/test/java/petrelplank/cli/CloseUnderRequest.java
+++ b/src/test/java/petrelplank/cli/CloseUnderRequest.java
@@ -105,16 +105,7 @@
                             1,
                             "/invoke/media",
                             new byte[0],
-                            "X-Request-Id",
-                            String.format("%016x", ids.incrementAndGet()),
-                            "X-Timeout-Ms",
-                            "10000",
-                            "X-Object",
-                            "7f3a9c21e0b4d655",
-                            "X-N",
-                            "0",
-                            "X-Shard",
-                            "17");
+                            RequestHeaders.withTimeout(String.format("%016x", ids.incrementAndGet()), 10_000));
                     ended = client.answer().equals("closed");
                 } catch (IOException e) {
                     ended = true;
--- a/src/test/java/petrelplank/cli/ColdStartTest.java
+++ b/src/test/java/petrelplank/cli/ColdStartTest.java
@@ -91,16 +91,7 @@
                                 1,
                                 "/invoke/media",
                                 new byte[0],
-                                "X-Request-Id",
-                                String.format("%016x", i + 1),
-                                "X-Timeout-Ms",
-                                "10000",
-                                "X-Object",
-                                "7f3a9c21e0b4d655",
-                                "X-N",
-                                "0",
-                                "X-Shard",
-                                "17");
+                                RequestHeaders.withTimeout(String.format("%016x", i + 1), 10_000));
                         String answer = client.answer();
                         assertTrue(
                                 answer.startsWith("1 Status: 200") && answer.endsWith(CacheNode.BODY),
--- a/src/test/java/petrelplank/cli/FrontSignalsTest.java
+++ b/src/test/java/petrelplank/cli/FrontSignalsTest.java
@@ -37,12 +37,12 @@
     void signalsDuringTheDrainDoNotCutItShort(@TempDir Path folder) throws IOException, InterruptedException {
         try (FakeServer cache = new FakeServer();
                 ListService service = new ListService("[]")) {
-            String instances = "[" + LoopbackFixture.entry("c-1", cache, "edge-1", "box", "active") + "]";
+            String instances = "[" + LoopbackFixture.endpointJson("c-1", cache, "edge-1", "box", "active") + "]";
             String at = "127.0.0.1:" + service.port();
             try (FrontProcesses fronts = new FrontProcesses(folder, 1, at, instances)) {
                 InetSocketAddress address = fronts.ready(PATIENCE_MS).get(0);
                 try (FcgiClient client = new FcgiClient(address)) {
-                    client.ask(1, "/invoke/media", new byte[0], LoopbackFixture.headers("aaaaaaaaaaaaaaaa"));
+                    client.ask(1, "/invoke/media", new byte[0], RequestHeaders.of("aaaaaaaaaaaaaaaa"));
                     FakeServer.Line fetch = cache.next();
                     signal("TERM", fronts.pid(0));
                     signal("HUP", fronts.pid(0));
--- a/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
@@ -66,7 +66,7 @@
         assertThat(fetch.text()).contains(",from=p-1").containsPattern(",mode=\\S*share");
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=COLLAPSED,waited=12 3\r\none\r\n");
         assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
-        coordinatorTells("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":" + System.currentTimeMillis() + "}}");
+        sendDiscoveryEvent("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":" + System.currentTimeMillis() + "}}");
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line after = cache.next();
         assertThat(after.text()).doesNotContain("share").doesNotContain("swr");
@@ -116,7 +116,7 @@
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         assertThat(first.text()).startsWith("fetch aaaaaaaaaaaaaaaa ");
-        laterUs.addAndGet(9_000_000);
+        clock.advance(9_000_000);
         assertThat(cache.next().text()).isEqualTo("abort aaaaaaaaaaaaaaaa");
         FakeServer.Line again = parent.next();
         assertThat(again.word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
@@ -138,16 +138,16 @@
 
     /** Asks for {@code BURST} requests at once; the number that was sent on, once the rejections of the others are read. */
     private int sentOfABurst(String tenant, char idStart) throws IOException, InterruptedException {
-        int before = recorded.size();
+        int before = recordedEvents.size();
         for (int i = 0; i < BURST; i++) {
             String request = idStart + "00000000000000" + Integer.toHexString(i);
-            client.ask(i + 1, "/invoke/media", NOTHING, RequestHeaders.of(request, "X-Tenant", tenant));
+            client.ask(i + 1, "/invoke/media", NO_BODY, RequestHeaders.of(request, "X-Tenant", tenant));
         }
         int sent = 0;
         int rejected = 0;
         for (int polls = 0; polls < 4000 && sent + rejected < BURST; polls++) {
             Thread.sleep(5);
-            List<Event> all = List.copyOf(recorded);
+            List<Event> all = List.copyOf(recordedEvents);
             List<Event> since = all.subList(before, all.size());
             sent = count(since, Event.AttemptSent.class);
             rejected = count(since, Event.RequestCompleted.class);
@@ -183,7 +183,7 @@
         client.ask(1, "/invoke/receipt", "mark".getBytes(), headers);
         FakeServer.Line first = origin.next();
         origin.next();
-        laterUs.addAndGet(laterMs * 1000);
+        clock.advance(laterMs * 1000);
         first.reset();
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -22,8 +22,8 @@
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         client.raw(JUNK);
-        try (FcgiClient other = new FcgiClient(front.address())) {
-            other.ask(1, "/_health", NOTHING);
+        try (FcgiClient other = new FcgiClient(proxy.address())) {
+            other.ask(1, "/_health", NO_BODY);
             assertThat(other.answer()).startsWith("1 Status: 200");
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
@@ -66,7 +66,7 @@
         };
         log.addHandler(crossing);
         try {
-            front.drain(ended::countDown);
+            proxy.drain(ended::countDown);
             crossed.await();
             String answer = client.answer();
             assertThat(answer).startsWith("1 Status: 503").contains("Retry-After-Ms");
@@ -81,7 +81,7 @@
     private void askAndSeeItRead() {
         try {
             ask(1, "aaaaaaaaaaaaaaaa", "media");
-            client.ask(2, "/_health", NOTHING);
+            client.ask(2, "/_health", NO_BODY);
             assertThat(client.answer()).startsWith("2 Status: 503");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
@@ -22,18 +22,18 @@
     void silentAndHalfSentRequestsAreClosedInTimeAndOwedAnswersAreNot() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
-        try (FcgiClient silent = new FcgiClient(front.address());
-                FcgiClient half = new FcgiClient(front.address());
-                FcgiClient idle = new FcgiClient(front.address())) {
+        try (FcgiClient silent = new FcgiClient(proxy.address());
+                FcgiClient half = new FcgiClient(proxy.address());
+                FcgiClient idle = new FcgiClient(proxy.address())) {
             half.raw(new byte[] {1, 1, 0, 1, 0, 8, 0, 0, 0, 1});
-            idle.ask(1, "/_health", NOTHING);
+            idle.ask(1, "/_health", NO_BODY);
             idle.answer();
-            laterUs.addAndGet(2_100_000);
+            clock.advance(2_100_000);
             assertEquals("closed", silent.answer());
             assertEquals("closed", half.answer());
-            idle.ask(2, "/_health", NOTHING);
+            idle.ask(2, "/_health", NO_BODY);
             assertTrue(idle.answer().startsWith("2 Status: 200"));
-            laterUs.addAndGet(5_100_000);
+            clock.advance(5_100_000);
             assertEquals("closed", idle.answer());
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
@@ -47,8 +47,8 @@
         FakeServer.Line fetch = cache.next();
         List<FcgiClient> kept = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
-            kept.add(new FcgiClient(front.address()));
-            kept.get(i).ask(1, "/_health", NOTHING);
+            kept.add(new FcgiClient(proxy.address()));
+            kept.get(i).ask(1, "/_health", NO_BODY);
             assertTrue(kept.get(i).answer().startsWith("1 Status: 200"));
         }
         assertEquals("closed", kept.get(0).answer());
@@ -68,14 +68,14 @@
         int most = SOCKETS * 2 / 5;
         List<FcgiClient> kept = new ArrayList<>();
         for (int i = 0; i < most - 2; i++) {
-            kept.add(new FcgiClient(front.address()));
-            kept.get(i).ask(1, "/_health", NOTHING);
+            kept.add(new FcgiClient(proxy.address()));
+            kept.get(i).ask(1, "/_health", NO_BODY);
             assertTrue(kept.get(i).answer().startsWith("1 Status: 200"));
         }
         whileTheIoThreadIsHeldUp(kept.get(0), () -> {
             ask(1, "aaaaaaaaaaaaaaaa", "media");
             // Its place is the last but one, so that the quietest, which is the first client's, shall make room.
-            kept.add(new FcgiClient(front.address()));
+            kept.add(new FcgiClient(proxy.address()));
             for (int looks = 0; looks < 2000 && taken() < most; looks++) {
                 Thread.sleep(5);
             }
@@ -89,10 +89,10 @@
 
     @Test
     void idleConnectionIsKeptWhereItsRequestLiesUnread() throws IOException, InterruptedException {
-        try (FcgiClient other = new FcgiClient(front.address())) {
+        try (FcgiClient other = new FcgiClient(proxy.address())) {
             whileTheIoThreadIsHeldUp(other, () -> {
                 ask(1, "aaaaaaaaaaaaaaaa", "media");
-                laterUs.addAndGet(5_100_000);
+                clock.advance(5_100_000);
                 // Longer than the sweep's period; too short a wait would only make this test weaker.
                 Thread.sleep(600);
             });
@@ -104,10 +104,10 @@
     @Test
     void idleConnectionIsKeptWhileALongRequestComesInOnIt() throws IOException, InterruptedException {
         byte[] move = "x".repeat(30_000).getBytes();
-        try (FcgiClient other = new FcgiClient(front.address())) {
+        try (FcgiClient other = new FcgiClient(proxy.address())) {
             whileTheIoThreadIsHeldUp(other, () -> {
-                client.begin(1, "/invoke/stock-move", move, headers("aaaaaaaaaaaaaaaa"));
-                laterUs.addAndGet(5_100_000);
+                client.begin(1, "/invoke/stock-move", move, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+                clock.advance(5_100_000);
                 Thread.sleep(600);
             });
         }
@@ -128,9 +128,9 @@
         junk[3] = 77;
         junk[4] = (byte) (60_000 >> 8);
         junk[5] = (byte) 60_000;
-        try (FcgiClient bad = new FcgiClient(front.address())) {
+        try (FcgiClient bad = new FcgiClient(proxy.address())) {
             bad.raw(junk);
-            laterUs.addAndGet(2_100_000);
+            clock.advance(2_100_000);
             long untilNs = System.nanoTime() + 10_000_000_000L;
             assertThrows(IOException.class, () -> {
                 while (System.nanoTime() < untilNs) {
@@ -143,7 +143,7 @@
     /** A client counts from its sending: what lay unread while the front was held up has so much less time left. */
     @Test
     void timeThatARequestLayUnreadIsTakenOffItsPatience() throws IOException, InterruptedException {
-        try (FcgiClient other = new FcgiClient(front.address())) {
+        try (FcgiClient other = new FcgiClient(proxy.address())) {
             whileTheIoThreadIsHeldUp(other, () -> {
                 ask(1, "aaaaaaaaaaaaaaaa", "media");
                 Thread.sleep(1_000);
@@ -167,15 +167,15 @@
 
     /** The I/O thread is held at the clock while it reads a request of {@code asker}. */
     private void whileTheIoThreadIsHeldUp(FcgiClient asker, Meanwhile what) throws IOException, InterruptedException {
-        ioTurn.acquire();
+        clock.holdIoThread();
         try {
-            asker.ask(2, "/_health", NOTHING);
-            while (!ioTurn.hasQueuedThreads()) {
+            asker.ask(2, "/_health", NO_BODY);
+            while (!clock.isIoThreadHeld()) {
                 Thread.sleep(1);
             }
             what.happens();
         } finally {
-            ioTurn.release();
+            clock.releaseIoThread();
         }
     }
 
@@ -186,13 +186,13 @@
     @Test
     void connectionsTakenStayWithinTheShareWhileTheIoThreadIsHeldUp() throws IOException, InterruptedException {
         int most = SOCKETS * 2 / 5;
-        ioTurn.acquire();
+        clock.holdIoThread();
         List<FcgiClient> crowd = new ArrayList<>();
         long held;
         try {
             for (int i = 0; i < 4 * most; i++) {
-                crowd.add(new FcgiClient(front.address()));
-                crowd.get(i).ask(1, "/_health", NOTHING);
+                crowd.add(new FcgiClient(proxy.address()));
+                crowd.get(i).ask(1, "/_health", NO_BODY);
             }
             // The share fills; the longer look after that is for what must not come.
             for (int looks = 0; looks < 4000 && taken() < most - 1; looks++) {
@@ -201,7 +201,7 @@
             Thread.sleep(200);
             held = taken();
         } finally {
-            ioTurn.release();
+            clock.releaseIoThread();
         }
         assertTrue(held <= most && held >= most - 1, held + " taken of a share of " + most);
         for (FcgiClient one : crowd) {
@@ -213,7 +213,7 @@
 
     /** Connections to the front that a process has taken: those still in the machine's queue have no inode. */
     private long taken() throws IOException {
-        String port = String.format(":%04X", front.address().getPort());
+        String port = String.format(":%04X", proxy.address().getPort());
         try (Stream<String> lines = Stream.concat(
                 Files.lines(Path.of("/proc/self/net/tcp")), Files.lines(Path.of("/proc/self/net/tcp6")))) {
             return lines.map(line -> line.trim().split("\\s+"))
--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -18,7 +18,7 @@
     }
 
     private String draining() {
-        return entry("c-1", cache, "edge-1", "box", "leaving");
+        return endpointJson("c-1", cache, "edge-1", "box", "leaving");
     }
 
     /** Asks, and answers what is sent; the server that got it. */
@@ -38,40 +38,40 @@
     /** A list that fails without an error: nothing is left in it. The last good one stays, and it is asked for again. */
     @Test
     void emptyWholeListIsNotTaken() throws IOException, InterruptedException {
-        follow.reply(list(2, true));
-        FakeServer.Line again = coordinator.next();
+        followLine.reply(list(2, true));
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(cache);
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         assertThat(served("bbbbbbbbbbbbbbbb")).isSameAs(parent);
     }
 
     /** What a whole list lacks has gone; an older list, told late, does not bring it back. */
     @Test
     void shorterWholeListTakesOutWhatItLacks() throws IOException, InterruptedException {
-        String parents = entry("p-1", parent, "north", "parent", "active");
-        String origins = entry("o-1", origin, "north", "origin", "active");
-        follow.reply(list(2, true, parents, origins)
-                + list(1, true, entry("c-1", cache, "edge-1", "box", "active"), parents, origins));
-        follow.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        String parents = endpointJson("p-1", parent, "north", "parent", "active");
+        String origins = endpointJson("o-1", origin, "north", "origin", "active");
+        followLine.reply(list(2, true, parents, origins)
+                + list(1, true, endpointJson("c-1", cache, "edge-1", "box", "active"), parents, origins));
+        followLine.socket().shutdownOutput();
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
     /** Beats go on and their number rises, but no entry comes: the stream is called again until one does. */
     @Test
     void beatsAheadOfTheEntriesAreFollowedAnew() throws IOException, InterruptedException {
-        follow.reply("1\n2\n");
-        FakeServer.Line again = coordinator.next();
+        followLine.reply("1\n2\n");
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply("2\n");
-        FakeServer.Line third = coordinator.next();
+        FakeServer.Line third = discoveryService.next();
         assertThat(third.text()).isEqualTo("follow 1");
         third.reply(list(2, false, draining()));
         third.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
@@ -83,10 +83,10 @@
             Files.writeString(
                     file,
                     Files.readString(file)
-                            .replace(coordinator.address(), next.address())
+                            .replace(discoveryService.address(), next.address())
                             .replace("{\"index\":1,\"updates\":[", "{\"index\":2,\"updates\":[")
                             .replace("]}}]},\"settings\"", "]}}," + known + "]},\"settings\""));
-            ServeCommand.reload(front, file.toFile());
+            ServeCommand.reload(proxy, file.toFile());
             assertThat(next.next().text()).isEqualTo("follow 2");
             assertThat(served("aaaaaaaaaaaaaaaa")).isSameAs(parent);
         }
@@ -97,14 +97,14 @@
     void streamIsFollowedAnewThoughIdleClientsHoldTheirShare() throws IOException, InterruptedException {
         List<FcgiClient> idle = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
-            idle.add(new FcgiClient(front.address()));
+            idle.add(new FcgiClient(proxy.address()));
         }
-        follow.reset();
-        FakeServer.Line again = coordinator.next();
+        followLine.reset();
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         for (FcgiClient one : idle) {
             one.close();
         }
@@ -115,10 +115,10 @@
     void secondConfigurationThatCannotBeUsedChangesNothing() throws IOException, InterruptedException {
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
-            Files.writeString(file, old.replace(coordinator.address(), next.address()));
-            ServeCommand.reload(front, file.toFile());
+            Files.writeString(file, old.replace(discoveryService.address(), next.address()));
+            ServeCommand.reload(proxy, file.toFile());
             Files.writeString(file, old.replace("\"settings\":", "\"none\":"));
-            ServeCommand.reload(front, file.toFile());
+            ServeCommand.reload(proxy, file.toFile());
             FakeServer.Line followed = next.next();
             assertThat(followed.text()).isEqualTo("follow 1");
             followed.reply(list(2, false, draining()));
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -15,7 +15,7 @@
     /** Deadlines differ by site, and SIGKILL comes by the longest: at most 3 s, and 0.7 s more. */
     @Test
     void drainEndsBeforeTheKillThatTheSettingsTell() throws IOException {
-        assertTrue(front.drain(() -> {}) <= 3_700);
+        assertTrue(proxy.drain(() -> {}) <= 3_700);
         Files.writeString(file, Files.readString(file).replace("\"deadline-us\":60000000", "\"deadline-us\":900000"));
         ProxyServer shorter = new ProxyServer(Configuration.read(file.toFile()), () -> 0, null);
         assertTrue(shorter.drain(() -> {}) <= 1_600);
@@ -27,7 +27,7 @@
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         CountDownLatch ended = new CountDownLatch(1);
-        front.drain(ended::countDown);
+        proxy.drain(ended::countDown);
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         cache.next();
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\nbbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
@@ -39,9 +39,9 @@
     /** Half of it was there at SIGTERM, the rest comes while requests are still taken: it is served. */
     @Test
     void requestThatIsHalfReadAtTheDrainIsServed() throws IOException, InterruptedException {
-        client.begin(1, "/invoke/media", NOTHING, headers("aaaaaaaaaaaaaaaa"));
+        client.begin(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
         CountDownLatch ended = new CountDownLatch(1);
-        front.drain(ended::countDown);
+        proxy.drain(ended::countDown);
         client.end(1);
         cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.answer().startsWith("1 Status: 200"));
@@ -55,8 +55,8 @@
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         CountDownLatch ended = new CountDownLatch(1);
-        front.drain(ended::countDown);
-        laterUs.set(3_600_000);
+        proxy.drain(ended::countDown);
+        clock.advance(3_600_000);
         String answer = client.answer();
         assertTrue(answer.startsWith("1 Status: 504"), answer);
         assertEquals("abort aaaaaaaaaaaaaaaa", cache.next().text());
--- a/src/test/java/petrelplank/cli/LoopbackFixture.java
+++ b/src/test/java/petrelplank/cli/LoopbackFixture.java
@@ -6,13 +6,8 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.time.Instant;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import java.util.concurrent.Semaphore;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -27,9 +22,8 @@
  * only end a test that has failed.
  */
 abstract class LoopbackFixture {
-    static final byte[] NOTHING = new byte[0];
+    static final byte[] NO_BODY = new byte[0];
     static final int SOCKETS = 60;
-    private static final long STEP_US = 500_000;
     static final String SETTINGS = """
         {"balancers":1,"caps":{"cancel":true,"connect-timeout-us":400000,"conn-idle-us":15000000,"max-streams":100,
         "max-retry-after-us":2000000,"peer-messages":false,"probing":true,"retry-after":true,"second-copies":true,
@@ -50,21 +44,17 @@
     FakeServer cache;
     FakeServer parent;
     FakeServer origin;
-    FakeServer coordinator;
-    ProxyServer front;
-    Thread events;
+    FakeServer discoveryService;
+    ProxyServer proxy;
+    Thread eventThread;
     FcgiClient client;
-    FakeServer.Line follow;
+    FakeServer.Line followLine;
     Path file;
-    final List<Event> recorded = new CopyOnWriteArrayList<>();
+    final List<Event> recordedEvents = new CopyOnWriteArrayList<>();
     /** Called in the event thread with each event that it records; can hold that thread at a known place. */
     volatile Consumer<Event> onRecord = event -> {};
-    /** Moves the proxy's clock on. */
-    final AtomicLong laterUs = new AtomicLong();
-    /** Reads of the clock that each move it on by half a second, as in a process that waits for the processor. */
-    final AtomicInteger steps = new AtomicInteger();
-    /** Acquired by a test to hold the I/O thread at its next read of the clock. */
-    final Semaphore ioTurn = new Semaphore(1);
+
+    final LoopbackClock clock = new LoopbackClock();
 
     /** The settings that the proxy is started with. */
     String settings() {
@@ -76,54 +66,41 @@
         cache = new FakeServer();
         parent = new FakeServer();
         origin = new FakeServer();
-        coordinator = new FakeServer();
+        discoveryService = new FakeServer();
         file = directory.resolve("config.json");
         Files.writeString(file, configuration());
-        front = new ProxyServer(Configuration.read(file.toFile()), this::nowUs, this::record);
-        front.open(new InetSocketAddress("127.0.0.1", 0));
-        events = new Thread(front::run);
-        events.start();
-        client = new FcgiClient(front.address());
-        follow = coordinator.next();
-        assertEquals("follow 1", follow.text());
-        follow.reply("1\n");
+        proxy = new ProxyServer(Configuration.read(file.toFile()), clock, this::record);
+        proxy.open(new InetSocketAddress("127.0.0.1", 0));
+        eventThread = new Thread(proxy::run);
+        eventThread.start();
+        client = new FcgiClient(proxy.address());
+        followLine = discoveryService.next();
+        assertEquals("follow 1", followLine.text());
+        followLine.reply("1\n");
         awaitHealth();
     }
 
     private String configuration() {
         return "{\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + SOCKETS
-                + ",\"memory_mb\":1},\"coordinator\":\"" + coordinator.address()
+                + ",\"memory_mb\":1},\"coordinator\":\"" + discoveryService.address()
                 + "\",\"known\":{\"index\":1,\"updates\":[{\"index\":1,\"endpoints\":{\"instances\":["
-                + entry("c-1", cache, "edge-1", "box", "active") + ","
-                + entry("p-1", parent, "north", "parent", "active") + ","
-                + entry("o-1", origin, "north", "origin", "active") + "]}}]},\"settings\":" + settings() + "}";
-    }
-
-    private long nowUs() {
-        Instant now = Instant.now();
-        if (Thread.currentThread().getName().contains("Processor")) {
-            // The time read is old when the thread goes on, as in a thread that lost the processor.
-            ioTurn.acquireUninterruptibly();
-            ioTurn.release();
-        }
-        long stepUs = steps.getAndUpdate(left -> Math.max(0, left - 1)) > 0 ? STEP_US : 0;
-        return TimeUnit.SECONDS.toMicros(now.getEpochSecond())
-                + TimeUnit.NANOSECONDS.toMicros(now.getNano())
-                + laterUs.addAndGet(stepUs);
+                + endpointJson("c-1", cache, "edge-1", "box", "active") + ","
+                + endpointJson("p-1", parent, "north", "parent", "active") + ","
+                + endpointJson("o-1", origin, "north", "origin", "active") + "]}}]},\"settings\":" + settings() + "}";
     }
 
     private void record(long unixUs, Event event) {
-        recorded.add(event);
+        recordedEvents.add(event);
         onRecord.accept(event);
     }
 
     private void awaitHealth() throws IOException {
         do {
-            client.ask(1, "/_health", NOTHING);
+            client.ask(1, "/_health", NO_BODY);
         } while (!client.answer().startsWith("1 Status: 200"));
     }
 
-    static String entry(String id, FakeServer at, String zone, String kind, String state) {
+    static String endpointJson(String id, FakeServer at, String zone, String kind, String state) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + at.address() + "\",\"zone\":\"" + zone
                 + "\",\"machineType\":\"" + kind + "\",\"cell\":0,\"lifecycle\":\"" + state
                 + "\",\"weight\":10,\"startedAtMs\":0}";
@@ -132,26 +109,23 @@
     @AfterEach
     void stop() throws IOException, InterruptedException {
         client.close();
-        front.close();
-        events.join();
-        RecordedEventOrder.check(recorded);
-        for (FakeServer server : new FakeServer[] {cache, parent, origin, coordinator}) {
+        proxy.close();
+        eventThread.join();
+        RecordedEventOrder.check(recordedEvents);
+        for (FakeServer server : new FakeServer[] {cache, parent, origin, discoveryService}) {
             server.close();
         }
     }
 
-    static String[] headers(String request) {
-        return RequestHeaders.of(request);
-    }
-
     void ask(int id, String request, String type) throws IOException {
-        client.ask(id, "/invoke/" + type, type.equals("media") ? NOTHING : "move".getBytes(), headers(request));
+        client.ask(
+                id, "/invoke/" + type, type.equals("media") ? NO_BODY : "move".getBytes(), RequestHeaders.of(request));
     }
 
     /** Sends an event and breaks the stream; that the proxy follows from behind the event shows that it was read. */
-    void coordinatorTells(String event) throws IOException, InterruptedException {
-        follow.reply(event + "\n");
-        follow.socket().shutdownOutput();
-        assertEquals("follow 2", coordinator.next().text());
+    void sendDiscoveryEvent(String event) throws IOException, InterruptedException {
+        followLine.reply(event + "\n");
+        followLine.socket().shutdownOutput();
+        assertEquals("follow 2", discoveryService.next().text());
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackGoneClientsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackGoneClientsTest.java
@@ -38,13 +38,13 @@
     /** Health is answered by the I/O thread alone: at the second answer it has read all that was there before. */
     private void ioThreadHasRead() throws IOException {
         for (int i = 0; i < 2; i++) {
-            client.ask(9, "/_health", NOTHING);
+            client.ask(9, "/_health", NO_BODY);
             assertThat(client.answer()).startsWith("9 Status: 200");
         }
     }
 
     private void askOn(FcgiClient asking, String request) throws IOException {
-        asking.ask(1, "/invoke/media", NOTHING, headers(request));
+        asking.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of(request));
     }
 
     /** The next command of all is that of a request which came later. */
@@ -61,21 +61,21 @@
         holdAt(Event.RequestAdmitted.class);
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         reached.await();
-        try (FcgiClient gone = new FcgiClient(front.address())) {
+        try (FcgiClient gone = new FcgiClient(proxy.address())) {
             askOn(gone, REMOVED);
         }
         ioThreadHasRead();
         goOn.countDown();
         assertThat(cache.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         nothingWasSentForIt();
-        assertThat(recorded.stream().filter(Event.RequestAdmitted.class::isInstance))
+        assertThat(recordedEvents.stream().filter(Event.RequestAdmitted.class::isInstance))
                 .hasSize(2);
     }
 
     @Test
     void attemptOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
         holdAt(Event.AttemptSent.class);
-        try (FcgiClient gone = new FcgiClient(front.address())) {
+        try (FcgiClient gone = new FcgiClient(proxy.address())) {
             askOn(gone, REMOVED);
             reached.await();
         }
@@ -87,7 +87,7 @@
     @Test
     void attemptOfACancelledRequestIsNotWritten() throws IOException, InterruptedException {
         holdAt(Event.AttemptSent.class);
-        try (FcgiClient gone = new FcgiClient(front.address())) {
+        try (FcgiClient gone = new FcgiClient(proxy.address())) {
             askOn(gone, REMOVED);
             reached.await();
             gone.abort(1);
@@ -100,7 +100,7 @@
     /** A retry is ordered by the end of the first attempt; its client may have left in that very moment. */
     @Test
     void retryOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
-        try (FcgiClient gone = new FcgiClient(front.address())) {
+        try (FcgiClient gone = new FcgiClient(proxy.address())) {
             askOn(gone, REMOVED);
             FakeServer.Line first = cache.next();
             holdAt(Event.AttemptEnded.class);
--- a/src/test/java/petrelplank/cli/LoopbackListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackListTest.java
@@ -24,7 +24,7 @@
         withSilentCoordinator(100, (asker, followed) -> {
             long untilNs = System.nanoTime() + 3_000_000_000L;
             while (System.nanoTime() < untilNs) {
-                asker.ask(1, "/_health", NOTHING);
+                asker.ask(1, "/_health", NO_BODY);
                 assertTrue(asker.answer().startsWith("1 Status: 503"), "ready before the beat");
                 Thread.sleep(50);
             }
@@ -47,11 +47,11 @@
     @Test
     void requestsWaitUntilTheCoordinatorIsHeard() throws IOException, InterruptedException {
         withSilentCoordinator(100, (asker, followed) -> {
-            asker.ask(1, "/invoke/media", NOTHING, headers("aaaaaaaaaaaaaaaa"));
-            asker.ask(2, "/_health", NOTHING);
+            asker.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+            asker.ask(2, "/_health", NO_BODY);
             assertTrue(asker.answer().startsWith("2 Status: 503"));
             followed.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                    + entry("c-1", cache, "edge-1", "box", "leaving") + "]}}\n");
+                    + endpointJson("c-1", cache, "edge-1", "box", "leaving") + "]}}\n");
             FakeServer.Line sent = parent.next();
             assertEquals("aaaaaaaaaaaaaaaa", sent.word(1));
             assertTrue(cache.quiet(), "sent to a cache that drains");
@@ -67,7 +67,7 @@
     /** A second front whose coordinator takes its call and says nothing; its clock runs {@code slower} times slower. */
     private void withSilentCoordinator(long slower, Look look) throws IOException, InterruptedException {
         try (FakeServer silent = new FakeServer()) {
-            Files.writeString(file, Files.readString(file).replace(coordinator.address(), silent.address()));
+            Files.writeString(file, Files.readString(file).replace(discoveryService.address(), silent.address()));
             long fromUs = Instant.now().toEpochMilli() * 1000;
             long startNs = System.nanoTime();
             ProxyServer second = new ProxyServer(
@@ -92,7 +92,7 @@
     private static long readyWithin(FcgiClient asker, long mostMs) throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
         while (System.nanoTime() - fromNs < mostMs * 1_000_000) {
-            asker.ask(3, "/_health", NOTHING);
+            asker.ask(3, "/_health", NO_BODY);
             if (asker.answer().startsWith("3 Status: 200")) {
                 return (System.nanoTime() - fromNs) / 1_000_000;
             }
@@ -106,8 +106,8 @@
     void requestIsCalledOffAtACacheThatHasLeftTheListMeanwhile() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
-        coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("c-1", cache, "edge-1", "box", "left") + "]}}");
+        sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+                + endpointJson("c-1", cache, "edge-1", "box", "left") + "]}}");
         client.abort(1);
         assertTrue(cache.ended() == fetch.socket());
     }
@@ -119,8 +119,9 @@
         FakeServer.Line first = cache.next();
         first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         client.answer();
-        coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("c-1", cache, "edge-1", "box", "left") + "," + entry("c-2", cache, "edge-1", "box", "active")
+        sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+                + endpointJson("c-1", cache, "edge-1", "box", "left") + ","
+                + endpointJson("c-2", cache, "edge-1", "box", "active")
                 + "]}}");
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line second = cache.next();
@@ -132,20 +133,20 @@
     /** An event that was left out may be a drain or a purge. */
     @Test
     void gapInTheNumbersIsAskedForAgainOnce() throws IOException, InterruptedException {
-        follow.reply("{\"index\":4,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
-        FakeServer.Line again = coordinator.next();
+        followLine.reply("{\"index\":4,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
+        FakeServer.Line again = discoveryService.next();
         assertEquals("follow 1", again.text());
         again.reply("{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n"
                 + "{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n{\"index\":3,\"evi");
         again.socket().close();
-        FakeServer.Line third = coordinator.next();
+        FakeServer.Line third = discoveryService.next();
         assertEquals("follow 2", third.text());
         third.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
-        FakeServer.Line fourth = coordinator.next();
+        FakeServer.Line fourth = discoveryService.next();
         assertEquals("follow 2", fourth.text());
         fourth.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
         fourth.socket().shutdownOutput();
-        assertEquals("follow 5", coordinator.next().text());
+        assertEquals("follow 5", discoveryService.next().text());
     }
 
     @Test
@@ -155,15 +156,15 @@
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
             Files.writeString(file, "{\"coordinator\":");
-            ServeCommand.reload(front, file.toFile());
-            coordinatorTells("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":1}}");
-            Files.writeString(file, old.replace(coordinator.address(), next.address()));
-            ServeCommand.reload(front, file.toFile());
+            ServeCommand.reload(proxy, file.toFile());
+            sendDiscoveryEvent("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":1}}");
+            Files.writeString(file, old.replace(discoveryService.address(), next.address()));
+            ServeCommand.reload(proxy, file.toFile());
             assertEquals("follow 2", next.next().text());
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.answer().endsWith("one"));
-        assertTrue(coordinator.quiet());
+        assertTrue(discoveryService.quiet());
     }
 
     /**
@@ -172,15 +173,15 @@
      */
     @Test
     void aCoordinatorThatResetsEveryStreamIsCalledLessAndLessOften() throws IOException, InterruptedException {
-        follow.reset();
+        followLine.reset();
         long firstNs = System.nanoTime();
         for (int call = 0; call < 5; call++) {
-            FakeServer.Line again = coordinator.next();
+            FakeServer.Line again = discoveryService.next();
             assertEquals("follow 1", again.text());
             again.reset();
         }
         assertTrue(System.nanoTime() - firstNs >= 2_500_000_000L);
-        client.ask(2, "/_health", NOTHING);
+        client.ask(2, "/_health", NO_BODY);
         assertTrue(client.answer().startsWith("2 Status: 200"));
     }
 
@@ -194,15 +195,15 @@
             burst.append("{\"index\":")
                     .append(i + 1)
                     .append(",\"endpoints\":{\"reset\":false,\"instances\":[")
-                    .append(entry("c-" + i, cache, "edge-1", "box", "left"))
+                    .append(endpointJson("c-" + i, cache, "edge-1", "box", "left"))
                     .append(",")
-                    .append(entry("c-" + (i + 1), cache, "edge-1", "box", "active"))
+                    .append(endpointJson("c-" + (i + 1), cache, "edge-1", "box", "active"))
                     .append("]}}\n");
         }
-        follow.reply(burst + "{\"index\":4,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("nobody", cache, "edge-1", "box", "left") + "]}}\n");
-        follow.socket().shutdownOutput();
-        assertEquals("follow 4", coordinator.next().text());
+        followLine.reply(burst + "{\"index\":4,\"endpoints\":{\"reset\":false,\"instances\":["
+                + endpointJson("nobody", cache, "edge-1", "box", "left") + "]}}\n");
+        followLine.socket().shutdownOutput();
+        assertEquals("follow 4", discoveryService.next().text());
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line second = cache.next();
         assertTrue(second.socket() != open.socket());
@@ -219,13 +220,13 @@
     @Test
     void silentStreamIsCalledAgainAndCaughtUpInsideTheTimeOfTheRule() throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
-        laterUs.addAndGet(2_600_000);
-        FakeServer.Line again = coordinator.next();
+        clock.advance(2_600_000);
+        FakeServer.Line again = discoveryService.next();
         assertEquals("follow 1", again.text());
         again.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("c-1", cache, "edge-1", "box", "leaving") + "]}}\n2\n");
+                + endpointJson("c-1", cache, "edge-1", "box", "leaving") + "]}}\n2\n");
         again.socket().shutdownOutput();
-        assertEquals("follow 2", coordinator.next().text());
+        assertEquals("follow 2", discoveryService.next().text());
         assertTrue(2_600 + (System.nanoTime() - fromNs) / 1_000_000 < 7_000, "too late");
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         assertEquals("aaaaaaaaaaaaaaaa", parent.next().word(1));
--- a/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
@@ -15,7 +15,7 @@
         byte[] body = new byte[60_000];
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
-            client.ask(i + 1, "/invoke/stock-move", body, headers("c00000000000000" + i));
+            client.ask(i + 1, "/invoke/stock-move", body, RequestHeaders.of("c00000000000000" + i));
             sent[i] = origin.next();
             origin.next();
         }
--- a/src/test/java/petrelplank/cli/LoopbackServersTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackServersTest.java
@@ -44,8 +44,8 @@
 
     private void tell(String id, String zone, String kind, DiesBehindAccept at)
             throws IOException, InterruptedException {
-        String active = entry(id, cache, zone, kind, "active");
-        coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+        String active = endpointJson(id, cache, zone, kind, "active");
+        sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                 + active.replace(cache.address(), "127.0.0.1:" + at.listener.getLocalPort()) + "]}}");
     }
 
--- a/src/test/java/petrelplank/cli/LoopbackTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackTest.java
@@ -21,8 +21,8 @@
     /** The warm-up takes the way of a client's requests and leaves nothing behind. */
     @Test
     void warmUpAsksTheProxyAndSendsNothingToServers() throws IOException {
-        ListenerWarmup.ask(front.address(), 2);
-        client.ask(1, "/_health", NOTHING);
+        ListenerWarmup.ask(proxy.address(), 2);
+        client.ask(1, "/_health", NO_BODY);
         assertTrue(client.answer().startsWith("1 Status: 200"));
         assertTrue(cache.quiet() && parent.quiet() && origin.quiet());
         assertThrows(IOException.class, () -> ListenerWarmup.ask(new InetSocketAddress("127.0.0.1", unusedPort()), 1));
@@ -37,7 +37,7 @@
 
     @Test
     void healthIsGoodAndABadRequestIsRejected() throws IOException {
-        client.ask(1, "/_health", NOTHING);
+        client.ask(1, "/_health", NO_BODY);
         assertTrue(client.answer().startsWith("1 Status: 200"));
         String id = "9b1f03aa5c7e2d41";
         for (String[] bad : new String[][] {
@@ -50,7 +50,7 @@
             client.ask(
                     2,
                     "/invoke/" + bad[0],
-                    NOTHING,
+                    NO_BODY,
                     "X-Request-Id",
                     bad[1],
                     "X-Timeout-Ms",
@@ -77,7 +77,7 @@
         assertTrue(client.answer().matches("(?s)2 Status: 200.*\r\n\r\ntwo"));
         one.reply("one\r\n" + one.word(1) + " ACK - 3\r\nbis\r\n");
         assertTrue(client.answer().matches("(?s)1 Status: 200.*\r\n\r\none"));
-        client.ask(3, "/_health", NOTHING);
+        client.ask(3, "/_health", NO_BODY);
         assertTrue(client.answer().startsWith("3 "));
     }
 
@@ -107,7 +107,7 @@
     /** Guards against a proxy short of processor time that took all its caches for dead: its connects came too late. */
     @Test
     void proxyThatIsHeldUpItselfEjectsNoServer() throws IOException, InterruptedException {
-        steps.set(20);
+        clock.stepOnReads(20);
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         assertEquals("aaaaaaaaaaaaaaaa", fetch.word(1));
@@ -115,7 +115,7 @@
 
     @Test
     void malformedPeersLoseTheirConnectionAndNothingElse() throws IOException, InterruptedException {
-        try (FcgiClient bad = new FcgiClient(front.address())) {
+        try (FcgiClient bad = new FcgiClient(proxy.address())) {
             bad.raw(new byte[] {9, 9, 9, 9, 9, 9, 9, 9});
             assertEquals("closed", bad.answer());
         }
@@ -178,7 +178,7 @@
     }
 
     private FakeServer.Line askForACopyNewerThan4be0(String request) throws IOException, InterruptedException {
-        client.ask(1, "/invoke/media", NOTHING, RequestHeaders.of(request, "X-Mine", "\"4be0\""));
+        client.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of(request, "X-Mine", "\"4be0\""));
         FakeServer.Line fetch = cache.next();
         assertTrue(fetch.text().contains(",seen=4be0"), fetch.text());
         return fetch;
--- a/src/test/java/petrelplank/cli/LoopbackWritesTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackWritesTest.java
@@ -54,7 +54,7 @@
     }
 
     private void askKeyed(int id, String request, String key) throws IOException {
-        List<String> headers = new ArrayList<>(List.of(headers(request)));
+        List<String> headers = new ArrayList<>(List.of(RequestHeaders.of(request)));
         if (key != null) {
             headers.addAll(List.of("Idempotency-Key", key));
         }
