--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -78,7 +78,7 @@
                 played.lengthUs() / 1e6,
                 seconds,
                 happened.get("total"));
-        return 0;
+        return ExitStatus.SUCCESS;
     }
 
     private EventSink sink(String name, long life) {
--- a/src/main/java/petrelplank/cli/ScenariosCommand.java
+++ b/src/main/java/petrelplank/cli/ScenariosCommand.java
@@ -16,6 +16,6 @@
                 .toList()) {
             System.out.printf("%-15s %s%n", name, Scenario.of(name).title());
         }
-        return 0;
+        return ExitStatus.SUCCESS;
     }
 }
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -63,7 +63,7 @@
             return unusable(config + ": " + e.getMessage());
         }
         front.run();
-        return 0;
+        return ExitStatus.SUCCESS;
     }
 
     /** Guards the process: whatever is wrong with the new file, the front goes on with what it has. */
