--- a/src/test/java/petrelplank/cli/CloseUnderRequest.java
+++ b/src/test/java/petrelplank/cli/CloseUnderRequest.java
@@ -43,13 +43,13 @@
             System.exit(2);
         }
         Path folder = Files.createTempDirectory("close-under-request");
-        try (CacheNode cache = new CacheNode();
-                CacheNode parent = new CacheNode();
-                CacheNode origin = new CacheNode()) {
+        try (FakeCacheServer cache = new FakeCacheServer();
+                FakeCacheServer parent = new FakeCacheServer();
+                FakeCacheServer origin = new FakeCacheServer()) {
             String instances = "[" + ColdStartTest.entry("c-1", cache, "edge-1", "box") + ","
                     + ColdStartTest.entry("p-1", parent, "north", "parent") + ","
                     + ColdStartTest.entry("o-1", origin, "north", "origin") + "]";
-            try (ListService service = new ListService(instances);
+            try (FakeDiscoveryService service = new FakeDiscoveryService(instances);
                     FaultRelay relay = new FaultRelay(service.address(), List.of(), 11);
                     FrontProcesses fronts = new FrontProcesses(folder, 1, relay.address(), instances)) {
                 InetSocketAddress at = fronts.ready(60_000).get(0);
--- a/src/test/java/petrelplank/cli/ColdStartTest.java
+++ b/src/test/java/petrelplank/cli/ColdStartTest.java
@@ -24,7 +24,7 @@
     /** A value that is no number gives 0, and the test says so. */
     private static final int FRONTS = Integer.getInteger("fronts", System.getProperty("fronts") == null ? 8 : 0);
 
-    static String entry(String id, CacheNode at, String zone, String kind) {
+    static String entry(String id, FakeCacheServer at, String zone, String kind) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + at.address() + "\",\"zone\":\"" + zone
                 + "\",\"machineType\":\"" + kind
                 + "\",\"cell\":0,\"lifecycle\":\"active\",\"weight\":10,\"startedAtMs\":0}";
@@ -35,7 +35,7 @@
     void frontStartedWithHangupsIgnoredSaysSo(@TempDir Path folder) throws IOException, InterruptedException {
         Path plain = Files.createDirectory(folder.resolve("plain"));
         Path deaf = Files.createDirectory(folder.resolve("deaf"));
-        try (ListService service = new ListService("[]");
+        try (FakeDiscoveryService service = new FakeDiscoveryService("[]");
                 FaultRelay relay = new FaultRelay(service.address(), List.of(), 11);
                 FrontProcesses one = new FrontProcesses(plain, 1, relay.address(), "[]");
                 FrontProcesses other = new FrontProcesses(
@@ -58,12 +58,12 @@
     void frontsStartedAtOnceSpareACoordinatorThatResetsAndFollowItOnceItHeals(@TempDir Path folder)
             throws IOException, InterruptedException {
         assertTrue(FRONTS >= 1 && FRONTS <= 100, "-Dfronts wants 1 to 100, not " + System.getProperty("fronts"));
-        try (CacheNode cache = new CacheNode();
-                CacheNode parent = new CacheNode();
-                CacheNode origin = new CacheNode()) {
+        try (FakeCacheServer cache = new FakeCacheServer();
+                FakeCacheServer parent = new FakeCacheServer();
+                FakeCacheServer origin = new FakeCacheServer()) {
             String instances = "[" + entry("c-1", cache, "edge-1", "box") + ","
                     + entry("p-1", parent, "north", "parent") + "," + entry("o-1", origin, "north", "origin") + "]";
-            try (ListService service = new ListService(instances);
+            try (FakeDiscoveryService service = new FakeDiscoveryService(instances);
                     FaultRelay relay = new FaultRelay(
                             service.address(),
                             List.of(new FaultRelay.Span(0, Long.MAX_VALUE, FaultRelay.Fault.RESET, 0)),
@@ -94,7 +94,7 @@
                                 RequestHeaders.withTimeout(String.format("%016x", i + 1), 10_000));
                         String answer = client.answer();
                         assertTrue(
-                                answer.startsWith("1 Status: 200") && answer.endsWith(CacheNode.BODY),
+                                answer.startsWith("1 Status: 200") && answer.endsWith(FakeCacheServer.BODY),
                                 "front " + i + ": " + answer);
                     }
                 }
--- a/src/test/java/petrelplank/cli/CacheNode.java
+++ b/src/test/java/petrelplank/cli/FakeCacheServer.java
@@ -12,13 +12,13 @@
  * A cache for tests, by the line protocol: responds to every command with a request id as to a hit with the body
  * {@code abc}, and to {@code abort} not at all. Counts connections and commands.
  */
-final class CacheNode extends StandIn {
+final class FakeCacheServer extends FakeTcpServer {
     static final String BODY = "abc";
     private final AtomicInteger connections = new AtomicInteger();
     private final AtomicInteger commands = new AtomicInteger();
 
-    CacheNode() throws IOException {
-        super("cache-node");
+    FakeCacheServer() throws IOException {
+        super("fake-cache-server");
     }
 
     @Override
--- a/src/test/java/petrelplank/cli/ListService.java
+++ b/src/test/java/petrelplank/cli/FakeDiscoveryService.java
@@ -15,7 +15,7 @@
  * A discovery service for tests: reads {@code follow N}, sends the complete endpoint list as event 1 where N is below
  * 1, and then the number of the last event each second as a heartbeat. Counts the calls served and the open streams.
  */
-final class ListService extends StandIn {
+final class FakeDiscoveryService extends FakeTcpServer {
     private static final String FOLLOW = "follow ";
     private static final byte[] HEARTBEAT = "1\n".getBytes(StandardCharsets.US_ASCII);
     private static final int HEARTBEAT_MS = 1_000;
@@ -25,8 +25,8 @@
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
     /** @param instances the JSON array of the list's endpoints */
-    ListService(String instances) throws IOException {
-        super("list-service");
+    FakeDiscoveryService(String instances) throws IOException {
+        super("fake-discovery-service");
         list = "{\"index\":1,\"endpoints\":{\"reset\":false,\"instances\":" + instances + "}}\n";
     }
 
--- a/src/test/java/petrelplank/cli/StandIn.java
+++ b/src/test/java/petrelplank/cli/FakeTcpServer.java
@@ -6,12 +6,12 @@
 import java.net.Socket;
 
 /** A server for tests: listens on loopback at a free port and serves each connection in a thread of its own. */
-abstract class StandIn implements AutoCloseable {
+abstract class FakeTcpServer implements AutoCloseable {
     private final ServerSocket listener;
     /** Whether {@link #close} was called. */
     protected volatile boolean closed;
 
-    StandIn(String name) throws IOException {
+    FakeTcpServer(String name) throws IOException {
         listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
         startDaemon(this::accept, name);
     }
--- a/src/test/java/petrelplank/cli/FrontSignalsTest.java
+++ b/src/test/java/petrelplank/cli/FrontSignalsTest.java
@@ -36,7 +36,7 @@
     @Test
     void signalsDuringTheDrainDoNotCutItShort(@TempDir Path folder) throws IOException, InterruptedException {
         try (FakeServer cache = new FakeServer();
-                ListService service = new ListService("[]")) {
+                FakeDiscoveryService service = new FakeDiscoveryService("[]")) {
             String instances = "[" + LoopbackFixture.endpointJson("c-1", cache, "edge-1", "box", "active") + "]";
             String at = "127.0.0.1:" + service.port();
             try (FrontProcesses fronts = new FrontProcesses(folder, 1, at, instances)) {
