--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -50,11 +50,11 @@
         RouterSettings settings = configuration.settings();
         this.sink = sink;
         loop = new EventLoop(clock);
-        transport = new ProxyTransport(configuration.sockets(), clock);
+        transport = new ProxyTransport(configuration.maxDescriptors(), clock);
         proxy = proxy(configuration);
-        List<EndpointInfo> endpoints = applyKnownEvents(configuration.known());
+        List<EndpointInfo> endpoints = applyKnownEvents(configuration.knownEvents());
         discovery = new DiscoveryClient(
-                loop, proxy, transport.discoveryConnector(), configuration.coordinator(), configuration.seed());
+                loop, proxy, transport.discoveryConnector(), configuration.discoveryAddress(), configuration.seed());
         clients = new FastCgiAcceptor(
                 loop,
                 proxy,
@@ -71,9 +71,9 @@
         RouterSettings settings = configuration.settings();
         ConnectionLimits limits = new ConnectionLimits(
                 transport.upstreamBudget(),
-                configuration.streams(),
+                configuration.maxStreamsPerConnection(),
                 Math.max(MIN_CONNECT_TIMEOUT_US, settings.connectTimeoutUs()),
-                configuration.idleUs(),
+                configuration.idleTimeoutUs(),
                 ConnectionLimits.maxPerServer(settings.zoneGatewayCount()),
                 settings.permissions().hedging());
         return new EdgeProxy(
--- a/src/main/java/petrelplank/cli/ScenariosCommand.java
+++ b/src/main/java/petrelplank/cli/ScenariosCommand.java
@@ -6,7 +6,7 @@
 import petrelplank.emulator.Scenario;
 
 /** {@code scenarios}: lists the bundled ones. */
-public final class ScenariosCommand extends BaseCommand implements Command {
+public final class ScenariosCommand extends BaseCommand {
     /** For args4j, which makes it by reflection. */
     public ScenariosCommand() {}
 
@@ -16,6 +16,6 @@
                 .toList()) {
             System.out.printf("%-15s %s%n", name, Scenario.of(name).title());
         }
-        return 0;
+        return ExitStatus.SUCCESS;
     }
 }
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -14,7 +14,7 @@
 import petrelplank.yaml.YamlException;
 
 /** {@code serve}: runs one proxy. */
-public final class ServeCommand extends BaseCommand implements Command {
+public final class ServeCommand extends BaseCommand {
     private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
     private static final long US_PER_SECOND = 1_000_000;
     private static final int NS_PER_US = 1000;
@@ -57,7 +57,7 @@
             return unusable(config + ": " + e.getMessage());
         }
         server.run();
-        return 0;
+        return ExitStatus.SUCCESS;
     }
 
     private ProxyServer start(Configuration configuration) throws IOException {
@@ -66,7 +66,7 @@
             LOG.warning("started with SIGHUP ignored (nohup?): a new configuration will not be read");
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(server), "drain"));
-        server.open(listen == null ? configuration.listen() : Addresses.parse(listen));
+        server.open(listen == null ? configuration.listenAddress() : Addresses.parse(listen));
         return server;
     }
 
@@ -81,7 +81,7 @@
     static void reload(ProxyServer server, File file) {
         try {
             Configuration next = Configuration.read(file);
-            server.follow(next.coordinator(), next.known());
+            server.follow(next.discoveryAddress(), next.knownEvents());
         } catch (IOException | RuntimeException e) {
             LOG.warning("SIGHUP: " + file + " can't be used, the old configuration stays: "
                     + String.valueOf(e.getMessage()).replace('\n', ' '));
--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -32,10 +32,8 @@
     static DiscoveryEvent decode(String line) {
         try (JsonParser parser = JSON.createParser(line)) {
             parser.nextToken();
-            Object value = JsonValue.read(parser);
-            return value instanceof Long lastIndex
-                    ? new DiscoveryEvent.Beat(lastIndex)
-                    : decode(new JsonFields(JsonValue.object(value, "the event"), "the event"));
+            JsonValue value = JsonValue.read(parser);
+            return value.isLong() ? new DiscoveryEvent.Beat(value.asLong()) : decode(value.asObject("the event"));
         } catch (IOException e) {
             throw new FormatException("not JSON: " + e.getMessage());
         }
@@ -49,12 +47,12 @@
      * @throws FormatException where a field is missing or of the wrong type
      */
     public static DiscoveryEvent decode(JsonFields event) {
-        long index = event.whole("index");
+        long index = event.integer("index");
         if (event.has("evict")) {
-            return purge(index, new JsonFields(event.object("evict"), event.where() + " evict"));
+            return purge(index, event.object("evict"));
         }
         if (event.has("endpoints")) {
-            return endpointChange(index, new JsonFields(event.object("endpoints"), event.where() + " endpoints"));
+            return endpointChange(index, event.object("endpoints"));
         }
         // Guards against an unknown kind of event: it is ignored, but its number counts as received.
         return event.only("index") ? new DiscoveryEvent.Beat(index) : new DiscoveryEvent.Other(index);
@@ -62,14 +60,14 @@
 
     private static DiscoveryEvent.Purge purge(long index, JsonFields purge) {
         Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
-        int group = (int) purge.whole("shard", NO_GROUP);
-        return new DiscoveryEvent.Purge(index, object, group, purge.whole("unix_ms"));
+        int group = (int) purge.integer("shard", NO_GROUP);
+        return new DiscoveryEvent.Purge(index, object, group, purge.integer("unix_ms"));
     }
 
     private static DiscoveryEvent.Change endpointChange(long index, JsonFields endpoints) {
         List<DiscoveryEvent.Entry> entries = new ArrayList<>();
-        for (var instance : endpoints.objects("instances")) {
-            entries.add(entry(new JsonFields(instance, endpoints.where() + " instance")));
+        for (JsonFields instance : endpoints.objects("instances", endpoints.path() + " instance")) {
+            entries.add(entry(instance));
         }
         return new DiscoveryEvent.Change(index, index == FIRST_INDEX || endpoints.flag("reset"), entries);
     }
@@ -80,10 +78,10 @@
                 instance.text("instanceId"),
                 instance.text("zone"),
                 instance.text("machineType"),
-                (int) instance.whole("cell", 0),
+                (int) instance.integer("cell", 0),
                 state,
                 instance.number("weight", 1),
-                US_PER_MS * instance.whole("startedAtMs", 0));
+                US_PER_MS * instance.integer("startedAtMs", 0));
         return new DiscoveryEvent.Entry(endpoint, Addresses.parse(instance.text("hostPort")));
     }
 
@@ -93,7 +91,7 @@
             case "active" -> EndpointState.UP;
             case "leaving" -> EndpointState.DRAINING;
             case "left" -> EndpointState.REMOVED;
-            default -> throw new FormatException(instance.where() + ": lifecycle " + lifecycle);
+            default -> throw new FormatException(instance.path(), "lifecycle " + lifecycle);
         };
     }
 }
--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -21,7 +21,7 @@
 
     /** Keeps the endpoint list of an event for the events that name it. */
     void addEndpointList(JsonFields event) {
-        endpointLists.put((int) event.whole("list"), SimulatorFieldDecoder.endpoints(event));
+        endpointLists.put((int) event.integer("list"), SimulatorFieldDecoder.endpoints(event));
     }
 
     /**
@@ -40,7 +40,7 @@
             case "OUTDATED" -> purged(event);
             case "CHECKED" -> healthChecked(event);
             case "MAIL" -> gossipReceived(event);
-            default -> throw new FormatException(event.where() + ": unknown verb \"" + verb + "\"");
+            default -> throw new FormatException(event.path(), "unknown verb \"" + verb + "\"");
         };
     }
 
@@ -50,10 +50,10 @@
             return (router, nowUs) -> router.discoveryFailed(nowUs);
         }
         boolean complete = !how.equals(PARTIAL_LIST);
-        int number = (int) event.whole("list");
+        int number = (int) event.integer("list");
         List<EndpointInfo> endpoints = endpointLists.get(number);
         if (endpoints == null) {
-            throw new FormatException(event.where() + ": no list " + event.whole("list"));
+            throw new FormatException(event.path(), "no list " + event.integer("list"));
         }
         return (router, nowUs) -> router.endpointsChanged(nowUs, complete, endpoints);
     }
@@ -62,10 +62,10 @@
         RoutingRequest request = new RoutingRequest(
                 event.text("job"),
                 event.hex("resource"),
-                event.whole("part", 0),
-                (int) event.whole("label-no", 0),
+                event.integer("part", 0),
+                (int) event.integer("label-no", 0),
                 event.text("grade"),
-                event.whole("not-after-us"),
+                event.integer("not-after-us"),
                 event.number("length-kb", 0),
                 event.flag("is-write"),
                 event.flag("repeat"),
@@ -76,12 +76,12 @@
     private static RouterEvent attemptEnded(JsonFields event) {
         AttemptOutcome outcome = new AttemptOutcome(
                 event.text("job"),
-                (int) event.whole("send-no"),
+                (int) event.integer("send-no"),
                 SimulatorFieldDecoder.attemptStatus(event),
-                event.whole("lag-us"),
+                event.integer("lag-us"),
                 event.flag("settled"),
                 SimulatorFieldDecoder.cacheStatus(event),
-                event.whole("source-wait-us", 0),
+                event.integer("source-wait-us", 0),
                 event.numbers("load"),
                 0);
         return (router, nowUs) -> router.attemptEnded(nowUs, outcome);
@@ -89,7 +89,7 @@
 
     private static RouterEvent streamStarted(JsonFields event) {
         String request = event.text("job");
-        int attempt = (int) event.whole("send-no");
+        int attempt = (int) event.integer("send-no");
         return (router, nowUs) -> router.streamStarted(nowUs, request, attempt);
     }
 
@@ -99,30 +99,30 @@
     }
 
     private static RouterEvent timerFired(JsonFields event) {
-        long token = event.whole("nonce");
+        long token = event.integer("nonce");
         return (router, nowUs) -> router.timerFired(nowUs, token);
     }
 
     private static RouterEvent purged(JsonFields event) {
-        long ageUs = event.whole("copy-age-us");
+        long ageUs = event.integer("copy-age-us");
         if (event.has("resource")) {
             long object = event.hex("resource");
             return (router, nowUs) -> router.objectPurged(nowUs, object, ageUs);
         }
-        int group = (int) event.whole("group");
+        int group = (int) event.integer("group");
         return (router, nowUs) -> router.groupPurged(nowUs, group, ageUs);
     }
 
     private static RouterEvent healthChecked(JsonFields event) {
         String endpoint = event.text("cache");
         AttemptStatus status = SimulatorFieldDecoder.attemptStatus(event);
-        long latencyUs = event.whole("lag-us");
+        long latencyUs = event.integer("lag-us");
         double[] load = event.numbers("load");
         return (router, nowUs) -> router.healthChecked(nowUs, endpoint, status, latencyUs, load);
     }
 
     private static RouterEvent gossipReceived(JsonFields event) {
-        int sender = (int) event.whole("neighbour");
+        int sender = (int) event.integer("neighbour");
         byte[] message = event.bytes("bytes");
         return (router, nowUs) -> router.gossipReceived(nowUs, sender, message);
     }
--- a/src/main/java/petrelplank/simulator/SimulatorFieldDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorFieldDecoder.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 import petrelplank.routing.EndpointInfo;
@@ -44,16 +43,16 @@
     private SimulatorFieldDecoder() {}
 
     static AttemptStatus attemptStatus(JsonFields event) {
-        long code = event.whole("rc");
+        long code = event.integer("rc");
         if (code < 1 || code >= ATTEMPT_STATUS_BY_CODE.length) {
-            throw new FormatException(event.where() + ": rc " + code + " is none of the endings");
+            throw new FormatException(event.path(), "rc " + code + " is none of the endings");
         }
         return ATTEMPT_STATUS_BY_CODE[(int) code];
     }
 
     /** An unknown code says nothing of the cache. */
     static CacheStatus cacheStatus(JsonFields event) {
-        long code = event.whole("note", 0);
+        long code = event.integer("note", 0);
         if (code < 0 || code >= CACHE_STATUS_BY_CODE.length) {
             return CacheStatus.NONE;
         }
@@ -61,10 +60,10 @@
     }
 
     static List<EndpointInfo> endpoints(JsonFields event) {
-        List<Map<String, Object>> entries = event.objects("nodes-list");
+        List<JsonFields> entries = event.indexedObjects("nodes-list", event.path() + " entry");
         List<EndpointInfo> endpoints = new ArrayList<>(entries.size());
         for (int i = 0; i < entries.size(); i++) {
-            endpoints.add(endpoint(new JsonFields(entries.get(i), event.where() + " entry " + i)));
+            endpoints.add(endpoint(entries.get(i)));
         }
         return endpoints;
     }
@@ -75,10 +74,10 @@
                 entry.text("cache"),
                 entry.text("rack-zone"),
                 entry.text("hw"),
-                (int) entry.whole("block", 0),
+                (int) entry.integer("block", 0),
                 state,
                 entry.number("share", 1),
-                entry.whole("born-us", 0));
+                entry.integer("born-us", 0));
     }
 
     private static EndpointState state(JsonFields entry) {
@@ -87,7 +86,7 @@
             case "up" -> EndpointState.UP;
             case "draining" -> EndpointState.DRAINING;
             case "removed" -> EndpointState.REMOVED;
-            default -> throw new FormatException(entry.where() + ": mode \"" + mode + "\" is unknown");
+            default -> throw new FormatException(entry.path(), "mode \"" + mode + "\" is unknown");
         };
     }
 
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -33,7 +33,7 @@
     /** Of the reply that is being written. */
     private JsonGenerator output;
 
-    private record Batch(long nowUs, List<Map<String, Object>> events) {}
+    private record Batch(long nowUs, List<JsonFields> events) {}
 
     /**
      * Processes one batch.
@@ -51,7 +51,7 @@
         output.writeStartObject();
         output.writeArrayFieldStart("out");
         for (int i = 0; i < batch.events.size(); i++) {
-            process(batch.nowUs, new JsonFields(batch.events.get(i), "event " + i));
+            process(batch.nowUs, batch.events.get(i));
         }
         output.writeEndArray();
         output.writeEndObject();
@@ -60,13 +60,13 @@
 
     private Batch parse(byte[] line, int size) throws IOException {
         try (JsonParser parser = json.createParser(line, 0, size)) {
-            Object value = parser.nextToken() == null ? null : JsonValue.read(parser);
+            JsonValue value = parser.nextToken() == null ? JsonValue.NULL : JsonValue.read(parser);
             if (parser.nextToken() != null) {
                 long offset = parser.currentLocation().getByteOffset();
                 throw new FormatException("more than one value on the line, at byte " + offset);
             }
-            JsonFields batch = new JsonFields(JsonValue.object(value, "the batch"), "the batch");
-            return new Batch(batch.whole("clock-us"), batch.objects("in"));
+            JsonFields batch = value.asObject("the batch");
+            return new Batch(batch.integer("clock-us"), batch.indexedObjects("in", "event"));
         } catch (JsonProcessingException e) {
             throw new FormatException("not JSON: " + e.getOriginalMessage() + ", at byte "
                     + e.getLocation().getByteOffset());
@@ -79,7 +79,7 @@
             decoder.addEndpointList(event);
             return;
         }
-        int gateway = (int) event.whole("gateway");
+        int gateway = (int) event.integer("gateway");
         Runnable call = decode(verb, gateway, nowUs, event);
         try {
             call.run();
@@ -103,8 +103,8 @@
     }
 
     private Runnable provision(int gateway, JsonFields event) {
-        JsonFields setup = new JsonFields(event.object("setup"), "setup");
-        long seed = event.whole("nonce64");
+        JsonFields setup = event.object("setup", "setup");
+        long seed = event.integer("nonce64");
         return () -> {
             crashed.remove(gateway);
             routers.put(gateway, new RequestRouter(SettingsParser.settings(setup), seed, actions(gateway)));
@@ -116,7 +116,7 @@
             return RouterEvent.IGNORED;
         }
         if (!routers.containsKey(gateway)) {
-            throw new FormatException(event.where() + ": gateway " + gateway + " was not provisioned");
+            throw new FormatException(event.path(), "gateway " + gateway + " was not provisioned");
         }
         return decoder.decode(verb, event);
     }
--- a/src/test/java/petrelplank/cli/CloseUnderRequest.java
+++ b/src/test/java/petrelplank/cli/CloseUnderRequest.java
@@ -43,13 +43,13 @@
             System.exit(2);
         }
         Path folder = Files.createTempDirectory("close-under-request");
-        try (CacheNode cache = new CacheNode();
-                CacheNode parent = new CacheNode();
-                CacheNode origin = new CacheNode()) {
+        try (FakeCacheServer cache = new FakeCacheServer();
+                FakeCacheServer parent = new FakeCacheServer();
+                FakeCacheServer origin = new FakeCacheServer()) {
             String instances = "[" + ColdStartTest.entry("c-1", cache, "edge-1", "box") + ","
                     + ColdStartTest.entry("p-1", parent, "north", "parent") + ","
                     + ColdStartTest.entry("o-1", origin, "north", "origin") + "]";
-            try (ListService discovery = new ListService(instances);
+            try (FakeDiscoveryService discovery = new FakeDiscoveryService(instances);
                     FaultRelay relay = new FaultRelay(discovery.address(), List.of(), 11);
                     FrontProcesses processes = new FrontProcesses(folder, 1, relay.address(), instances)) {
                 InetSocketAddress address = processes.ready(60_000).get(0);
@@ -107,16 +107,7 @@
                             1,
                             "/invoke/media",
                             new byte[0],
-                            "X-Request-Id",
-                            String.format("%016x", ids.incrementAndGet()),
-                            "X-Timeout-Ms",
-                            "10000",
-                            "X-Object",
-                            "7f3a9c21e0b4d655",
-                            "X-N",
-                            "0",
-                            "X-Shard",
-                            "17");
+                            RequestHeaders.withTimeout(String.format("%016x", ids.incrementAndGet()), 10_000));
                     ended = client.answer().equals("closed");
                 } catch (IOException e) {
                     ended = true;
--- a/src/test/java/petrelplank/cli/ColdStartTest.java
+++ b/src/test/java/petrelplank/cli/ColdStartTest.java
@@ -41,7 +41,7 @@
     /** Runs its arguments with SIGHUP ignored, as nohup does. */
     private static final List<String> IGNORING_SIGHUP = List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
 
-    static String entry(String id, CacheNode at, String zone, String kind) {
+    static String entry(String id, FakeCacheServer at, String zone, String kind) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + at.address() + "\",\"zone\":\"" + zone
                 + "\",\"machineType\":\"" + kind
                 + "\",\"cell\":0,\"lifecycle\":\"active\",\"weight\":10,\"startedAtMs\":0}";
@@ -52,7 +52,7 @@
     void startWithIgnoredHangupIsLogged(@TempDir Path folder) throws IOException, InterruptedException {
         Path plain = Files.createDirectory(folder.resolve("plain"));
         Path ignoring = Files.createDirectory(folder.resolve("ignoring"));
-        try (ListService service = new ListService("[]");
+        try (FakeDiscoveryService service = new FakeDiscoveryService("[]");
                 FaultRelay relay = new FaultRelay(service.address(), List.of(), RELAY_SEED);
                 FrontProcesses normal = new FrontProcesses(plain, 1, relay.address(), "[]");
                 FrontProcesses deaf = new FrontProcesses(ignoring, 1, relay.address(), "[]", IGNORING_SIGHUP)) {
@@ -79,12 +79,12 @@
             throws IOException, InterruptedException {
         assertTrue(
                 PROXIES >= 1 && PROXIES <= MAX_PROXIES, "-Dfronts wants 1 to 100, not " + System.getProperty("fronts"));
-        try (CacheNode cache = new CacheNode();
-                CacheNode parent = new CacheNode();
-                CacheNode origin = new CacheNode()) {
+        try (FakeCacheServer cache = new FakeCacheServer();
+                FakeCacheServer parent = new FakeCacheServer();
+                FakeCacheServer origin = new FakeCacheServer()) {
             String instances = "[" + entry("c-1", cache, "edge-1", "box") + ","
                     + entry("p-1", parent, "north", "parent") + "," + entry("o-1", origin, "north", "origin") + "]";
-            try (ListService service = new ListService(instances);
+            try (FakeDiscoveryService service = new FakeDiscoveryService(instances);
                     FaultRelay relay = new FaultRelay(service.address(), RESET_ALWAYS, RELAY_SEED);
                     FrontProcesses proxies = new FrontProcesses(folder, PROXIES, relay.address(), instances)) {
                 List<InetSocketAddress> addresses = proxies.ready(READY_TIMEOUT_MS);
@@ -99,7 +99,7 @@
         }
     }
 
-    private static int checkBackoff(FaultRelay relay, ListService service) throws InterruptedException {
+    private static int checkBackoff(FaultRelay relay, FakeDiscoveryService service) throws InterruptedException {
         Thread.sleep(SETTLE_MS);
         int before = relay.accepted();
         Thread.sleep(MEASURED_MS);
@@ -111,7 +111,7 @@
         return connects;
     }
 
-    private static void checkRecovery(FaultRelay relay, ListService service) throws InterruptedException {
+    private static void checkRecovery(FaultRelay relay, FakeDiscoveryService service) throws InterruptedException {
         relay.play(List.of());
         long deadlineNs = System.nanoTime() + RECOVERY_TIMEOUT_NS;
         while (service.open() < PROXIES && System.nanoTime() < deadlineNs) {
@@ -126,7 +126,7 @@
                 client.ask(1, "/invoke/media", new byte[0], requestHeaders(i + 1));
                 String response = client.answer();
                 assertTrue(
-                        response.startsWith("1 Status: 200") && response.endsWith(CacheNode.BODY),
+                        response.startsWith("1 Status: 200") && response.endsWith(FakeCacheServer.BODY),
                         "proxy " + i + ": " + response);
             }
         }
--- a/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
@@ -38,13 +38,13 @@
     /** The I/O thread answers health checks by itself: at the second answer it has read all that was there before. */
     private void awaitReadByIoThread() throws IOException {
         for (int i = 0; i < 2; i++) {
-            client.ask(9, "/_health", NOTHING);
+            client.ask(9, "/_health", NO_BODY);
             assertThat(client.answer()).startsWith("9 Status: 200");
         }
     }
 
     private void askOn(FcgiClient asking, String requestId) throws IOException {
-        asking.ask(1, "/invoke/media", NOTHING, headers(requestId));
+        asking.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of(requestId));
     }
 
     /** The next upstream request of all is that of a client request which came later. */
@@ -61,21 +61,21 @@
         blockEventThreadAt(Event.RequestAdmitted.class);
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         reached.await();
-        try (FcgiClient leaving = new FcgiClient(front.address())) {
+        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
         }
         awaitReadByIoThread();
         released.countDown();
         assertThat(cache.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         assertNothingSentForDisconnected();
-        assertThat(recorded.stream().filter(Event.RequestAdmitted.class::isInstance))
+        assertThat(recordedEvents.stream().filter(Event.RequestAdmitted.class::isInstance))
                 .hasSize(2);
     }
 
     @Test
     void attemptOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
         blockEventThreadAt(Event.AttemptSent.class);
-        try (FcgiClient leaving = new FcgiClient(front.address())) {
+        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
             reached.await();
         }
@@ -87,7 +87,7 @@
     @Test
     void attemptOfACancelledRequestIsNotWritten() throws IOException, InterruptedException {
         blockEventThreadAt(Event.AttemptSent.class);
-        try (FcgiClient leaving = new FcgiClient(front.address())) {
+        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
             reached.await();
             leaving.abort(1);
@@ -100,7 +100,7 @@
     /** A retry is ordered at the end of the first attempt; its client may disconnect in that very moment. */
     @Test
     void retryOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
-        try (FcgiClient leaving = new FcgiClient(front.address())) {
+        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
             FakeServer.Line first = cache.next();
             blockEventThreadAt(Event.AttemptEnded.class);
--- a/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
@@ -27,18 +27,18 @@
     void silentAndIncompleteConnectionsTimeOutAndPendingRequestsDoNot() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
-        try (FcgiClient silent = new FcgiClient(front.address());
-                FcgiClient incomplete = new FcgiClient(front.address());
-                FcgiClient idle = new FcgiClient(front.address())) {
+        try (FcgiClient silent = new FcgiClient(proxy.address());
+                FcgiClient incomplete = new FcgiClient(proxy.address());
+                FcgiClient idle = new FcgiClient(proxy.address())) {
             incomplete.raw(new byte[] {1, 1, 0, 1, 0, 8, 0, 0, 0, 1});
-            idle.ask(1, "/_health", NOTHING);
+            idle.ask(1, "/_health", NO_BODY);
             idle.answer();
-            laterUs.addAndGet(2_100_000);
+            clock.advance(2_100_000);
             assertEquals("closed", silent.answer());
             assertEquals("closed", incomplete.answer());
-            idle.ask(2, "/_health", NOTHING);
+            idle.ask(2, "/_health", NO_BODY);
             assertTrue(idle.answer().startsWith("2 Status: 200"));
-            laterUs.addAndGet(5_100_000);
+            clock.advance(5_100_000);
             assertEquals("closed", idle.answer());
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
@@ -52,8 +52,8 @@
         FakeServer.Line fetch = cache.next();
         List<FcgiClient> kept = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
-            kept.add(new FcgiClient(front.address()));
-            kept.get(i).ask(1, "/_health", NOTHING);
+            kept.add(new FcgiClient(proxy.address()));
+            kept.get(i).ask(1, "/_health", NO_BODY);
             assertTrue(kept.get(i).answer().startsWith("1 Status: 200"));
         }
         assertEquals("closed", kept.get(0).answer());
@@ -73,15 +73,15 @@
         int capacity = SOCKETS * 2 / 5;
         List<FcgiClient> kept = new ArrayList<>();
         for (int i = 0; i < capacity - 2; i++) {
-            kept.add(new FcgiClient(front.address()));
-            kept.get(i).ask(1, "/_health", NOTHING);
+            kept.add(new FcgiClient(proxy.address()));
+            kept.get(i).ask(1, "/_health", NO_BODY);
             assertTrue(kept.get(i).answer().startsWith("1 Status: 200"));
         }
         whileTheIoThreadIsBlocked(kept.get(0), () -> {
             ask(1, "aaaaaaaaaaaaaaaa", "media");
             // It takes the last place but one, so that the longest idle connection, the first client's, has to make
             // room.
-            kept.add(new FcgiClient(front.address()));
+            kept.add(new FcgiClient(proxy.address()));
             for (int polls = 0; polls < 2000 && acceptedConnections() < capacity; polls++) {
                 Thread.sleep(5);
             }
@@ -95,10 +95,10 @@
 
     @Test
     void idleConnectionIsKeptWhereItsRequestLiesUnread() throws IOException, InterruptedException {
-        try (FcgiClient other = new FcgiClient(front.address())) {
+        try (FcgiClient other = new FcgiClient(proxy.address())) {
             whileTheIoThreadIsBlocked(other, () -> {
                 ask(1, "aaaaaaaaaaaaaaaa", "media");
-                laterUs.addAndGet(5_100_000);
+                clock.advance(5_100_000);
                 // Longer than the sweep interval; too short a wait would only make this test weaker.
                 Thread.sleep(600);
             });
@@ -110,10 +110,10 @@
     @Test
     void idleConnectionIsKeptWhileALongRequestIsReceived() throws IOException, InterruptedException {
         byte[] body = "x".repeat(30_000).getBytes();
-        try (FcgiClient other = new FcgiClient(front.address())) {
+        try (FcgiClient other = new FcgiClient(proxy.address())) {
             whileTheIoThreadIsBlocked(other, () -> {
-                client.begin(1, "/invoke/stock-move", body, headers("aaaaaaaaaaaaaaaa"));
-                laterUs.addAndGet(5_100_000);
+                client.begin(1, "/invoke/stock-move", body, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+                clock.advance(5_100_000);
                 Thread.sleep(600);
             });
         }
@@ -134,9 +134,9 @@
         invalid[3] = 77;
         invalid[4] = (byte) (60_000 >> 8);
         invalid[5] = (byte) 60_000;
-        try (FcgiClient sender = new FcgiClient(front.address())) {
+        try (FcgiClient sender = new FcgiClient(proxy.address())) {
             sender.raw(invalid);
-            laterUs.addAndGet(2_100_000);
+            clock.advance(2_100_000);
             long deadlineNs = System.nanoTime() + 10_000_000_000L;
             assertThrows(IOException.class, () -> {
                 while (System.nanoTime() < deadlineNs) {
@@ -149,7 +149,7 @@
     /** A client counts from its sending: the time in which a request lay unread is taken off its timeout. */
     @Test
     void timeThatARequestLayUnreadIsTakenOffItsTimeout() throws IOException, InterruptedException {
-        try (FcgiClient other = new FcgiClient(front.address())) {
+        try (FcgiClient other = new FcgiClient(proxy.address())) {
             whileTheIoThreadIsBlocked(other, () -> {
                 ask(1, "aaaaaaaaaaaaaaaa", "media");
                 Thread.sleep(1_000);
@@ -173,15 +173,15 @@
 
     /** Blocks the I/O thread at the clock, while it reads a request of {@code other}. */
     private void whileTheIoThreadIsBlocked(FcgiClient other, Action action) throws IOException, InterruptedException {
-        ioTurn.acquire();
+        clock.holdIoThread();
         try {
-            other.ask(2, "/_health", NOTHING);
-            while (!ioTurn.hasQueuedThreads()) {
+            other.ask(2, "/_health", NO_BODY);
+            while (!clock.isIoThreadHeld()) {
                 Thread.sleep(1);
             }
             action.run();
         } finally {
-            ioTurn.release();
+            clock.releaseIoThread();
         }
     }
 
@@ -192,13 +192,13 @@
     @Test
     void acceptedConnectionsStayWithinTheBudgetWhileTheIoThreadIsBlocked() throws IOException, InterruptedException {
         int capacity = SOCKETS * 2 / 5;
-        ioTurn.acquire();
+        clock.holdIoThread();
         List<FcgiClient> clients = new ArrayList<>();
         long accepted;
         try {
             for (int i = 0; i < 4 * capacity; i++) {
-                clients.add(new FcgiClient(front.address()));
-                clients.get(i).ask(1, "/_health", NOTHING);
+                clients.add(new FcgiClient(proxy.address()));
+                clients.get(i).ask(1, "/_health", NO_BODY);
             }
             // The budget fills; the longer wait after that is for connections that must not be accepted.
             for (int polls = 0; polls < 4000 && acceptedConnections() < capacity - 1; polls++) {
@@ -207,7 +207,7 @@
             Thread.sleep(200);
             accepted = acceptedConnections();
         } finally {
-            ioTurn.release();
+            clock.releaseIoThread();
         }
         assertTrue(accepted <= capacity && accepted >= capacity - 1, accepted + " accepted of a budget of " + capacity);
         for (FcgiClient connection : clients) {
@@ -219,7 +219,7 @@
 
     /** Connections to the proxy that a process has accepted: those still in the kernel's accept queue have no inode. */
     private long acceptedConnections() throws IOException {
-        String port = String.format(":%04X", front.address().getPort());
+        String port = String.format(":%04X", proxy.address().getPort());
         try (Stream<String> lines = Stream.concat(
                 Files.lines(Path.of("/proc/self/net/tcp")), Files.lines(Path.of("/proc/self/net/tcp6")))) {
             return lines.map(line -> line.trim().split("\\s+"))
--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -18,7 +18,7 @@
     }
 
     private String draining() {
-        return entry("c-1", cache, "edge-1", "box", "leaving");
+        return endpointJson("c-1", cache, "edge-1", "box", "leaving");
     }
 
     /** Sends a request and responds to its attempt; the server that got it. */
@@ -38,60 +38,60 @@
     /** A service that fails without an error sends an empty list: the last good one stays, and the stream is reconnected. */
     @Test
     void emptyCompleteListIsRejected() throws IOException, InterruptedException {
-        follow.reply(list(2, true));
-        FakeServer.Line again = coordinator.next();
+        followLine.reply(list(2, true));
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(cache);
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         assertThat(routedTo("bbbbbbbbbbbbbbbb")).isSameAs(parent);
     }
 
     /** An endpoint missing in a complete list is removed; an older list that arrives late does not bring it back. */
     @Test
     void completeListRemovesEndpointsThatItLacks() throws IOException, InterruptedException {
-        String parents = entry("p-1", parent, "north", "parent", "active");
-        String origins = entry("o-1", origin, "north", "origin", "active");
-        follow.reply(list(2, true, parents, origins)
-                + list(1, true, entry("c-1", cache, "edge-1", "box", "active"), parents, origins));
-        follow.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        String parents = endpointJson("p-1", parent, "north", "parent", "active");
+        String origins = endpointJson("o-1", origin, "north", "origin", "active");
+        followLine.reply(list(2, true, parents, origins)
+                + list(1, true, endpointJson("c-1", cache, "edge-1", "box", "active"), parents, origins));
+        followLine.socket().shutdownOutput();
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
     /** Heartbeats go on and their number rises, but no event arrives: the stream is reconnected until one does. */
     @Test
     void heartbeatsAheadOfTheEventsCauseReconnects() throws IOException, InterruptedException {
-        follow.reply("1\n2\n");
-        FakeServer.Line again = coordinator.next();
+        followLine.reply("1\n2\n");
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply("2\n");
-        FakeServer.Line third = coordinator.next();
+        FakeServer.Line third = discoveryService.next();
         assertThat(third.text()).isEqualTo("follow 1");
         third.reply(list(2, false, draining()));
         third.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
     /** An event that was left out may be a drain or a purge. */
     @Test
     void gapInTheEventNumbersIsRequestedAgainOnce() throws IOException, InterruptedException {
-        follow.reply("{\"index\":4,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
-        FakeServer.Line again = coordinator.next();
+        followLine.reply("{\"index\":4,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply("{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n"
                 + "{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n{\"index\":3,\"evi");
         again.socket().close();
-        FakeServer.Line third = coordinator.next();
+        FakeServer.Line third = discoveryService.next();
         assertThat(third.text()).isEqualTo("follow 2");
         third.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
-        FakeServer.Line fourth = coordinator.next();
+        FakeServer.Line fourth = discoveryService.next();
         assertThat(fourth.text()).isEqualTo("follow 2");
         fourth.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
         fourth.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 5");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 5");
     }
 
     /**
@@ -100,15 +100,15 @@
      */
     @Test
     void reconnectsBackOffWhileEveryStreamIsReset() throws IOException, InterruptedException {
-        follow.reset();
+        followLine.reset();
         long firstNs = System.nanoTime();
         for (int reconnect = 0; reconnect < 5; reconnect++) {
-            FakeServer.Line again = coordinator.next();
+            FakeServer.Line again = discoveryService.next();
             assertThat(again.text()).isEqualTo("follow 1");
             again.reset();
         }
         assertThat(System.nanoTime() - firstNs).isGreaterThanOrEqualTo(2_500_000_000L);
-        client.ask(2, "/_health", NOTHING);
+        client.ask(2, "/_health", NO_BODY);
         assertThat(client.answer()).startsWith("2 Status: 200");
     }
 
@@ -119,13 +119,13 @@
     @Test
     void silentStreamIsReconnectedAndCaughtUpWithinTheDeliveryDeadline() throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
-        laterUs.addAndGet(2_600_000);
-        FakeServer.Line again = coordinator.next();
+        clock.advance(2_600_000);
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("c-1", cache, "edge-1", "box", "leaving") + "]}}\n2\n");
+                + endpointJson("c-1", cache, "edge-1", "box", "leaving") + "]}}\n2\n");
         again.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         assertThat(2_600 + (System.nanoTime() - fromNs) / 1_000_000)
                 .as("milliseconds until caught up")
                 .isLessThan(7_000);
@@ -141,15 +141,15 @@
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
             Files.writeString(file, "{\"coordinator\":");
-            ServeCommand.reload(front, file.toFile());
-            coordinatorTells("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":1}}");
-            Files.writeString(file, old.replace(coordinator.address(), next.address()));
-            ServeCommand.reload(front, file.toFile());
+            ServeCommand.reload(proxy, file.toFile());
+            sendDiscoveryEvent("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":1}}");
+            Files.writeString(file, old.replace(discoveryService.address(), next.address()));
+            ServeCommand.reload(proxy, file.toFile());
             assertThat(next.next().text()).isEqualTo("follow 2");
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertThat(client.answer()).endsWith("one");
-        assertThat(coordinator.quiet()).isTrue();
+        assertThat(discoveryService.quiet()).isTrue();
     }
 
     /** A drain known to a reloaded configuration applies at once, though its discovery service is not reached yet. */
@@ -160,10 +160,10 @@
             Files.writeString(
                     file,
                     Files.readString(file)
-                            .replace(coordinator.address(), next.address())
+                            .replace(discoveryService.address(), next.address())
                             .replace("{\"index\":1,\"updates\":[", "{\"index\":2,\"updates\":[")
                             .replace("]}}]},\"settings\"", "]}}," + known + "]},\"settings\""));
-            ServeCommand.reload(front, file.toFile());
+            ServeCommand.reload(proxy, file.toFile());
             assertThat(next.next().text()).isEqualTo("follow 2");
             assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
         }
@@ -174,14 +174,14 @@
     void streamReconnectsWhileIdleClientsHoldAllTheirDescriptors() throws IOException, InterruptedException {
         List<FcgiClient> idle = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
-            idle.add(new FcgiClient(front.address()));
+            idle.add(new FcgiClient(proxy.address()));
         }
-        follow.reset();
-        FakeServer.Line again = coordinator.next();
+        followLine.reset();
+        FakeServer.Line again = discoveryService.next();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
-        assertThat(coordinator.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
         for (FcgiClient one : idle) {
             one.close();
         }
@@ -192,10 +192,10 @@
     void unusableSecondReloadChangesNothing() throws IOException, InterruptedException {
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
-            Files.writeString(file, old.replace(coordinator.address(), next.address()));
-            ServeCommand.reload(front, file.toFile());
+            Files.writeString(file, old.replace(discoveryService.address(), next.address()));
+            ServeCommand.reload(proxy, file.toFile());
             Files.writeString(file, old.replace("\"settings\":", "\"none\":"));
-            ServeCommand.reload(front, file.toFile());
+            ServeCommand.reload(proxy, file.toFile());
             FakeServer.Line stream = next.next();
             assertThat(stream.text()).isEqualTo("follow 1");
             stream.reply(list(2, false, draining()));
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -16,7 +16,7 @@
     /** Deadlines differ by site, and SIGKILL comes by the longest: at most 3 s, and 0.7 s more. */
     @Test
     void drainEndsBeforeSigkillForAnyLongestDeadline() throws IOException {
-        assertTrue(front.drain(() -> {}) <= 3_700);
+        assertTrue(proxy.drain(() -> {}) <= 3_700);
         Files.writeString(file, Files.readString(file).replace("\"deadline-us\":60000000", "\"deadline-us\":900000"));
         ProxyServer shortDeadlines = new ProxyServer(Configuration.read(file.toFile()), () -> 0, EventSink.NONE);
         assertTrue(shortDeadlines.drain(() -> {}) <= 1_600);
@@ -28,7 +28,7 @@
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line upstreamRequest = cache.next();
         CountDownLatch stopped = new CountDownLatch(1);
-        front.drain(stopped::countDown);
+        proxy.drain(stopped::countDown);
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         cache.next();
         upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\nbbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
@@ -40,9 +40,9 @@
     /** Half of it had arrived at SIGTERM, the rest comes while requests are still accepted: it is served. */
     @Test
     void requestThatIsHalfReadAsTheDrainStartsIsServed() throws IOException, InterruptedException {
-        client.begin(1, "/invoke/media", NOTHING, headers("aaaaaaaaaaaaaaaa"));
+        client.begin(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
         CountDownLatch stopped = new CountDownLatch(1);
-        front.drain(stopped::countDown);
+        proxy.drain(stopped::countDown);
         client.end(1);
         cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.answer().startsWith("1 Status: 200"));
@@ -56,8 +56,8 @@
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line upstreamRequest = cache.next();
         CountDownLatch stopped = new CountDownLatch(1);
-        front.drain(stopped::countDown);
-        laterUs.set(3_600_000);
+        proxy.drain(stopped::countDown);
+        clock.advance(3_600_000);
         String answer = client.answer();
         assertTrue(answer.startsWith("1 Status: 504"), answer);
         assertEquals("abort aaaaaaaaaaaaaaaa", cache.next().text());
--- a/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
@@ -14,8 +14,8 @@
     void requestIsCancelledAtACacheThatHasLeftTheListMeanwhile() throws IOException, InterruptedException {
         ask(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
-        coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("c-1", cache, "edge-1", "box", "left") + "]}}");
+        sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+                + endpointJson("c-1", cache, "edge-1", "box", "left") + "]}}");
         client.abort(1);
         assertTrue(cache.ended() == fetch.socket());
     }
@@ -27,8 +27,9 @@
         FakeServer.Line first = cache.next();
         first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         client.answer();
-        coordinatorTells("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("c-1", cache, "edge-1", "box", "left") + "," + entry("c-2", cache, "edge-1", "box", "active")
+        sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
+                + endpointJson("c-1", cache, "edge-1", "box", "left") + ","
+                + endpointJson("c-2", cache, "edge-1", "box", "active")
                 + "]}}");
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line second = cache.next();
@@ -47,15 +48,15 @@
             burst.append("{\"index\":")
                     .append(i + 1)
                     .append(",\"endpoints\":{\"reset\":false,\"instances\":[")
-                    .append(entry("c-" + i, cache, "edge-1", "box", "left"))
+                    .append(endpointJson("c-" + i, cache, "edge-1", "box", "left"))
                     .append(",")
-                    .append(entry("c-" + (i + 1), cache, "edge-1", "box", "active"))
+                    .append(endpointJson("c-" + (i + 1), cache, "edge-1", "box", "active"))
                     .append("]}}\n");
         }
-        follow.reply(burst + "{\"index\":4,\"endpoints\":{\"reset\":false,\"instances\":["
-                + entry("nobody", cache, "edge-1", "box", "left") + "]}}\n");
-        follow.socket().shutdownOutput();
-        assertEquals("follow 4", coordinator.next().text());
+        followLine.reply(burst + "{\"index\":4,\"endpoints\":{\"reset\":false,\"instances\":["
+                + endpointJson("nobody", cache, "edge-1", "box", "left") + "]}}\n");
+        followLine.socket().shutdownOutput();
+        assertEquals("follow 4", discoveryService.next().text());
         ask(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line second = cache.next();
         assertTrue(second.socket() != open.socket());
--- a/src/test/java/petrelplank/cli/LoopbackReadinessTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackReadinessTest.java
@@ -24,7 +24,7 @@
         withSilentDiscoveryService(100, (webServer, stream) -> {
             long untilNs = System.nanoTime() + 3_000_000_000L;
             while (System.nanoTime() < untilNs) {
-                webServer.ask(1, "/_health", NOTHING);
+                webServer.ask(1, "/_health", NO_BODY);
                 assertTrue(webServer.answer().startsWith("1 Status: 503"), "ready before the heartbeat");
                 Thread.sleep(50);
             }
@@ -47,11 +47,11 @@
     @Test
     void requestsWaitForTheFirstDiscoveryEvent() throws IOException, InterruptedException {
         withSilentDiscoveryService(100, (webServer, stream) -> {
-            webServer.ask(1, "/invoke/media", NOTHING, headers("aaaaaaaaaaaaaaaa"));
-            webServer.ask(2, "/_health", NOTHING);
+            webServer.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+            webServer.ask(2, "/_health", NO_BODY);
             assertTrue(webServer.answer().startsWith("2 Status: 503"));
             stream.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
-                    + entry("c-1", cache, "edge-1", "box", "leaving") + "]}}\n");
+                    + endpointJson("c-1", cache, "edge-1", "box", "leaving") + "]}}\n");
             FakeServer.Line sent = parent.next();
             assertEquals("aaaaaaaaaaaaaaaa", sent.word(1));
             assertTrue(cache.quiet(), "sent to a cache that drains");
@@ -67,7 +67,7 @@
     /** A second proxy whose discovery service accepts and sends nothing; its clock runs {@code slower} times slower. */
     private void withSilentDiscoveryService(long slower, Scenario scenario) throws IOException, InterruptedException {
         try (FakeServer silent = new FakeServer()) {
-            Files.writeString(file, Files.readString(file).replace(coordinator.address(), silent.address()));
+            Files.writeString(file, Files.readString(file).replace(discoveryService.address(), silent.address()));
             long fromUs = Instant.now().toEpochMilli() * 1000;
             long startNs = System.nanoTime();
             ProxyServer second = new ProxyServer(
@@ -92,7 +92,7 @@
     private static long readyWithin(FcgiClient webServer, long timeoutMs) throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
         while (System.nanoTime() - fromNs < timeoutMs * 1_000_000) {
-            webServer.ask(3, "/_health", NOTHING);
+            webServer.ask(3, "/_health", NO_BODY);
             if (webServer.answer().startsWith("3 Status: 200")) {
                 return (System.nanoTime() - fromNs) / 1_000_000;
             }
--- a/src/test/java/petrelplank/cli/ProxySignalsTest.java
+++ b/src/test/java/petrelplank/cli/ProxySignalsTest.java
@@ -37,13 +37,13 @@
     @Test
     void signalsWhileDrainingDoNotInterruptTheDrain(@TempDir Path folder) throws IOException, InterruptedException {
         try (FakeServer cache = new FakeServer();
-                ListService discovery = new ListService("[]")) {
-            String instances = "[" + LoopbackFixture.entry("c-1", cache, "edge-1", "box", "active") + "]";
+                FakeDiscoveryService discovery = new FakeDiscoveryService("[]")) {
+            String instances = "[" + LoopbackFixture.endpointJson("c-1", cache, "edge-1", "box", "active") + "]";
             String at = "127.0.0.1:" + discovery.port();
             try (FrontProcesses processes = new FrontProcesses(folder, 1, at, instances)) {
                 InetSocketAddress address = processes.ready(READY_TIMEOUT_MS).get(0);
                 try (FcgiClient client = new FcgiClient(address)) {
-                    client.ask(1, "/invoke/media", new byte[0], LoopbackFixture.headers("aaaaaaaaaaaaaaaa"));
+                    client.ask(1, "/invoke/media", new byte[0], RequestHeaders.of("aaaaaaaaaaaaaaaa"));
                     FakeServer.Line upstreamRequest = cache.next();
                     signal("TERM", processes.pid(0));
                     signal("HUP", processes.pid(0));
--- a/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
@@ -23,7 +23,7 @@
     private static JsonFields event(String json) throws IOException {
         try (JsonParser parser = JSON.createParser(json)) {
             parser.nextToken();
-            return new JsonFields(JsonValue.object(JsonValue.read(parser), "event 0"), "event 0");
+            return JsonValue.read(parser).asObject("event 0");
         }
     }
 
