--- /dev/null
+++ b/src/main/java/petrelplank/record/NullableCodec.java
@@ -0,0 +1,39 @@
+package petrelplank.record;
+
+import java.io.IOException;
+import org.apache.avro.Schema;
+import org.apache.avro.io.Encoder;
+
+/** Values that may be null: a union of Avro's null with the schema of the value. */
+final class NullableCodec implements ValueCodec {
+    private static final int NULL_BRANCH = 0;
+    private static final int VALUE_BRANCH = 1;
+
+    private final ValueCodec present;
+    private final Schema schema;
+
+    NullableCodec(ValueCodec present) {
+        this.present = present;
+        this.schema = Schema.createUnion(Schema.create(Schema.Type.NULL), present.schema());
+    }
+
+    @Override
+    public Schema schema() {
+        return schema;
+    }
+
+    @Override
+    public void write(Object value, Encoder encoder) throws IOException {
+        if (value == null) {
+            encoder.writeIndex(NULL_BRANCH);
+        } else {
+            encoder.writeIndex(VALUE_BRANCH);
+            present.write(value, encoder);
+        }
+    }
+
+    @Override
+    public Object read(Object decoded) {
+        return decoded == null ? null : present.read(decoded);
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/record/StringCodec.java
@@ -0,0 +1,47 @@
+package petrelplank.record;
+
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.Map;
+import org.apache.avro.Schema;
+import org.apache.avro.io.Encoder;
+import org.apache.avro.util.Utf8;
+
+/**
+ * Strings. The same names of proxies, endpoints and service classes recur in nearly every event, so their encoded
+ * form is cached.
+ */
+final class StringCodec implements ValueCodec {
+    /** Bounds the cache: a client chooses the request id of a rejected request. */
+    private static final int MAX_CACHED = 4096;
+
+    private final Schema schema = Schema.create(Schema.Type.STRING);
+    private final Map<String, Utf8> cache = new HashMap<>();
+
+    @Override
+    public Schema schema() {
+        return schema;
+    }
+
+    @Override
+    public void write(Object value, Encoder encoder) throws IOException {
+        encoder.writeString(encoded((String) value));
+    }
+
+    private Utf8 encoded(String text) {
+        Utf8 cached = cache.get(text);
+        if (cached == null) {
+            if (cache.size() >= MAX_CACHED) {
+                cache.clear();
+            }
+            cached = new Utf8(text);
+            cache.put(text, cached);
+        }
+        return cached;
+    }
+
+    @Override
+    public Object read(Object decoded) {
+        return decoded.toString();
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/record/ValueCodecs.java
@@ -0,0 +1,54 @@
+package petrelplank.record;
+
+import java.lang.reflect.ParameterizedType;
+import java.lang.reflect.Type;
+import java.util.HashMap;
+import java.util.Map;
+
+/** Chooses the codec of a Java type. A named Avro type stands once in a schema, so its codec is made once. */
+final class ValueCodecs {
+    private static final Map<Type, ValueCodec> SCALARS = Map.of(
+            long.class, ScalarCodec.LONG,
+            Long.class, ScalarCodec.LONG,
+            int.class, ScalarCodec.INT,
+            double.class, ScalarCodec.DOUBLE,
+            Double.class, ScalarCodec.DOUBLE,
+            boolean.class, ScalarCodec.BOOLEAN);
+
+    private final ValueCodec strings = new StringCodec();
+    private final Map<Class<?>, ValueCodec> named = new HashMap<>();
+
+    /**
+     * The codec of a component's type.
+     *
+     * @param type a scalar, string, enum, record, sealed interface, or a list of one of these
+     * @throws IllegalStateException where records can't hold the type
+     */
+    ValueCodec of(Type type) {
+        if (type instanceof ParameterizedType list) {
+            return new ListCodec(of(list.getActualTypeArguments()[0]));
+        }
+        ValueCodec scalar = type == String.class ? strings : SCALARS.get(type);
+        return scalar != null ? scalar : ofNamed((Class<?>) type);
+    }
+
+    private ValueCodec ofNamed(Class<?> type) {
+        ValueCodec known = named.get(type);
+        if (known == null) {
+            known = create(type);
+            named.put(type, known);
+        }
+        return known;
+    }
+
+    private ValueCodec create(Class<?> type) {
+        if (type.isEnum()) {
+            return new EnumCodec(type);
+        } else if (type.isRecord()) {
+            return new StructCodec(type, this);
+        } else if (type.isSealed()) {
+            return new UnionCodec(type.getPermittedSubclasses(), this);
+        }
+        throw new IllegalStateException("no Avro type for " + type);
+    }
+}
