--- a/src/main/java/petrelplank/analysis/FleetSnapshot.java
+++ b/src/main/java/petrelplank/analysis/FleetSnapshot.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import petrelplank.record.Event;
+import petrelplank.record.ListedEndpoint;
 import petrelplank.record.StoredNames;
 import petrelplank.routing.EndpointState;
 
@@ -57,7 +57,7 @@
      */
     public static Map<String, At> at(IncidentTimeline course, List<Finding> findings, long us) {
         Map<String, At> all = new TreeMap<>();
-        for (Event.ListedEndpoint s : course.servers().values()) {
+        for (ListedEndpoint s : course.servers().values()) {
             Map<EndpointState, Integer> told = new TreeMap<>();
             TreeSet<String> out = new TreeSet<>();
             for (Incarnation life : course.lives()) {
--- a/src/main/java/petrelplank/analysis/Incarnation.java
+++ b/src/main/java/petrelplank/analysis/Incarnation.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import petrelplank.record.Event;
+import petrelplank.record.ListedEndpoint;
 import petrelplank.routing.EndpointState;
 
 /** One life of a front: what its entries say, each counted once. */
@@ -57,7 +58,7 @@
     /** Time, 1 for out and 0 for back, by server. */
     final Map<String, LongTable> health = new TreeMap<>();
 
-    final Map<String, Event.ListedEndpoint> servers = new TreeMap<>();
+    final Map<String, ListedEndpoint> servers = new TreeMap<>();
     private final Map<String, Long> serverIndex = new HashMap<>();
     final Map<String, Long> turnedAway = new TreeMap<>();
     final Map<String, Long> givenUp = new TreeMap<>();
@@ -106,7 +107,7 @@
     }
 
     void listed(Event.EndpointsChanged l, long atUs) {
-        for (Event.ListedEndpoint s : l.servers()) {
+        for (ListedEndpoint s : l.servers()) {
             told.computeIfAbsent(s.id(), i -> new ArrayList<>()).add(new Told(l.index(), atUs, s.state()));
             if (serverIndex.getOrDefault(s.id(), -1L) < l.index()) {
                 serverIndex.put(s.id(), l.index());
--- a/src/main/java/petrelplank/analysis/IncidentTimeline.java
+++ b/src/main/java/petrelplank/analysis/IncidentTimeline.java
@@ -7,14 +7,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import petrelplank.record.Event;
+import petrelplank.record.ListedEndpoint;
+import petrelplank.record.ServiceClassInfo;
 import petrelplank.routing.EndpointState;
 
 /** The figures of a fold, worked out once from all that is known. */
 public final class IncidentTimeline {
     private final RecordAggregator fold;
-    private final Map<String, Event.ClassInfo> classes = new TreeMap<>();
-    private final Map<String, Event.ListedEndpoint> servers = new TreeMap<>();
+    private final Map<String, ServiceClassInfo> classes = new TreeMap<>();
+    private final Map<String, ListedEndpoint> servers = new TreeMap<>();
     private final Map<Long, RequestTotals> seconds = new TreeMap<>();
     private final Map<String, RequestTotals> byClass = new TreeMap<>();
     private final Map<String, RequestTotals> byBranch = new TreeMap<>();
@@ -61,7 +62,7 @@
     private void sum(Incarnation life) {
         Map<Long, RequestTotals> ofBranch = branchSeconds.computeIfAbsent(life.branch(), b -> new TreeMap<>());
         life.sums.forEach((second, types) -> types.forEach((type, s) -> {
-            Event.ClassInfo known = classes.get(type);
+            ServiceClassInfo known = classes.get(type);
             s.askedMicro = known == null ? 0 : s.asked * RequestTotals.micro(known.worth());
             total.add(s);
             seconds.computeIfAbsent(second, k -> new RequestTotals()).add(s);
@@ -141,12 +142,12 @@
     }
 
     boolean central(String server) {
-        Event.ListedEndpoint s = servers.get(server);
+        ListedEndpoint s = servers.get(server);
         return s != null && s.kind().equals(centralKind);
     }
 
     boolean hub(String server) {
-        Event.ListedEndpoint s = servers.get(server);
+        ListedEndpoint s = servers.get(server);
         return s != null && s.kind().equals(hubKind);
     }
 
@@ -195,7 +196,7 @@
     }
 
     /** The servers as last listed. */
-    public Map<String, Event.ListedEndpoint> servers() {
+    public Map<String, ListedEndpoint> servers() {
         return servers;
     }
 
--- a/src/main/java/petrelplank/analysis/RequestTotals.java
+++ b/src/main/java/petrelplank/analysis/RequestTotals.java
@@ -2,14 +2,14 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import petrelplank.record.Event;
+import petrelplank.record.ResponseKind;
 
 /** Sums of requests. Worth is kept in whole millionths, so that no order of adding changes it. */
 public final class RequestTotals {
     private static final double MICRO = 1e6;
 
     long asked;
-    final long[] finals = new long[Event.ResponseKind.values().length];
+    final long[] finals = new long[ResponseKind.values().length];
     long inTime;
     long askedMicro;
     long earnedMicro;
@@ -43,7 +43,7 @@
      * @param kind how
      * @return the count
      */
-    public long count(Event.ResponseKind kind) {
+    public long count(ResponseKind kind) {
         return finals[kind.ordinal()];
     }
 
@@ -86,10 +86,10 @@
     Map<String, Object> tree() {
         Map<String, Object> t = new LinkedHashMap<>();
         t.put("asked", asked);
-        t.put("served", count(Event.ResponseKind.SERVED));
-        t.put("still", count(Event.ResponseKind.NOT_MODIFIED));
-        t.put("refused", count(Event.ResponseKind.REJECTED));
-        t.put("failed", count(Event.ResponseKind.FAILED));
+        t.put("served", count(ResponseKind.SERVED));
+        t.put("still", count(ResponseKind.NOT_MODIFIED));
+        t.put("refused", count(ResponseKind.REJECTED));
+        t.put("failed", count(ResponseKind.FAILED));
         t.put("inTime", inTime);
         t.put("worthAsked", worthAsked());
         t.put("worthEarned", worthEarned());
--- a/src/main/java/petrelplank/proxy/EventRecorder.java
+++ b/src/main/java/petrelplank/proxy/EventRecorder.java
@@ -6,6 +6,9 @@
 import java.util.stream.Collectors;
 import petrelplank.record.Event;
 import petrelplank.record.EventSink;
+import petrelplank.record.ListedEndpoint;
+import petrelplank.record.ResponseKind;
+import petrelplank.record.ServiceClassInfo;
 import petrelplank.routing.CacheStatus;
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.RouterSettings;
@@ -35,7 +38,7 @@
                     settings.zone(),
                     settings.zones(),
                     settings.classes().stream()
-                            .map(c -> new Event.ClassInfo(
+                            .map(c -> new ServiceClassInfo(
                                     c.name(), c.priorityWeight(), c.deadlineUs(), c.idempotency(), c.write()))
                             .toList(),
                     settings.parentKind(),
@@ -51,13 +54,13 @@
         sink.record(loop.now(), event);
     }
 
-    private static Event.ResponseKind kind(ClientResponse.Kind kind) {
+    private static ResponseKind kind(ClientResponse.Kind kind) {
         return switch (kind) {
-            case SERVED -> Event.ResponseKind.SERVED;
-            case NOT_MODIFIED -> Event.ResponseKind.NOT_MODIFIED;
-            case REJECTED -> Event.ResponseKind.REJECTED;
-            case FAILED -> Event.ResponseKind.FAILED;
-            case BAD_REQUEST -> Event.ResponseKind.BAD_REQUEST;
+            case SERVED -> ResponseKind.SERVED;
+            case NOT_MODIFIED -> ResponseKind.NOT_MODIFIED;
+            case REJECTED -> ResponseKind.REJECTED;
+            case FAILED -> ResponseKind.FAILED;
+            case BAD_REQUEST -> ResponseKind.BAD_REQUEST;
         };
     }
 
@@ -177,7 +180,7 @@
                     c.entries().stream()
                             .map(entry -> {
                                 EndpointInfo m = entry.member();
-                                return new Event.ListedEndpoint(
+                                return new ListedEndpoint(
                                         m.id(), m.zone(), m.kind(), m.state(), m.weight(), m.startedUs());
                             })
                             .toList()));
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -3,72 +3,33 @@
 import java.util.List;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
-import petrelplank.routing.EndpointState;
-import petrelplank.routing.Idempotency;
 import petrelplank.routing.TerminationReason;
 
 /**
- * What a front writes down: one fact each, as the front knew it then. Every type here is a record of the file's
- * schema, which is made from its components: add components with care, and never change the meaning of one. Times
- * are Unix microseconds and durations microseconds unless a name says otherwise; a field that may be absent is
- * marked {@link NullableComponent}.
+ * A fact that a proxy records, as the proxy knew it at the time. The types here make the schema of record files:
+ * their order is the order of the union, so a new one comes last, and the meaning of a component never changes.
+ * Times are Unix microseconds and durations microseconds unless a name says otherwise; a request is named by its id,
+ * 16 hex digits as a number.
  */
 public sealed interface Event {
-    /** How a request was answered in the end. */
-    @StoredName("Final")
-    enum ResponseKind {
-        /** The bytes. */
-        @StoredName("SERVED")
-        SERVED,
-        /** The client's own copy holds. */
-        @StoredName("STILL")
-        NOT_MODIFIED,
-        /** Nothing may have run; it may come again. */
-        @StoredName("REFUSED")
-        REJECTED,
-        /** No promise. */
-        @StoredName("FAILED")
-        FAILED,
-        /** It could not be understood. */
-        @StoredName("BAD_REQUEST")
-        BAD_REQUEST
-    }
-
-    /**
-     * A class of requests, as the settings say.
-     *
-     * @param name its name
-     * @param worth worth of an answer in time
-     * @param deadlineUs how long a client waits
-     * @param idempotency how far it may be repeated
-     * @param write runs at the origin
-     */
-    @StoredName("ClassOf")
-    record ClassInfo(
-            @StoredName("name") String name,
-            @StoredName("worth") double worth,
-            @StoredName("deadlineUs") long deadlineUs,
-            @StoredName("repeat") Idempotency repeat,
-            @StoredName("write") boolean write) {}
-
     /**
-     * A new life of a front began.
+     * A new incarnation of a proxy started.
      *
-     * @param zone its branch
-     * @param zones all branches and hubs
-     * @param classes the classes
-     * @param parentKind the kind of hub caches; absent where there are none
-     * @param originKind the kind of the central stock; absent where there is none
+     * @param zone the proxy's zone
+     * @param zones all zones, those of parents included
+     * @param classes the service classes
+     * @param parentKind the kind of parent caches; null where there are none
+     * @param originKind the kind of the origin; null where there is none
      * @param reportFields names of the values in load reports
-     * @param drainGraceUs sends to a draining server stop within this
-     * @param purgeGraceUs sends after this may not be answered from a copy older than the purge
-     * @param connectUs a connection not made in this time failed
+     * @param drainGraceUs no attempt is sent to a draining endpoint after this time
+     * @param purgeGraceUs no request sent after this time is answered from a copy older than the purge
+     * @param connectUs connect timeout
      */
     @StoredName("Started")
     record ProxyStarted(
             @StoredName("zone") String zone,
             @StoredName("zones") List<String> zones,
-            @StoredName("classes") List<ClassInfo> classes,
+            @StoredName("classes") List<ServiceClassInfo> classes,
             @StoredName("parentKind") @NullableComponent String parentKind,
             @StoredName("originKind") @NullableComponent String originKind,
             @StoredName("reportFields") List<String> reportFields,
@@ -78,12 +39,12 @@
             implements Event {}
 
     /**
-     * A request was taken.
+     * A request was admitted.
      *
-     * @param request its id, 16 hex digits as a number
-     * @param type its class
+     * @param request the request
+     * @param type its service class
      * @param object the object
-     * @param group the object's group
+     * @param group the object's surrogate key
      */
     @StoredName("Taken")
     record RequestAdmitted(
@@ -94,15 +55,15 @@
             implements Event {}
 
     /**
-     * An attempt was ordered.
+     * An attempt was sent.
      *
-     * @param request the request's id, 16 hex digits as a number
-     * @param attempt its number, from 0
-     * @param type the request's class
-     * @param server who is asked
-     * @param source where a miss is filled from; absent for no fill
+     * @param request the request
+     * @param attempt the attempt's number, from 0
+     * @param type the request's service class
+     * @param server the endpoint it was sent to
+     * @param source where the endpoint fills a miss from; null for no fill
      * @param object the object
-     * @param group the object's group
+     * @param group the object's surrogate key
      */
     @StoredName("Sent")
     record AttemptSent(
@@ -118,19 +79,19 @@
     /**
      * An attempt ended.
      *
-     * @param request the request's id, 16 hex digits as a number
-     * @param attempt its number
-     * @param type the request's class
-     * @param server who was asked
-     * @param source where a miss would be filled from; absent for no fill
+     * @param request the request
+     * @param attempt the attempt's number, from 0
+     * @param type the request's service class
+     * @param server the endpoint it was sent to
+     * @param source where the endpoint fills a miss from; null for no fill
      * @param object the object
-     * @param group the object's group
-     * @param status how
-     * @param cacheStatus what is told of the copy or the fill
+     * @param group the object's surrogate key
+     * @param status its outcome
+     * @param cacheStatus what the response said of the copy or the fill
      * @param latencyUs time since it was sent
-     * @param sourceWaitUs time that the server waited for the source
-     * @param bornMs Unix millisecond at which the origin gave the copy out; 0 where it is not told
-     * @param bytes of the body
+     * @param sourceWaitUs how long the endpoint waited for the source
+     * @param bornMs Unix millisecond at which the origin sent the copy; 0 where the response does not say
+     * @param bytes length of the body
      * @param load the load report, in the order of the settings; empty where there is none
      */
     @StoredName("Ended")
@@ -152,17 +113,17 @@
             implements Event {}
 
     /**
-     * The one final answer went out.
+     * The final response of a request was sent.
      *
-     * @param request the request's id, 16 hex digits as a number
-     * @param type its class; empty where it was not understood
-     * @param kind what it said
+     * @param request the request
+     * @param type its service class
+     * @param kind the outcome
      * @param latencyUs time since the request arrived
-     * @param bytes of the body
-     * @param worth what it earned
-     * @param inTime whether it came within the class's aim for its size
-     * @param retryAfterMs advice to the client; 0 for none
-     * @param why why it was refused or failed; absent where it was served or the front's own limits refused it
+     * @param bytes length of the body
+     * @param worth the priority weight that it earned
+     * @param inTime whether it met the latency objective for its size
+     * @param retryAfterMs the client's Retry-After; 0 for none
+     * @param why why the router rejected or failed it; null where it was served or the proxy's own limits rejected it
      */
     @StoredName("Answered")
     record RequestCompleted(
@@ -178,19 +139,19 @@
             implements Event {}
 
     /**
-     * A client left before its answer; nothing is owed.
+     * A client disconnected before its response; none is due any more.
      *
-     * @param request the request's id, 16 hex digits as a number
+     * @param request the request
      */
     @StoredName("Left")
     record ClientDisconnected(@StoredName("request") long request) implements Event {}
 
     /**
-     * A request was turned away before the router saw it: nothing was taken.
+     * A request was rejected before admission.
      *
-     * @param request its id
-     * @param type its class; empty where it was not understood
-     * @param kind what it was told
+     * @param request its id as the client sent it
+     * @param type its service class; empty where the proxy knows no such class
+     * @param kind the outcome
      */
     @StoredName("TurnedAway")
     record RequestRejected(
@@ -200,29 +161,10 @@
             implements Event {}
 
     /**
-     * A listed server.
-     *
-     * @param id its id
-     * @param zone where it stands
-     * @param kind its kind
-     * @param state its state
-     * @param weight its link out, in transfers at full pace
-     * @param startedUs its late start; 0 for long ago
-     */
-    @StoredName("Server")
-    record ListedEndpoint(
-            @StoredName("id") String id,
-            @StoredName("zone") String zone,
-            @StoredName("kind") String kind,
-            @StoredName("state") EndpointState state,
-            @StoredName("weight") double weight,
-            @StoredName("startedUs") long startedUs) {}
-
-    /**
-     * The coordinator told of a change of the list.
+     * The discovery service reported a change of the endpoint list.
      *
-     * @param index its number
-     * @param complete the servers are the whole list
+     * @param index the change's number
+     * @param complete whether the endpoints are the complete list
      * @param servers the entries
      */
     @StoredName("Listed")
@@ -233,12 +175,12 @@
             implements Event {}
 
     /**
-     * The coordinator told of a purge.
+     * The discovery service reported a purge.
      *
-     * @param index its number
-     * @param object the object; absent for a whole group
-     * @param group the group; -1 for a single object
-     * @param unixMs when it was made
+     * @param index the purge's number
+     * @param object the object; null where a surrogate key is purged
+     * @param group the surrogate key; -1 for a single object
+     * @param unixMs when it was issued
      */
     @StoredName("Purged")
     record Purged(
@@ -249,11 +191,11 @@
             implements Event {}
 
     /**
-     * The router left a server out.
+     * The router ejected an endpoint.
      *
-     * @param server which
-     * @param trial a trial failed, and the pause doubled
-     * @param pauseUs until the next trial
+     * @param server the endpoint
+     * @param trial whether a health check failed, which doubles the pause
+     * @param pauseUs time until the next health check
      */
     @StoredName("Ejected")
     record EndpointEjected(
@@ -263,20 +205,20 @@
             implements Event {}
 
     /**
-     * The router took a server back.
+     * The router returned an ejected endpoint to service.
      *
-     * @param server which
+     * @param server the endpoint
      */
     @StoredName("Returned")
     record EndpointRecovered(@StoredName("server") String server) implements Event {}
 
     /**
-     * How the front was in the last second.
+     * The proxy's state, once a second.
      *
-     * @param open requests open
-     * @param queued tasks that waited for the event thread
-     * @param heapBytes memory in use; 0 where it is not known
-     * @param lateUs the longest that a due timer waited
+     * @param open requests in flight
+     * @param queued tasks queued for the event thread
+     * @param heapBytes heap in use; 0 where it is not known
+     * @param lateUs the longest delay of a due timer
      */
     @StoredName("Pulse")
     record Heartbeat(
@@ -287,19 +229,19 @@
             implements Event {}
 
     /**
-     * A planned end began.
+     * An orderly shutdown began.
      *
-     * @param answerAllUs when all will be answered
+     * @param answerAllUs when every request will have its response
      */
     @StoredName("Draining")
     record DrainStarted(@StoredName("answerAllUs") long answerAllUs) implements Event {}
 
-    /** A planned end; the last event of a life. */
+    /** An orderly shutdown ended; the last event of an incarnation. */
     @StoredName("Finished")
     record ProxyStopped() implements Event {}
 
     /**
-     * Events before this one that the writer could not keep up with, or the disk not take.
+     * Events before this one were lost, because the writer fell behind or the disk failed.
      *
      * @param events how many; their numbers are missing
      */
--- a/src/main/java/petrelplank/record/StoredNames.java
+++ b/src/main/java/petrelplank/record/StoredNames.java
@@ -167,7 +167,7 @@
      * @param answer what it said
      * @return its name in record files
      */
-    public static String of(Event.ResponseKind answer) {
+    public static String of(ResponseKind answer) {
         return ofConstant(answer);
     }
 }
--- a/src/main/java/petrelplank/record/TraceLines.java
+++ b/src/main/java/petrelplank/record/TraceLines.java
@@ -53,7 +53,7 @@
         } else if (event instanceof Event.RequestAdmitted e) {
             line(unixUs, "taken", Long.toHexString(e.request()), e.type(), Long.toHexString(e.object()), e.group());
         } else if (event instanceof Event.EndpointsChanged e) {
-            for (Event.ListedEndpoint s : e.servers()) {
+            for (ListedEndpoint s : e.servers()) {
                 line(
                         unixUs,
                         "listed",
--- a/src/main/java/petrelplank/report/Page.java
+++ b/src/main/java/petrelplank/report/Page.java
@@ -17,7 +17,7 @@
 import petrelplank.analysis.Incarnation;
 import petrelplank.analysis.IncidentTimeline;
 import petrelplank.analysis.RequestTotals;
-import petrelplank.record.Event;
+import petrelplank.record.ResponseKind;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.EndpointState;
 
@@ -125,8 +125,8 @@
         card("Worth earned", Summary.share(all.service()));
         card("Requests", String.format(Locale.ROOT, "%,d", all.asked()));
         card("In time", String.format(Locale.ROOT, "%,d", all.inTime()));
-        card("Refused", String.format(Locale.ROOT, "%,d", all.count(Event.ResponseKind.REJECTED)));
-        card("Failed", String.format(Locale.ROOT, "%,d", all.count(Event.ResponseKind.FAILED)));
+        card("Refused", String.format(Locale.ROOT, "%,d", all.count(ResponseKind.REJECTED)));
+        card("Failed", String.format(Locale.ROOT, "%,d", all.count(ResponseKind.FAILED)));
         card(
                 "No final answer",
                 course.unanswered() + (course.unknown() > 0 ? " (" + course.unknown() + " unknown)" : ""));
@@ -223,9 +223,9 @@
                         "requests",
                         List.of(
                                 new Chart.Line("refused", perSecond(course.seconds(), s ->
-                                        (double) s.count(Event.ResponseKind.REJECTED))),
+                                        (double) s.count(ResponseKind.REJECTED))),
                                 new Chart.Line("failed", perSecond(course.seconds(), s ->
-                                        (double) s.count(Event.ResponseKind.FAILED)))),
+                                        (double) s.count(ResponseKind.FAILED)))),
                         fromS,
                         toS));
         Map<Long, Double> calls = new TreeMap<>();
@@ -428,9 +428,9 @@
                 null,
                 name,
                 s.asked(),
-                s.count(Event.ResponseKind.SERVED) + s.count(Event.ResponseKind.NOT_MODIFIED),
-                s.count(Event.ResponseKind.REJECTED),
-                s.count(Event.ResponseKind.FAILED),
+                s.count(ResponseKind.SERVED) + s.count(ResponseKind.NOT_MODIFIED),
+                s.count(ResponseKind.REJECTED),
+                s.count(ResponseKind.FAILED),
                 s.inTime(),
                 s.worthAsked(),
                 s.worthEarned(),
--- a/src/main/java/petrelplank/report/Summary.java
+++ b/src/main/java/petrelplank/report/Summary.java
@@ -6,7 +6,7 @@
 import petrelplank.analysis.Finding;
 import petrelplank.analysis.IncidentTimeline;
 import petrelplank.analysis.RequestTotals;
-import petrelplank.record.Event;
+import petrelplank.record.ResponseKind;
 
 /** The report in a terminal: some lines of text. */
 public final class Summary {
@@ -34,9 +34,9 @@
                 text,
                 "asked %d, served %d, refused %d, failed %d; worth %.1f of %.1f (%s)",
                 all.asked(),
-                all.count(Event.ResponseKind.SERVED) + all.count(Event.ResponseKind.NOT_MODIFIED),
-                all.count(Event.ResponseKind.REJECTED),
-                all.count(Event.ResponseKind.FAILED),
+                all.count(ResponseKind.SERVED) + all.count(ResponseKind.NOT_MODIFIED),
+                all.count(ResponseKind.REJECTED),
+                all.count(ResponseKind.FAILED),
                 all.worthEarned(),
                 all.worthAsked(),
                 share(all.service()));
--- a/src/test/java/petrelplank/analysis/FoldTest.java
+++ b/src/test/java/petrelplank/analysis/FoldTest.java
@@ -14,6 +14,8 @@
 import petrelplank.emulator.Scenario;
 import petrelplank.record.Entry;
 import petrelplank.record.Event;
+import petrelplank.record.ListedEndpoint;
+import petrelplank.record.ResponseKind;
 import petrelplank.routing.EndpointState;
 import petrelplank.yaml.Yaml;
 
@@ -97,7 +99,7 @@
         Event[] events = {
             new Event.ProxyStarted("b", List.of("b"), List.of(), null, null, List.of(), 1_000_000, 500_000, 1),
             new Event.EndpointsChanged(
-                    1, true, List.of(new Event.ListedEndpoint("s", "b", "box", EndpointState.DRAINING, 1, 0))),
+                    1, true, List.of(new ListedEndpoint("s", "b", "box", EndpointState.DRAINING, 1, 0))),
             new Event.Purged(2, null, 7, from / 1000 + 2),
             new Event.AttemptSent(1, 0, "c", "s", null, 1, 7),
             new Event.AttemptSent(2, 0, "c", "t", "s", 1, 7),
@@ -165,7 +167,7 @@
     void secondFinalAnswerAndAMissingOneAreFound() {
         long from = 1_764_576_000_000_000L;
         Event taken = new Event.RequestAdmitted(1, "c", 1, 1);
-        Event answer = new Event.RequestCompleted(1, "c", Event.ResponseKind.SERVED, 1, 1, 1, true, 0, null);
+        Event answer = new Event.RequestCompleted(1, "c", ResponseKind.SERVED, 1, 1, 1, true, 0, null);
         Event[] events = {taken, answer, answer, new Event.RequestAdmitted(2, "c", 1, 1)};
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < events.length; i++) {
--- a/src/test/java/petrelplank/analysis/StoredIncidentTest.java
+++ b/src/test/java/petrelplank/analysis/StoredIncidentTest.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.record.Event;
 import petrelplank.record.RecordReader;
+import petrelplank.record.ResponseKind;
 
 /** The figures of records that an earlier version wrote of a small incident: 8 s, one front, one silent cache. */
 class StoredIncidentTest {
@@ -22,7 +22,7 @@
         assertEquals(List.of(), reader.troubles());
         assertEquals(466, course.entries());
         assertEquals(106, course.total().asked());
-        assertEquals(106, course.total().count(Event.ResponseKind.SERVED));
+        assertEquals(106, course.total().count(ResponseKind.SERVED));
         assertEquals(103, course.total().inTime());
         assertEquals(139.0, course.total().worthAsked());
         assertEquals(136.6, course.total().worthEarned());
--- a/src/test/java/petrelplank/analysis/TruthTest.java
+++ b/src/test/java/petrelplank/analysis/TruthTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import petrelplank.emulator.BundledScenarios;
-import petrelplank.record.Event;
+import petrelplank.record.ResponseKind;
 
 /**
  * Every figure of the report against the emulator's truth, and every finding against the trouble that was caused.
@@ -140,9 +140,7 @@
         }
         // Refused and failed, the router said why; the front's own limits turned nobody away in these.
         long why = course.givenUp().values().stream().mapToLong(n -> n).sum();
-        if (why
-                        != course.total().count(Event.ResponseKind.REJECTED)
-                                + course.total().count(Event.ResponseKind.FAILED)
+        if (why != course.total().count(ResponseKind.REJECTED) + course.total().count(ResponseKind.FAILED)
                 || !course.turnedAway().isEmpty()) {
             wrong.add("reasons for " + why + " requests: " + course.givenUp() + course.turnedAway());
         }
--- a/src/test/java/petrelplank/record/TraceLinesTest.java
+++ b/src/test/java/petrelplank/record/TraceLinesTest.java
@@ -44,9 +44,7 @@
                 lines,
                 1_060_000,
                 new Event.EndpointsChanged(
-                        3,
-                        false,
-                        List.of(new Event.ListedEndpoint("s-1", "edge", "box", EndpointState.DRAINING, 5, 0))));
+                        3, false, List.of(new ListedEndpoint("s-1", "edge", "box", EndpointState.DRAINING, 5, 0))));
         entry(lines, 1_070_000, new Event.ProxyStopped());
         entry(lines, 1_080_000, new Event.EventsLost(3));
         lines.close();
