--- a/src/main/java/petrelplank/analysis/IncidentTimeline.java
+++ b/src/main/java/petrelplank/analysis/IncidentTimeline.java
@@ -63,7 +63,7 @@
         Map<Long, RequestTotals> ofBranch = branchSeconds.computeIfAbsent(life.branch(), b -> new TreeMap<>());
         life.sums.forEach((second, types) -> types.forEach((type, s) -> {
             ServiceClassInfo known = classes.get(type);
-            s.askedMicro = known == null ? 0 : s.asked * RequestTotals.micro(known.worth());
+            s.askedMicro = known == null ? 0 : s.asked * RequestTotals.micro(known.priorityWeight());
             total.add(s);
             seconds.computeIfAbsent(second, k -> new RequestTotals()).add(s);
             byClass.computeIfAbsent(type, k -> new RequestTotals()).add(s);
--- a/src/main/java/petrelplank/analysis/RecordAggregator.java
+++ b/src/main/java/petrelplank/analysis/RecordAggregator.java
@@ -53,16 +53,16 @@
         } else if (event instanceof Event.AttemptEnded e) {
             ended(life, us, e);
         } else if (event instanceof Event.RequestAdmitted t) {
-            life.sums(us, t.type()).asked++;
+            life.sums(us, t.serviceClass()).asked++;
             life.owes(t.request(), 1);
         } else if (event instanceof Event.RequestCompleted a) {
-            RequestTotals s = life.sums(us, a.type());
+            RequestTotals s = life.sums(us, a.serviceClass());
             s.finals[a.kind().ordinal()]++;
-            s.inTime += a.inTime() ? 1 : 0;
-            s.earnedMicro += RequestTotals.micro(a.worth());
+            s.inTime += a.withinObjective() ? 1 : 0;
+            s.earnedMicro += RequestTotals.micro(a.earnedWeight());
             life.owes(a.request(), -1);
-            if (a.why() != null) {
-                life.givenUp.merge(StoredNames.of(a.why()), 1L, Long::sum);
+            if (a.reason() != null) {
+                life.givenUp.merge(StoredNames.of(a.reason()), 1L, Long::sum);
             }
         } else if (event instanceof Event.ClientDisconnected l) {
             life.owes(l.request(), -1);
@@ -81,7 +81,8 @@
         } else if (event instanceof Event.EndpointRecovered r) {
             life.health.computeIfAbsent(r.server(), i -> new LongTable(2)).add(us, 0);
         } else if (event instanceof Event.Heartbeat p) {
-            life.openAt.put(us / 1_000_000, new long[] {p.open(), p.queued(), p.heapBytes(), p.lateUs()});
+            life.openAt.put(
+                    us / 1_000_000, new long[] {p.openRequests(), p.queuedTasks(), p.heapBytes(), p.maxTimerDelayUs()});
         } else if (event instanceof Event.DrainStarted) {
             life.draining = true;
         } else if (event instanceof Event.ProxyStopped) {
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -42,14 +42,14 @@
      * A request was admitted.
      *
      * @param request the request
-     * @param type its service class
+     * @param serviceClass its service class
      * @param object the object
      * @param group the object's surrogate key
      */
     @StoredName("Taken")
     record RequestAdmitted(
             @StoredName("request") long request,
-            @StoredName("type") String type,
+            @StoredName("type") String serviceClass,
             @StoredName("object") long object,
             @StoredName("group") int group)
             implements Event {}
@@ -59,7 +59,7 @@
      *
      * @param request the request
      * @param attempt the attempt's number, from 0
-     * @param type the request's service class
+     * @param serviceClass the request's service class
      * @param server the endpoint it was sent to
      * @param source where the endpoint fills a miss from; null for no fill
      * @param object the object
@@ -69,7 +69,7 @@
     record AttemptSent(
             @StoredName("request") long request,
             @StoredName("attempt") int attempt,
-            @StoredName("type") String type,
+            @StoredName("type") String serviceClass,
             @StoredName("server") String server,
             @StoredName("source") @NullableComponent String source,
             @StoredName("object") long object,
@@ -81,7 +81,7 @@
      *
      * @param request the request
      * @param attempt the attempt's number, from 0
-     * @param type the request's service class
+     * @param serviceClass the request's service class
      * @param server the endpoint it was sent to
      * @param source where the endpoint fills a miss from; null for no fill
      * @param object the object
@@ -98,7 +98,7 @@
     record AttemptEnded(
             @StoredName("request") long request,
             @StoredName("attempt") int attempt,
-            @StoredName("type") String type,
+            @StoredName("type") String serviceClass,
             @StoredName("server") String server,
             @StoredName("source") @NullableComponent String source,
             @StoredName("object") long object,
@@ -116,26 +116,26 @@
      * The final response of a request was sent.
      *
      * @param request the request
-     * @param type its service class
+     * @param serviceClass its service class
      * @param kind the outcome
      * @param latencyUs time since the request arrived
      * @param bytes length of the body
-     * @param worth the priority weight that it earned
-     * @param inTime whether it met the latency objective for its size
+     * @param earnedWeight the priority weight that it earned
+     * @param withinObjective whether it met the latency objective for its size
      * @param retryAfterMs the client's Retry-After; 0 for none
-     * @param why why the router rejected or failed it; null where it was served or the proxy's own limits rejected it
+     * @param reason why the router rejected or failed it; null where it was served or the proxy's own limits rejected it
      */
     @StoredName("Answered")
     record RequestCompleted(
             @StoredName("request") long request,
-            @StoredName("type") String type,
+            @StoredName("type") String serviceClass,
             @StoredName("kind") ResponseKind kind,
             @StoredName("latencyUs") long latencyUs,
             @StoredName("bytes") long bytes,
-            @StoredName("worth") double worth,
-            @StoredName("inTime") boolean inTime,
+            @StoredName("worth") double earnedWeight,
+            @StoredName("inTime") boolean withinObjective,
             @StoredName("retryAfterMs") long retryAfterMs,
-            @StoredName("why") @NullableComponent TerminationReason why)
+            @StoredName("why") @NullableComponent TerminationReason reason)
             implements Event {}
 
     /**
@@ -150,13 +150,13 @@
      * A request was rejected before admission.
      *
      * @param request its id as the client sent it
-     * @param type its service class; empty where the proxy knows no such class
+     * @param serviceClass its service class; empty where the proxy knows no such class
      * @param kind the outcome
      */
     @StoredName("TurnedAway")
     record RequestRejected(
             @StoredName("request") String request,
-            @StoredName("type") String type,
+            @StoredName("type") String serviceClass,
             @StoredName("kind") ResponseKind kind)
             implements Event {}
 
@@ -194,13 +194,13 @@
      * The router ejected an endpoint.
      *
      * @param server the endpoint
-     * @param trial whether a health check failed, which doubles the pause
+     * @param healthCheckFailed whether a health check failed, which doubles the pause
      * @param pauseUs time until the next health check
      */
     @StoredName("Ejected")
     record EndpointEjected(
             @StoredName("server") String server,
-            @StoredName("trial") boolean trial,
+            @StoredName("trial") boolean healthCheckFailed,
             @StoredName("pauseUs") long pauseUs)
             implements Event {}
 
@@ -215,26 +215,26 @@
     /**
      * The proxy's state, once a second.
      *
-     * @param open requests in flight
-     * @param queued tasks queued for the event thread
+     * @param openRequests requests in flight
+     * @param queuedTasks tasks queued for the event thread
      * @param heapBytes heap in use; 0 where it is not known
-     * @param lateUs the longest delay of a due timer
+     * @param maxTimerDelayUs the longest delay of a due timer
      */
     @StoredName("Pulse")
     record Heartbeat(
-            @StoredName("open") int open,
-            @StoredName("queued") int queued,
+            @StoredName("open") int openRequests,
+            @StoredName("queued") int queuedTasks,
             @StoredName("heapBytes") long heapBytes,
-            @StoredName("lateUs") long lateUs)
+            @StoredName("lateUs") long maxTimerDelayUs)
             implements Event {}
 
     /**
      * An orderly shutdown began.
      *
-     * @param answerAllUs when every request will have its response
+     * @param completionDeadlineUs when every request will have its response
      */
     @StoredName("Draining")
-    record DrainStarted(@StoredName("answerAllUs") long answerAllUs) implements Event {}
+    record DrainStarted(@StoredName("answerAllUs") long completionDeadlineUs) implements Event {}
 
     /** An orderly shutdown ended; the last event of an incarnation. */
     @StoredName("Finished")
--- a/src/main/java/petrelplank/record/TraceLines.java
+++ b/src/main/java/petrelplank/record/TraceLines.java
@@ -3,16 +3,16 @@
 import java.io.PrintStream;
 
 /**
- * Events as lines of text, for a look at a fleet through its logs alone, where no disk is left: {@code serve --trace}.
- * A line is {@code @}, the Unix microsecond, the kind, then its fields, separated by tabs; what is absent is {@code -};
- * {@code lost} tells how many events the writer could not keep up with. Of the writer's thread alone.
+ * Events as lines of text ({@code serve --trace}), for hosts whose log is all that is left of them. A line is {@code @},
+ * the Unix microsecond, the kind, then its fields, separated by tabs; an absent field is {@code -}. {@code lost} says
+ * how many events were dropped. Confined to the writer's thread.
  */
 final class TraceLines implements RecordOutput {
-    /** So many characters are written together. */
-    private static final int BATCH = 4096;
+    /** Characters that are printed together. */
+    private static final int BATCH_CHARS = 4096;
 
     private final PrintStream out;
-    private final StringBuilder lines = new StringBuilder(2 * BATCH);
+    private final StringBuilder lines = new StringBuilder(2 * BATCH_CHARS);
 
     TraceLines(PrintStream out) {
         this.out = out;
@@ -22,75 +22,131 @@
     public void append(Entry entry) {
         long unixUs = entry.unixUs();
         Event event = entry.event();
-        if (event instanceof Event.AttemptSent e) {
-            line(unixUs, "sent", Long.toHexString(e.request()), e.attempt(), e.type(), e.server(), e.source());
-        } else if (event instanceof Event.AttemptEnded e) {
-            line(
-                    unixUs,
-                    "ended",
-                    Long.toHexString(e.request()),
-                    e.attempt(),
-                    e.type(),
-                    e.server(),
-                    e.source(),
-                    StoredNames.of(e.status()),
-                    StoredNames.of(e.cacheStatus()),
-                    e.latencyUs(),
-                    e.sourceWaitUs(),
-                    e.bytes(),
-                    e.load());
-        } else if (event instanceof Event.RequestCompleted e) {
-            line(
-                    unixUs,
-                    "answered",
-                    Long.toHexString(e.request()),
-                    e.type(),
-                    StoredNames.of(e.kind()),
-                    e.latencyUs(),
-                    e.bytes(),
-                    e.inTime(),
-                    e.why() == null ? null : StoredNames.of(e.why()));
-        } else if (event instanceof Event.RequestAdmitted e) {
-            line(unixUs, "taken", Long.toHexString(e.request()), e.type(), Long.toHexString(e.object()), e.group());
-        } else if (event instanceof Event.EndpointsChanged e) {
-            for (ListedEndpoint s : e.servers()) {
-                line(
-                        unixUs,
-                        "listed",
-                        e.index(),
-                        s.id(),
-                        s.zone(),
-                        s.kind(),
-                        StoredNames.of(s.state()),
-                        s.weight(),
-                        s.startedUs());
-            }
-        } else if (event instanceof Event.Purged e) {
-            line(
-                    unixUs,
-                    "purged",
-                    e.index(),
-                    e.object() == null ? "-" : Long.toHexString(e.object()),
-                    e.group(),
-                    e.unixMs());
-        } else if (event instanceof Event.EndpointEjected e) {
-            line(unixUs, "ejected", e.server(), e.trial(), e.pauseUs());
-        } else if (event instanceof Event.EndpointRecovered e) {
-            line(unixUs, "returned", e.server());
-        } else if (event instanceof Event.ProxyStarted e) {
-            line(unixUs, "started", e.zone());
-        } else if (event instanceof Event.Heartbeat e) {
-            line(unixUs, "pulse", e.open(), e.queued(), e.lateUs());
-        } else if (event instanceof Event.EventsLost e) {
-            line(unixUs, "lost", e.events());
-        } else if (event instanceof Event.RequestRejected e) {
-            line(unixUs, "turned", e.request(), e.type(), StoredNames.of(e.kind()));
+        if (!appendRequestEvent(unixUs, event)) {
+            appendProxyEvent(unixUs, event);
         }
-        if (lines.length() >= BATCH) {
+        if (lines.length() >= BATCH_CHARS) {
             flush();
         }
     }
 
+    /** Appends the events of single requests; false for another event. */
+    private boolean appendRequestEvent(long unixUs, Event event) {
+        if (event instanceof Event.AttemptSent sent) {
+            attemptSent(unixUs, sent);
+        } else if (event instanceof Event.AttemptEnded ended) {
+            attemptEnded(unixUs, ended);
+        } else if (event instanceof Event.RequestCompleted completed) {
+            requestCompleted(unixUs, completed);
+        } else if (event instanceof Event.RequestAdmitted admitted) {
+            requestAdmitted(unixUs, admitted);
+        } else if (event instanceof Event.RequestRejected rejected) {
+            requestRejected(unixUs, rejected);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    /** Appends the events of the proxy and its endpoints that have a line. */
+    private void appendProxyEvent(long unixUs, Event event) {
+        if (event instanceof Event.EndpointsChanged changed) {
+            endpointsChanged(unixUs, changed);
+        } else if (event instanceof Event.Purged purged) {
+            purged(unixUs, purged);
+        } else if (event instanceof Event.EndpointEjected ejected) {
+            line(unixUs, "ejected", ejected.server(), ejected.healthCheckFailed(), ejected.pauseUs());
+        } else if (event instanceof Event.EndpointRecovered recovered) {
+            line(unixUs, "returned", recovered.server());
+        } else if (event instanceof Event.ProxyStarted started) {
+            line(unixUs, "started", started.zone());
+        } else if (event instanceof Event.Heartbeat heartbeat) {
+            line(unixUs, "pulse", heartbeat.openRequests(), heartbeat.queuedTasks(), heartbeat.maxTimerDelayUs());
+        } else if (event instanceof Event.EventsLost lost) {
+            line(unixUs, "lost", lost.events());
+        }
+    }
+
+    private void attemptSent(long unixUs, Event.AttemptSent sent) {
+        line(
+                unixUs,
+                "sent",
+                Long.toHexString(sent.request()),
+                sent.attempt(),
+                sent.serviceClass(),
+                sent.server(),
+                sent.source());
+    }
+
+    private void attemptEnded(long unixUs, Event.AttemptEnded ended) {
+        line(
+                unixUs,
+                "ended",
+                Long.toHexString(ended.request()),
+                ended.attempt(),
+                ended.serviceClass(),
+                ended.server(),
+                ended.source(),
+                StoredNames.of(ended.status()),
+                StoredNames.of(ended.cacheStatus()),
+                ended.latencyUs(),
+                ended.sourceWaitUs(),
+                ended.bytes(),
+                ended.load());
+    }
+
+    private void requestCompleted(long unixUs, Event.RequestCompleted completed) {
+        line(
+                unixUs,
+                "answered",
+                Long.toHexString(completed.request()),
+                completed.serviceClass(),
+                StoredNames.of(completed.kind()),
+                completed.latencyUs(),
+                completed.bytes(),
+                completed.withinObjective(),
+                completed.reason() == null ? null : StoredNames.of(completed.reason()));
+    }
+
+    private void requestAdmitted(long unixUs, Event.RequestAdmitted admitted) {
+        line(
+                unixUs,
+                "taken",
+                Long.toHexString(admitted.request()),
+                admitted.serviceClass(),
+                Long.toHexString(admitted.object()),
+                admitted.group());
+    }
+
+    private void requestRejected(long unixUs, Event.RequestRejected rejected) {
+        line(unixUs, "turned", rejected.request(), rejected.serviceClass(), StoredNames.of(rejected.kind()));
+    }
+
+    private void endpointsChanged(long unixUs, Event.EndpointsChanged changed) {
+        for (ListedEndpoint endpoint : changed.servers()) {
+            line(
+                    unixUs,
+                    "listed",
+                    changed.index(),
+                    endpoint.id(),
+                    endpoint.zone(),
+                    endpoint.kind(),
+                    StoredNames.of(endpoint.state()),
+                    endpoint.weight(),
+                    endpoint.startedUs());
+        }
+    }
+
+    private void purged(long unixUs, Event.Purged purged) {
+        line(
+                unixUs,
+                "purged",
+                purged.index(),
+                purged.object() == null ? null : Long.toHexString(purged.object()),
+                purged.group(),
+                purged.unixMs());
+    }
+
     private void line(long unixUs, String kind, Object... fields) {
         lines.append('@').append(unixUs).append('\t').append(kind);
         for (Object field : fields) {
