--- a/src/main/java/petrelplank/record/DirectSink.java
+++ b/src/main/java/petrelplank/record/DirectSink.java
@@ -3,30 +3,30 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes events at once, in the caller's thread: for emulated fronts, whose time stands still meanwhile. */
+/** Writes events in the caller's thread: for emulated proxies, whose clock stands still meanwhile. */
 public final class DirectSink implements EventSink {
-    private final String front;
-    private final long life;
-    private final RecordFileWriter log;
-    private long next;
+    private final String proxy;
+    private final long incarnation;
+    private final RecordFileWriter output;
+    private long nextNumber;
 
     /**
-     * Writes from the first event on.
+     * Creates a sink; its first file is made with the first event.
      *
-     * @param settings where and how
-     * @param front the front's name
-     * @param life this life's random number
+     * @param settings where and how to write
+     * @param proxy the proxy's name
+     * @param incarnation the random number of this incarnation
      */
-    public DirectSink(RecordSettings settings, String front, long life) {
-        this.front = front;
-        this.life = life;
-        this.log = new RecordFileWriter(settings, front, life);
+    public DirectSink(RecordSettings settings, String proxy, long incarnation) {
+        this.proxy = proxy;
+        this.incarnation = incarnation;
+        this.output = new RecordFileWriter(settings, proxy, incarnation);
     }
 
     @Override
     public void record(long unixUs, Event event) {
         try {
-            log.append(new Entry(front, life, next++, unixUs, event));
+            output.append(new Entry(proxy, incarnation, nextNumber++, unixUs, event));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -35,7 +35,7 @@
     @Override
     public void close() {
         try {
-            log.close();
+            output.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/petrelplank/record/Entry.java
+++ b/src/main/java/petrelplank/record/Entry.java
@@ -1,13 +1,14 @@
 package petrelplank.record;
 
 /**
- * An event with its place: a gap in the numbers of a life is a loss, a number that comes twice is the same event.
+ * An event with its position in an incarnation. A gap in the numbers is a loss; a number that comes twice is the same
+ * event.
  *
- * @param proxy the front's name
- * @param incarnation a random number, new with each start of the front
- * @param number from 0 in each life, without gaps
- * @param unixUs when, by the front's clock
- * @param event what
+ * @param proxy the proxy's name
+ * @param incarnation a random number, new with each start of the proxy
+ * @param number consecutive in an incarnation, from 0
+ * @param unixUs when, by the proxy's clock
+ * @param event the event
  */
 @StoredName("Entry")
 public record Entry(
--- a/src/main/java/petrelplank/record/FileSink.java
+++ b/src/main/java/petrelplank/record/FileSink.java
@@ -10,147 +10,156 @@
 import java.util.logging.Logger;
 
 /**
- * Writes a front's events to files. The event thread only puts them in a bounded queue; where it is full, the event
- * is lost, its number stays missing, and the count is written once there is room. A thread of its own encodes and
- * writes; where the disk takes nothing, it counts what it loses and tries again.
+ * Writes events in a thread of its own. The event thread only puts them in a bounded queue; an event that finds it full
+ * is lost, its number stays missing, and the count is recorded once there is room. Where the disk fails, the writer
+ * counts what it loses and retries.
  */
 public final class FileSink implements EventSink {
     private static final Logger LOG = Logger.getLogger(FileSink.class.getName());
-    private static final int BATCH = 512;
-    private static final int TRACE_QUEUED = 16_384;
-    private static final long LOOK_NS = 50_000_000;
-    private static final long CLOSE_MS = 100;
-    private static final int LOGGED_ONE_IN = 1000;
-
-    private final String front;
-    private final long life;
-    private final RecordOutput log;
+    private static final int BATCH_SIZE = 512;
+    private static final int TRACE_QUEUE_CAPACITY = 16_384;
+    private static final long POLL_INTERVAL_NS = 50_000_000;
+    private static final long CLOSE_TIMEOUT_MS = 100;
+    /** One failure in so many is logged: a full disk fails once a second. */
+    private static final int FAILURES_PER_LOG_LINE = 1000;
+
+    private final String proxy;
+    private final long incarnation;
+    private final RecordOutput output;
     private final ArrayBlockingQueue<Entry> queue;
     private final Thread writer;
     private volatile boolean closed;
-    private long next;
-    /** Lost, and not yet written down; of the event thread. */
-    private long lost;
-    /** Lost on the disk, which the event thread has not taken over yet. */
-    private final AtomicLong unwritten = new AtomicLong();
-
+    /** Of the event thread. */
+    private long nextNumber;
+    /** Events lost that no record reports yet; of the event thread. */
+    private long unreported;
+    /** Events that the output lost and the event thread has not yet added to {@link #unreported}. */
+    private final AtomicLong outputLosses = new AtomicLong();
+
+    /** Of the writer's thread. */
     private long failures;
-    private long allUnwritten;
+    /** All events that the output lost; of the writer's thread. */
+    private long totalOutputLosses;
 
     /**
-     * Starts the writer.
+     * Starts a writer of record files.
      *
-     * @param settings where and how
-     * @param front the front's name
-     * @param life this life's random number
+     * @param settings where and how to write
+     * @param proxy the proxy's name
+     * @param incarnation the random number of this incarnation
      */
-    public FileSink(RecordSettings settings, String front, long life) {
-        this(settings.queued(), front, life, new RecordFileWriter(settings, front, life));
+    public FileSink(RecordSettings settings, String proxy, long incarnation) {
+        this(settings.queued(), proxy, incarnation, new RecordFileWriter(settings, proxy, incarnation));
     }
 
     /**
-     * Starts a writer of lines of text, see {@link TraceLines}: nothing of it is left to the event thread but to queue.
+     * Starts a writer of lines of text, see {@link TraceLines}.
      *
      * @param out takes whole lines; it may block
-     * @param front the front's name
+     * @param proxy the proxy's name
      * @return the sink
      */
-    public static FileSink trace(PrintStream out, String front) {
-        return new FileSink(TRACE_QUEUED, front, 0, new TraceLines(out));
+    public static FileSink trace(PrintStream out, String proxy) {
+        return new FileSink(TRACE_QUEUE_CAPACITY, proxy, 0, new TraceLines(out));
     }
 
-    FileSink(int queued, String front, long life, RecordOutput log) {
-        this.front = front;
-        this.life = life;
-        this.log = log;
-        this.queue = new ArrayBlockingQueue<>(queued);
-        this.writer = new Thread(this::write, "records");
+    FileSink(int queueCapacity, String proxy, long incarnation, RecordOutput output) {
+        this.proxy = proxy;
+        this.incarnation = incarnation;
+        this.output = output;
+        this.queue = new ArrayBlockingQueue<>(queueCapacity);
+        this.writer = new Thread(this::writeUntilClosed, "records");
         writer.setDaemon(true);
         writer.start();
     }
 
     @Override
     public void record(long unixUs, Event event) {
-        if (unwritten.get() > 0) {
-            lost += unwritten.getAndSet(0);
+        if (outputLosses.get() > 0) {
+            unreported += outputLosses.getAndSet(0);
         }
-        if (lost > 0 && queue.remainingCapacity() > 1) {
-            queue.offer(new Entry(front, life, next++, unixUs, new Event.EventsLost(lost)));
-            lost = 0;
+        if (unreported > 0 && queue.remainingCapacity() > 1) {
+            queue.offer(nextEntry(unixUs, new Event.EventsLost(unreported)));
+            unreported = 0;
         }
-        if (!queue.offer(new Entry(front, life, next++, unixUs, event))) {
-            lost++;
+        if (!queue.offer(nextEntry(unixUs, event))) {
+            unreported++;
         }
     }
 
+    private Entry nextEntry(long unixUs, Event event) {
+        return new Entry(proxy, incarnation, nextNumber++, unixUs, event);
+    }
+
     @Override
     public long heapBytes() {
-        Runtime vm = Runtime.getRuntime();
-        return vm.totalMemory() - vm.freeMemory();
+        Runtime runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** Events lost that no record tells of yet. */
-    long unsaid() {
-        return lost + unwritten.get();
+    /** The number of events lost that no record reports yet. */
+    long unreportedLosses() {
+        return unreported + outputLosses.get();
     }
 
-    private void write() {
-        List<Entry> batch = new ArrayList<>(BATCH);
+    private void writeUntilClosed() {
+        List<Entry> batch = new ArrayList<>(BATCH_SIZE);
         try {
             while (!closed || !queue.isEmpty()) {
-                // It looks now and then, and is not woken: to wake a thread for each event costs more than the event.
-                if (queue.drainTo(batch, BATCH) == 0) {
+                // It polls and is not woken: waking a thread for each event costs more than the event.
+                if (queue.drainTo(batch, BATCH_SIZE) == 0) {
                     flush();
-                    LockSupport.parkNanos(LOOK_NS);
+                    LockSupport.parkNanos(POLL_INTERVAL_NS);
                 }
                 batch.forEach(this::append);
                 batch.clear();
             }
-            log.close();
+            output.close();
         } catch (IOException e) {
-            failed(e);
+            logFailure(e);
         }
     }
 
-    private void append(Entry e) {
+    private void append(Entry entry) {
         try {
-            log.append(e);
-        } catch (IOException failed) {
-            failed(failed);
+            output.append(entry);
+        } catch (IOException e) {
+            logFailure(e);
         }
-        count();
+        countLosses();
     }
 
     private void flush() {
         try {
-            log.flush();
+            output.flush();
         } catch (IOException e) {
-            failed(e);
+            logFailure(e);
         }
-        count();
+        countLosses();
     }
 
-    private void count() {
-        long now = log.takeLost();
-        if (now > 0) {
-            allUnwritten += now;
-            unwritten.addAndGet(now);
+    private void countLosses() {
+        long lost = output.takeLost();
+        if (lost > 0) {
+            totalOutputLosses += lost;
+            outputLosses.addAndGet(lost);
         }
     }
 
-    private void failed(IOException e) {
-        if (failures++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("records can't be written: " + e.getMessage() + ", " + allUnwritten + " lost so far");
+    private void logFailure(IOException failure) {
+        if (failures++ % FAILURES_PER_LOG_LINE == 0) {
+            LOG.warning(
+                    "records can't be written: " + failure.getMessage() + ", " + totalOutputLosses + " lost so far");
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        // Not interrupted: that would close the file under a write.
+        // Not interrupted, which would close the file in the middle of a write.
         LockSupport.unpark(writer);
         try {
-            writer.join(CLOSE_MS);
+            writer.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/petrelplank/record/RecordFileWriter.java
+++ b/src/main/java/petrelplank/record/RecordFileWriter.java
@@ -4,177 +4,153 @@
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.List;
 import java.util.UUID;
-import java.util.regex.Pattern;
 import org.apache.avro.file.CodecFactory;
 import org.apache.avro.file.DataFileWriter;
 
 /**
- * A front's record files in a directory: Avro object container files, cut by size and age, the oldest of the front
- * removed where all together would pass the bound. One thread at a time; reads no clock.
+ * Writes entries to Avro object container files, rotated by size and age. Reads no clock: the entries' times are its
+ * time. Confined to one thread.
  */
 final class RecordFileWriter implements RecordOutput {
-    /** The ending of record files. */
-    static final String ENDING = ".records.avro";
-    /** Bytes between sync markers: what a file cut off may lose. */
-    private static final int BLOCK = 32 << 10;
-
-    private static final int SIZE_EVERY = 256;
-    private static final int SYNC_BYTES = 16;
-    private static final long AGAIN_US = 1_000_000;
-
-    /** Opens files; another one stands in for a broken disk in tests. */
-    interface Disk {
+    /** Bytes between sync markers: at most what a truncated file loses. */
+    private static final int BLOCK_BYTES = 32 << 10;
+    /** The file's size is read once in so many entries, since that is a system call. */
+    private static final int SIZE_CHECK_INTERVAL = 256;
+
+    private static final int SYNC_MARKER_BYTES = 16;
+    private static final int DEFLATE_LEVEL = 1;
+    private static final long RETRY_INTERVAL_US = 1_000_000;
+    private static final long NEVER_US = Long.MIN_VALUE / 2;
+
+    /** Opens files; tests stand in for a broken disk. */
+    interface FileOpener {
         OutputStream create(Path file) throws IOException;
     }
 
     private final RecordSettings settings;
-    private final String front;
-    private final long life;
+    private final RecordDirectory directory;
+    private final FileOpener opener;
     private final RecordCodec codec = new RecordCodec();
-    private final Disk disk;
+    /** Null where no file is open. */
     private DataFileWriter<Entry> writer;
+
     private Path file;
     private long openedUs;
-    private long syncedUs;
-    private int files;
+    private long flushedUs;
     private long appended;
-    /** Appended since the file was last written out: gone with it where it is given up. */
-    private long pending;
+    /** Entries appended since the last flush: lost with the file where it is abandoned. */
+    private long unflushed;
 
     private long lost;
-    private long triedUs = Long.MIN_VALUE / 2;
-
-    RecordFileWriter(RecordSettings settings, String front, long life) {
-        this(
-                settings,
-                front,
-                life,
-                f -> Files.newOutputStream(f, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
+    /** When the disk last failed, or a file was last tried in vain. */
+    private long failedUs = NEVER_US;
+
+    RecordFileWriter(RecordSettings settings, String proxy, long incarnation) {
+        this(settings, proxy, incarnation, RecordFileWriter::createNew);
     }
 
-    RecordFileWriter(RecordSettings settings, String front, long life, Disk disk) {
+    RecordFileWriter(RecordSettings settings, String proxy, long incarnation, FileOpener opener) {
         this.settings = settings;
-        this.front = front;
-        this.life = life;
-        this.disk = disk;
+        this.directory = new RecordDirectory(settings, proxy, incarnation);
+        this.opener = opener;
+    }
+
+    private static OutputStream createNew(Path file) throws IOException {
+        return Files.newOutputStream(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     }
 
     /**
-     * Appends an entry. Where the disk takes no more, the file is given up with what was not written out; another is
-     * tried a second later at the earliest, lest a full disk fills with empty files, and what comes before is lost.
+     * Appends an entry. Where the disk fails, the file is abandoned with what was not flushed. The next one is tried a
+     * second later at the earliest, lest a full disk be filled with empty files; entries until then are lost.
      *
-     * @param e the entry
-     * @throws IOException once for each file that is given up or can't be made
+     * @throws IOException once for each file that is abandoned or can't be created
      */
     @Override
-    public void append(Entry e) throws IOException {
+    public void append(Entry entry) throws IOException {
+        long nowUs = entry.unixUs();
         try {
-            if (writer != null && (e.unixUs() - openedUs > settings.ageUs() || full())) {
+            if (writer != null && rotationDue(nowUs)) {
                 close();
             }
-            if (writer == null && e.unixUs() - triedUs < AGAIN_US) {
+            if (writer == null && nowUs - failedUs < RETRY_INTERVAL_US) {
                 lost++;
                 return;
             }
-            pending++;
-            if (writer == null) {
-                triedUs = e.unixUs();
-                open(e.unixUs());
-                triedUs = Long.MIN_VALUE / 2;
-            }
-            writer.append(e);
-            if (e.unixUs() - syncedUs > settings.flushUs()) {
-                flush();
-                syncedUs = e.unixUs();
-            }
-        } catch (IOException | RuntimeException failed) {
-            triedUs = e.unixUs();
-            giveUp();
-            throw failed instanceof IOException io ? io : new IOException(failed);
+            write(entry);
+        } catch (IOException | RuntimeException failure) {
+            failedUs = nowUs;
+            abandon();
+            throw failure instanceof IOException ioFailure ? ioFailure : new IOException(failure);
         }
     }
 
-    /** Asks the file system now and then only. */
+    private boolean rotationDue(long nowUs) throws IOException {
+        return nowUs - openedUs > settings.ageUs() || full();
+    }
+
     private boolean full() throws IOException {
-        return ++appended % SIZE_EVERY == 0 && Files.exists(file) && Files.size(file) > settings.fileBytes();
+        return ++appended % SIZE_CHECK_INTERVAL == 0 && Files.exists(file) && Files.size(file) > settings.fileBytes();
     }
 
-    private void open(long unixUs) throws IOException {
-        Files.createDirectories(settings.directory());
-        prune();
-        file = settings.directory().resolve(String.format("%s-%016x-%05d%s", safe(front), life, files++, ENDING));
-        DataFileWriter<Entry> made = new DataFileWriter<>(codec.writer());
+    private void write(Entry entry) throws IOException {
+        long nowUs = entry.unixUs();
+        unflushed++;
+        if (writer == null) {
+            open();
+            openedUs = nowUs;
+            flushedUs = nowUs;
+            failedUs = NEVER_US;
+        }
+        writer.append(entry);
+        if (nowUs - flushedUs > settings.flushUs()) {
+            flush();
+            flushedUs = nowUs;
+        }
+    }
+
+    private void open() throws IOException {
+        file = directory.nextFile();
+        DataFileWriter<Entry> created = new DataFileWriter<>(codec.writer());
         if (settings.compress()) {
-            made.setCodec(CodecFactory.deflateCodec(1));
+            created.setCodec(CodecFactory.deflateCodec(DEFLATE_LEVEL));
         }
-        made.setSyncInterval(BLOCK);
-        OutputStream out = disk.create(file);
+        created.setSyncInterval(BLOCK_BYTES);
+        OutputStream out = opener.create(file);
         try {
-            made.create(codec.schema(), out, sync());
-        } catch (IOException | RuntimeException e) {
+            created.create(codec.schema(), out, syncMarker());
+        } catch (IOException | RuntimeException failure) {
             try (out) {
                 Files.deleteIfExists(file);
             }
-            throw e;
+            throw failure;
         }
-        writer = made;
-        openedUs = unixUs;
-        syncedUs = unixUs;
+        writer = created;
     }
 
-    /** The marker between blocks, by the file's name: the same run gives the same bytes. */
-    private byte[] sync() {
-        byte[] marker = new byte[SYNC_BYTES];
-        UUID name = UUID.nameUUIDFromBytes(file.getFileName().toString().getBytes(StandardCharsets.UTF_8));
-        ByteBuffer.wrap(marker).putLong(name.getMostSignificantBits()).putLong(name.getLeastSignificantBits());
+    /** The marker between blocks is derived from the file's name, so that the same run writes the same bytes. */
+    private byte[] syncMarker() {
+        byte[] marker = new byte[SYNC_MARKER_BYTES];
+        UUID hash = UUID.nameUUIDFromBytes(file.getFileName().toString().getBytes(StandardCharsets.UTF_8));
+        ByteBuffer.wrap(marker).putLong(hash.getMostSignificantBits()).putLong(hash.getLeastSignificantBits());
         return marker;
     }
 
-    /** A front's name as part of a file's: entries hold it as it is. */
-    private static String safe(String name) {
-        return name.replaceAll("[^A-Za-z0-9._-]", "_");
-    }
-
-    /** Removes the front's oldest files until one more fits under the bound. */
-    private void prune() throws IOException {
-        List<Path> own = new ArrayList<>();
-        long total = 0;
-        // Its own alone: another front's name may begin with this one's.
-        Pattern mine = Pattern.compile(Pattern.quote(safe(front)) + "-[0-9a-f]{16}-[0-9]{5,}" + Pattern.quote(ENDING));
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(
-                settings.directory(),
-                p -> mine.matcher(p.getFileName().toString()).matches())) {
-            for (Path path : all) {
-                own.add(path);
-                total += Files.size(path);
-            }
-        }
-        own.sort(Comparator.comparing((Path p) -> p.toFile().lastModified()).thenComparing(Path::toString));
-        for (int i = 0; i < own.size() && total + settings.fileBytes() > settings.totalBytes(); i++) {
-            total -= Files.size(own.get(i));
-            Files.delete(own.get(i));
-        }
-    }
-
-    /** Writes out what stands in memory; where that fails, the file is given up. */
+    /** Writes out what is buffered; where that fails, the file is abandoned. */
     @Override
     public void flush() throws IOException {
-        if (writer != null) {
-            try {
-                writer.flush();
-                pending = 0;
-            } catch (IOException | RuntimeException e) {
-                giveUp();
-                throw e;
-            }
+        if (writer == null) {
+            return;
+        }
+        try {
+            writer.flush();
+            unflushed = 0;
+        } catch (IOException | RuntimeException failure) {
+            abandon();
+            throw failure;
         }
     }
 
@@ -184,32 +160,27 @@
             DataFileWriter<Entry> open = writer;
             writer = null;
             open.close();
-            pending = 0;
+            unflushed = 0;
         }
     }
 
-    /**
-     * Entries lost since this was last asked.
-     *
-     * @return how many
-     */
     @Override
     public long takeLost() {
-        long now = lost;
+        long taken = lost;
         lost = 0;
-        return now;
+        return taken;
     }
 
-    private void giveUp() {
+    private void abandon() {
         DataFileWriter<Entry> broken = writer;
         writer = null;
-        lost += pending;
-        pending = 0;
+        lost += unflushed;
+        unflushed = 0;
         if (broken != null) {
             try {
                 broken.close();
-            } catch (IOException | RuntimeException e) {
-                // Already told: the disk takes nothing.
+            } catch (IOException | RuntimeException failure) {
+                // The failure that led here is reported already.
             }
         }
     }
--- a/src/main/java/petrelplank/record/RecordOutput.java
+++ b/src/main/java/petrelplank/record/RecordOutput.java
@@ -2,15 +2,17 @@
 
 import java.io.IOException;
 
-/** Where a writer puts entries; of the writer's thread alone. */
+/** Where a sink writes entries. Confined to one thread. */
 interface RecordOutput {
-    void append(Entry e) throws IOException;
+    /** Appends an entry; it may be buffered. */
+    void append(Entry entry) throws IOException;
 
-    /** What was appended can be read from here on. */
+    /** Makes the entries appended so far readable. */
     void flush() throws IOException;
 
-    /** Entries that were appended and then lost, since this was last asked. */
+    /** The number of entries that were appended and then lost, since the last call. */
     long takeLost();
 
+    /** Flushes and releases what is open. */
     void close() throws IOException;
 }
--- a/src/test/java/petrelplank/record/RecordTest.java
+++ b/src/test/java/petrelplank/record/RecordTest.java
@@ -173,7 +173,7 @@
         for (int tries = 0; lost < 0; tries++) {
             // Room comes as the writer goes on; the next event then carries the count.
             sink.record(FROM + 2000 + tries, new Event.EndpointRecovered("box"));
-            lost = sink.unsaid() > 0 ? -1 : 0;
+            lost = sink.unreportedLosses() > 0 ? -1 : 0;
         }
         sink.close();
         List<Entry> back = read(folder, new ArrayList<>());
@@ -286,7 +286,7 @@
         for (int i = 0; i < 40; i++) {
             sink.record(FROM + i, new Event.ClientDisconnected(i));
         }
-        while (sink.unsaid() < 40) {
+        while (sink.unreportedLosses() < 40) {
             Thread.onSpinWait();
         }
         full.set(false);
