--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -17,6 +17,7 @@
 import petrelplank.analysis.FleetSnapshot;
 import petrelplank.analysis.IncidentTimeline;
 import petrelplank.analysis.RecordAggregator;
+import petrelplank.record.ReadError;
 import petrelplank.record.RecordReader;
 import petrelplank.report.Page;
 import petrelplank.report.Summary;
@@ -55,7 +56,9 @@
             }
         }
         reader.read(paths, fold::add);
-        reader.troubles().forEach(t -> System.err.println("petrelplank: " + t));
+        List<String> unreadable =
+                reader.errors().stream().map(ReadError::message).toList();
+        unreadable.forEach(t -> System.err.println("petrelplank: " + t));
         if (fold.entries() == 0) {
             return unusable("no records in " + String.join(", ", places)
                     + "; a front writes them where its operator's file turns them on, and emulate with --records DIR");
@@ -65,7 +68,7 @@
         if (json != null) {
             Map<String, Object> tree = course.tree();
             tree.put("findings", findings.stream().map(Finding::tree).toList());
-            tree.put("troubles", reader.troubles());
+            tree.put("troubles", unreadable);
             long worst = FleetSnapshot.worstUs(course);
             tree.put("worstUs", worst);
             Map<String, Object> fleet = new LinkedHashMap<>();
@@ -74,9 +77,9 @@
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(json, tree);
         }
         if (out != null) {
-            Files.writeString(out.toPath(), Page.of(course, findings, reader.troubles()));
+            Files.writeString(out.toPath(), Page.of(course, findings, unreadable));
         }
         System.out.print(Summary.of(course, findings));
-        return reader.troubles().isEmpty() ? 0 : IN_PART;
+        return unreadable.isEmpty() ? 0 : IN_PART;
     }
 }
--- a/src/main/java/petrelplank/record/OperatorRecords.java
+++ b/src/main/java/petrelplank/record/OperatorRecords.java
@@ -3,9 +3,15 @@
 import java.nio.file.Path;
 import petrelplank.yaml.Section;
 
-/** The section {@code records} of the operator's file. */
+/** Reads the section {@code records} of the operator's file. */
 public final class OperatorRecords {
-    private static final long S = 1_000_000;
+    private static final long KIB = 1L << 10;
+    private static final long MIB = 1L << 20;
+    private static final long GIB = 1L << 30;
+    private static final long TIB = 1L << 40;
+    private static final long SECOND_US = 1_000_000;
+    private static final long HOUR_US = 3600 * SECOND_US;
+    private static final long DAY_US = 24 * HOUR_US;
 
     private OperatorRecords() {}
 
@@ -21,19 +27,21 @@
         }
         boolean on = records.flag("on", false);
         String directory = records.text("directory", "");
-        long file = records.bytes("file-size", 16L << 20, 64 << 10, 1L << 30);
-        long age = records.durationUs("file-age", 3600 * S, S, 86_400 * S);
-        long total = records.bytes("total-size", 256L << 20, 128 << 10, 1L << 40);
-        int queue = (int) records.whole("queue", 16_384, 16, 1 << 20);
-        long flush = records.durationUs("flush", S / 2, S / 100, 60 * S);
+        long fileBytes = records.bytes("file-size", 16 * MIB, 64 * KIB, GIB);
+        long ageUs = records.durationUs("file-age", HOUR_US, SECOND_US, DAY_US);
+        long totalBytes = records.bytes("total-size", 256 * MIB, 128 * KIB, TIB);
+        int queued = (int) records.whole("queue", 16_384, 16, MIB);
+        long flushUs = records.durationUs("flush", SECOND_US / 2, SECOND_US / 100, 60 * SECOND_US);
         boolean compress = records.flag("compress", false);
         if (on && directory.isEmpty()) {
             throw records.wrong("directory", "is missing, and records are on");
         }
-        if (total < 2 * file) {
+        if (totalBytes < 2 * fileBytes) {
             throw records.wrong("total-size", "should be at least twice file-size");
         }
         records.done();
-        return on ? new RecordSettings(Path.of(directory), file, age, total, queue, flush, compress) : null;
+        return on
+                ? new RecordSettings(Path.of(directory), fileBytes, ageUs, totalBytes, queued, flushUs, compress)
+                : null;
     }
 }
--- a/src/main/java/petrelplank/record/RecordReader.java
+++ b/src/main/java/petrelplank/record/RecordReader.java
@@ -14,91 +14,101 @@
 import org.apache.avro.generic.IndexedRecord;
 
 /**
- * Reads record files. What a file lost by being cut off or spoilt is at most the block it happened in; the reader goes
- * on at the next sync marker, and the numbers tell what is missing.
+ * Reads record files. A truncated or corrupt file loses at most the blocks concerned: the reader resumes at the next
+ * sync marker, and the entries' numbers show what is missing.
  */
 public final class RecordReader {
-    private static final String CUT = " is cut off or spoilt";
-
     private final RecordCodec codec = new RecordCodec();
-    private final List<String> troubles = new ArrayList<>();
+    private final List<ReadError> errors = new ArrayList<>();
 
-    /** Reads nothing yet. */
+    /** Creates a reader without errors. */
     public RecordReader() {}
 
     /**
-     * What could not be read, a line each with the file's name.
+     * What could not be read.
      *
-     * @return so far
+     * @return the errors so far
      */
-    public List<String> troubles() {
-        return List.copyOf(troubles);
+    public List<ReadError> errors() {
+        return List.copyOf(errors);
     }
 
     /**
-     * Reads all record files under some directories, and files named.
+     * Reads files, and all files under directories.
      *
-     * @param places directories or files
-     * @param entries takes each entry, in no certain order
-     * @throws IOException where a place is not there
+     * @param places files or directories
+     * @param entries receives each entry, in no particular order
+     * @throws IOException where a place does not exist
      */
     public void read(List<Path> places, Consumer<Entry> entries) throws IOException {
         for (Path place : places) {
             if (Files.isRegularFile(place)) {
-                file(place, entries);
-                continue;
-            }
-            List<Path> files;
-            try (Stream<Path> all = Files.walk(place)) {
-                files = all.filter(Files::isRegularFile).sorted().toList();
-            }
-            if (files.isEmpty()) {
-                troubles.add(place + ": no record files");
-            }
-            for (Path file : files) {
-                file(file, entries);
+                readFile(place, entries);
+            } else {
+                readDirectory(place, entries);
             }
         }
     }
 
-    private void file(Path path, Consumer<Entry> entries) {
+    private void readDirectory(Path directory, Consumer<Entry> entries) throws IOException {
+        List<Path> files;
+        try (Stream<Path> all = Files.walk(directory)) {
+            files = all.filter(Files::isRegularFile).sorted().toList();
+        }
+        if (files.isEmpty()) {
+            errors.add(new ReadError(directory, "no record files"));
+        }
+        for (Path file : files) {
+            readFile(file, entries);
+        }
+    }
+
+    private void readFile(Path path, Consumer<Entry> entries) {
         File file = path.toFile();
         GenericDatumReader<IndexedRecord> decoder = new GenericDatumReader<>(null, codec.schema());
         try (DataFileReader<IndexedRecord> reader = new DataFileReader<>(file, decoder)) {
-            IndexedRecord reused = null;
-            while (true) {
-                long at = reader.previousSync();
-                try {
-                    if (!reader.hasNext()) {
-                        if (reader.previousSync() < file.length()) {
-                            troubles.add(path + ": a block at byte " + reader.previousSync() + CUT);
-                        }
-                        return;
-                    }
+            readBlocks(reader, path, file.length(), entries);
+        } catch (IOException | AvroRuntimeException e) {
+            String detail = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            errors.add(new ReadError(path, "no record file (" + detail + ")"));
+        }
+    }
+
+    private void readBlocks(DataFileReader<IndexedRecord> reader, Path path, long length, Consumer<Entry> entries)
+            throws IOException {
+        IndexedRecord reused = null;
+        boolean more = true;
+        while (more) {
+            long blockStart = reader.previousSync();
+            try {
+                more = reader.hasNext();
+                if (more) {
                     reused = reader.next(reused);
                     entries.accept(codec.read(reused));
-                } catch (AvroRuntimeException
-                        | IOException
-                        | IllegalArgumentException
-                        | IndexOutOfBoundsException
-                        | ClassCastException e) {
-                    if (!skip(reader, path, at, file.length())) {
-                        return;
-                    }
+                } else if (reader.previousSync() < length) {
+                    errors.add(unreadableBlock(path, reader.previousSync(), ""));
                 }
+            } catch (AvroRuntimeException
+                    | IOException
+                    | IllegalArgumentException
+                    | IndexOutOfBoundsException
+                    | ClassCastException e) {
+                more = skipBlock(reader, path, blockStart, length);
             }
-        } catch (IOException | AvroRuntimeException e) {
-            troubles.add(path + ": no record file ("
-                    + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + ")");
         }
     }
 
-    /** Goes on behind a block that can't be read; false at the file's end. */
-    private boolean skip(DataFileReader<IndexedRecord> reader, Path path, long from, long length) throws IOException {
-        long at = Math.max(from, reader.previousSync()) + 1;
-        reader.sync(Math.min(at, length));
+    /** Resumes after an unreadable block; false at the end of the file. */
+    private boolean skipBlock(DataFileReader<IndexedRecord> reader, Path path, long blockStart, long length)
+            throws IOException {
+        long resumeAt = Math.max(blockStart, reader.previousSync()) + 1;
+        reader.sync(Math.min(resumeAt, length));
         boolean more = reader.previousSync() < length - 1 && !reader.pastSync(length);
-        troubles.add(path + ": a block at byte " + from + CUT + (more ? ", passed over" : ""));
+        errors.add(unreadableBlock(path, blockStart, more ? ", passed over" : ""));
         return more;
     }
+
+    private static ReadError unreadableBlock(Path path, long blockStart, String consequence) {
+        return new ReadError(path, "a block at byte " + blockStart + " is cut off or spoilt" + consequence);
+    }
 }
--- a/src/main/java/petrelplank/record/StoredName.java
+++ b/src/main/java/petrelplank/record/StoredName.java
@@ -6,8 +6,8 @@
 import java.lang.annotation.Target;
 
 /**
- * The name that a type, component or constant has in record files. It never changes, whatever the Java name becomes:
- * files written by earlier versions are read by it.
+ * The name of a type, component or constant in record files. It never changes, whatever the Java name becomes: it is what
+ * files of earlier versions are read by.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target({ElementType.TYPE, ElementType.RECORD_COMPONENT, ElementType.FIELD})
--- a/src/main/java/petrelplank/record/StoredNames.java
+++ b/src/main/java/petrelplank/record/StoredNames.java
@@ -12,7 +12,7 @@
 
 /**
  * The names that record files and JSON documents use, kept apart from Java names. Types of this package carry them as
- * {@link StoredName}; the enums of the decision module, which knows nothing of records, are mapped here.
+ * {@link StoredName}; the enums of the routing module, which must not depend on this one, are mapped here.
  */
 public final class StoredNames {
     private static final Map<Class<?>, String> ENUM_TYPES = Map.of(
@@ -39,44 +39,44 @@
     static String ofConstant(Enum<?> constant) {
         if (constant instanceof AttemptStatus status) {
             return of(status);
-        } else if (constant instanceof CacheStatus note) {
-            return of(note);
+        } else if (constant instanceof CacheStatus cacheStatus) {
+            return of(cacheStatus);
         } else if (constant instanceof TerminationReason reason) {
             return of(reason);
         } else if (constant instanceof EndpointState state) {
             return of(state);
-        } else if (constant instanceof Idempotency repeat) {
-            return of(repeat);
+        } else if (constant instanceof Idempotency idempotency) {
+            return of(idempotency);
         }
         try {
             return annotated(constant.getDeclaringClass().getField(constant.name()), constant.toString());
         } catch (NoSuchFieldException e) {
-            throw new IllegalStateException(constant + " is no field of its enum", e);
+            throw new IllegalStateException(constant + " is not a field of its enum", e);
         }
     }
 
-    private static String annotated(AnnotatedElement element, String described) {
+    private static String annotated(AnnotatedElement element, String description) {
         StoredName name = element.getAnnotation(StoredName.class);
         if (name == null) {
-            throw new IllegalStateException(described + " has no @StoredName");
+            throw new IllegalStateException(description + " has no @StoredName");
         }
         return name.value();
     }
 
     /**
-     * The stored name as a key of JSON documents.
+     * The key in JSON documents of a constant.
      *
-     * @param storedName a constant's stored name
-     * @return in lower case, with underscores
+     * @param storedName the constant's stored name
+     * @return the key
      */
     public static String jsonKey(String storedName) {
         return storedName.toLowerCase(Locale.ROOT);
     }
 
     /**
-     * The stored name of a status.
+     * The stored name of an attempt's status.
      *
-     * @param status how an attempt ended
+     * @param status the status
      * @return its name in record files
      */
     public static String of(AttemptStatus status) {
@@ -94,13 +94,13 @@
     }
 
     /**
-     * The stored name of a note.
+     * The stored name of a cache status.
      *
-     * @param cacheStatus what an answer told of the copy or the fill
+     * @param cacheStatus the cache status
      * @return its name in record files
      */
-    public static String of(CacheStatus note) {
-        return switch (note) {
+    public static String of(CacheStatus cacheStatus) {
+        return switch (cacheStatus) {
             case NONE -> "NONE";
             case HIT -> "HIT";
             case FILLED -> "FILLED";
@@ -116,9 +116,9 @@
     }
 
     /**
-     * The stored name of a reason.
+     * The stored name of a termination reason.
      *
-     * @param reason why a request was given up
+     * @param reason why the router ended a request without a response
      * @return its name in record files
      */
     public static String of(TerminationReason reason) {
@@ -134,7 +134,7 @@
     }
 
     /**
-     * The stored name of a server's state.
+     * The stored name of an endpoint's state.
      *
      * @param state the state
      * @return its name in record files
@@ -148,13 +148,13 @@
     }
 
     /**
-     * The stored name of how far a class may be repeated.
+     * The stored name of a service class's idempotency.
      *
-     * @param idempotency how far
+     * @param idempotency whether its requests may be retried
      * @return its name in record files
      */
-    public static String of(Idempotency repeat) {
-        return switch (repeat) {
+    public static String of(Idempotency idempotency) {
+        return switch (idempotency) {
             case IDEMPOTENT -> "FREE";
             case IDEMPOTENT_WITH_KEY -> "KEYED";
             case NON_IDEMPOTENT -> "NEVER";
@@ -162,12 +162,12 @@
     }
 
     /**
-     * The stored name of a final answer.
+     * The stored name of the outcome of a request.
      *
-     * @param answer what it said
+     * @param kind the outcome
      * @return its name in record files
      */
-    public static String of(ResponseKind answer) {
-        return ofConstant(answer);
+    public static String of(ResponseKind kind) {
+        return ofConstant(kind);
     }
 }
--- a/src/test/java/petrelplank/analysis/StoredIncidentTest.java
+++ b/src/test/java/petrelplank/analysis/StoredIncidentTest.java
@@ -19,7 +19,7 @@
         RecordAggregator fold = new RecordAggregator();
         reader.read(List.of(STORED), fold::add);
         IncidentTimeline course = new IncidentTimeline(fold);
-        assertEquals(List.of(), reader.troubles());
+        assertEquals(List.of(), reader.errors());
         assertEquals(466, course.entries());
         assertEquals(106, course.total().asked());
         assertEquals(106, course.total().count(ResponseKind.SERVED));
--- a/src/test/java/petrelplank/record/RecordTest.java
+++ b/src/test/java/petrelplank/record/RecordTest.java
@@ -32,7 +32,7 @@
         List<Entry> all = new ArrayList<>();
         RecordReader reader = new RecordReader();
         reader.read(List.of(place), all::add);
-        troubles.addAll(reader.troubles());
+        reader.errors().forEach(error -> troubles.add(error.message()));
         return all;
     }
 
--- a/src/test/java/petrelplank/record/StoredRecordsTest.java
+++ b/src/test/java/petrelplank/record/StoredRecordsTest.java
@@ -34,7 +34,7 @@
         List<Entry> read = new ArrayList<>();
         RecordReader reader = new RecordReader();
         reader.read(List.of(STORED), read::add);
-        assertEquals(List.of(), reader.troubles());
+        assertEquals(List.of(), reader.errors());
         assertEquals(Samples.EVENTS, read.stream().map(Entry::event).toList());
     }
 
