--- a/src/test/java/petrelplank/record/RecordTest.java
+++ b/src/test/java/petrelplank/record/RecordFileWriterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class RecordTest {
+class RecordFileWriterTest {
     private static final long FROM = 1_764_576_000_000_000L;
 
     @TempDir
@@ -46,17 +46,17 @@
     @Test
     void everyEventComesBackAsItWas() throws IOException {
         Set<Class<?>> types = new HashSet<>(Arrays.asList(Event.class.getPermittedSubclasses()));
-        Samples.EVENTS.forEach(e -> types.remove(e.getClass()));
+        SampleEvents.EVENTS.forEach(e -> types.remove(e.getClass()));
         assertEquals(Set.of(), types);
         DirectSink sink = new DirectSink(settings(), "front-1", 42);
-        Samples.EVENTS.forEach(e -> sink.record(FROM, e));
+        SampleEvents.EVENTS.forEach(e -> sink.record(FROM, e));
         sink.close();
         List<String> troubles = new ArrayList<>();
         List<Entry> back = read(folder, troubles);
-        assertEquals(Samples.EVENTS, back.stream().map(Entry::event).toList());
+        assertEquals(SampleEvents.EVENTS, back.stream().map(Entry::event).toList());
         assertEquals(List.of(), troubles);
         for (int i = 0; i < back.size(); i++) {
-            assertEquals(new Entry("front-1", 42, i, FROM, Samples.EVENTS.get(i)), back.get(i));
+            assertEquals(new Entry("front-1", 42, i, FROM, SampleEvents.EVENTS.get(i)), back.get(i));
         }
     }
 
@@ -66,14 +66,14 @@
         RecordFileWriter log = new RecordFileWriter(settings(), "front-1", 42);
         long number = 0;
         for (int block = 0; block < 3; block++) {
-            for (Event event : Samples.EVENTS) {
+            for (Event event : SampleEvents.EVENTS) {
                 log.append(new Entry("front-1", 42, number++, FROM, event));
             }
             log.flush();
         }
         Path file = files().get(0);
         long two = Files.size(file);
-        for (Event event : Samples.EVENTS) {
+        for (Event event : SampleEvents.EVENTS) {
             log.append(new Entry("front-1", 42, number++, FROM, event));
         }
         log.close();
@@ -82,7 +82,7 @@
         for (int cut = (int) two; cut < whole.length; cut++) {
             Files.write(file, Arrays.copyOf(whole, cut));
             List<String> troubles = new ArrayList<>();
-            assertEquals(3 * Samples.EVENTS.size(), read(file, troubles).size(), "cut at " + cut);
+            assertEquals(3 * SampleEvents.EVENTS.size(), read(file, troubles).size(), "cut at " + cut);
             assertEquals(cut == two ? 0 : 1, troubles.size(), "cut at " + cut + " " + troubles);
         }
     }
@@ -93,7 +93,7 @@
         long number = 0;
         long[] ends = new long[3];
         for (int block = 0; block < 3; block++) {
-            for (Event event : Samples.EVENTS) {
+            for (Event event : SampleEvents.EVENTS) {
                 log.append(new Entry("front-1", 42, number++, FROM, event));
             }
             log.flush();
@@ -108,7 +108,7 @@
         Files.write(file, bytes);
         List<String> troubles = new ArrayList<>();
         List<Entry> back = read(folder, troubles);
-        assertEquals(2 * Samples.EVENTS.size(), back.size());
+        assertEquals(2 * SampleEvents.EVENTS.size(), back.size());
         assertEquals(1, troubles.size());
         assertTrue(troubles.get(0).startsWith(file + ": a block at byte "), troubles.toString());
     }
@@ -213,7 +213,7 @@
         byte[][] bytes = new byte[2][];
         for (int i = 0; i < bytes.length; i++) {
             DirectSink sink = new DirectSink(RecordSettings.in(folder.resolve("run" + i)), "front-1", 42);
-            Samples.EVENTS.forEach(e -> sink.record(FROM, e));
+            SampleEvents.EVENTS.forEach(e -> sink.record(FROM, e));
             sink.close();
             try (Stream<Path> all = Files.list(folder.resolve("run" + i))) {
                 bytes[i] = Files.readAllBytes(all.findFirst().orElseThrow());
--- a/src/test/java/petrelplank/record/Samples.java
+++ b/src/test/java/petrelplank/record/SampleEvents.java
@@ -8,8 +8,8 @@
 import petrelplank.routing.TerminationReason;
 
 /** Events of every type, for tests. */
-public final class Samples {
-    /** One of each type, some with what may be absent. */
+public final class SampleEvents {
+    /** One of each type at least, with nullable components set and null. */
     public static final List<Event> EVENTS = List.of(
             new Event.ProxyStarted(
                     "branch1",
@@ -55,5 +55,5 @@
             new Event.DrainStarted(9),
             new Event.ProxyStopped());
 
-    private Samples() {}
+    private SampleEvents() {}
 }
--- a/src/test/java/petrelplank/record/StoredRecordsTest.java
+++ b/src/test/java/petrelplank/record/StoredRecordsTest.java
@@ -35,13 +35,13 @@
         RecordReader reader = new RecordReader();
         reader.read(List.of(STORED), read::add);
         assertEquals(List.of(), reader.errors());
-        assertEquals(Samples.EVENTS, read.stream().map(Entry::event).toList());
+        assertEquals(SampleEvents.EVENTS, read.stream().map(Entry::event).toList());
     }
 
     @Test
     void sameEventsAreWrittenAsTheSameBytes() throws IOException {
         DirectSink sink = new DirectSink(RecordSettings.in(folder), "front-1", 42);
-        Samples.EVENTS.forEach(event -> sink.record(FROM, event));
+        SampleEvents.EVENTS.forEach(event -> sink.record(FROM, event));
         sink.close();
         assertArrayEquals(Files.readAllBytes(onlyFile(STORED)), Files.readAllBytes(onlyFile(folder)));
     }
