--- a/src/test/java/petrelplank/record/RecordFileWriterTest.java
+++ b/src/test/java/petrelplank/record/RecordFileWriterTest.java
@@ -3,243 +3,122 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.FilterOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.atomic.AtomicBoolean;
-import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 class RecordFileWriterTest {
-    private static final long FROM = 1_764_576_000_000_000L;
+    private static final long START_US = 1_764_576_000_000_000L;
+    private static final long HOUR_US = 3_600_000_000L;
 
     @TempDir
     Path folder;
 
-    private RecordSettings settings() {
-        return RecordSettings.in(folder);
+    /** Files of 64 KiB, two of them at most. */
+    private RecordSettings smallFiles() {
+        return new RecordSettings(folder, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
     }
 
-    private static List<Entry> read(Path place, List<String> troubles) throws IOException {
-        List<Entry> all = new ArrayList<>();
-        RecordReader reader = new RecordReader();
-        reader.read(List.of(place), all::add);
-        reader.errors().forEach(error -> troubles.add(error.message()));
-        return all;
-    }
-
-    private List<Path> files() throws IOException {
-        try (Stream<Path> all = Files.list(folder)) {
-            return all.sorted().toList();
+    /** Appends more than small files hold; the ids are spread, so that they don't compress. */
+    private static void appendMany(RecordFileWriter writer, String proxy) throws IOException {
+        for (int i = 0; i < 20_000; i++) {
+            Event event = new Event.ClientDisconnected(i * 0x9e3779b97f4a7c15L);
+            writer.append(new Entry(proxy, 42, i, START_US + i, event));
         }
+        writer.close();
     }
 
-    /** Every type in the schema comes back as it was, so that a new one can't be forgotten here. */
     @Test
-    void everyEventComesBackAsItWas() throws IOException {
-        Set<Class<?>> types = new HashSet<>(Arrays.asList(Event.class.getPermittedSubclasses()));
-        SampleEvents.EVENTS.forEach(e -> types.remove(e.getClass()));
-        assertEquals(Set.of(), types);
-        DirectSink sink = new DirectSink(settings(), "front-1", 42);
-        SampleEvents.EVENTS.forEach(e -> sink.record(FROM, e));
-        sink.close();
-        List<String> troubles = new ArrayList<>();
-        List<Entry> back = read(folder, troubles);
-        assertEquals(SampleEvents.EVENTS, back.stream().map(Entry::event).toList());
-        assertEquals(List.of(), troubles);
-        for (int i = 0; i < back.size(); i++) {
-            assertEquals(new Entry("front-1", 42, i, FROM, SampleEvents.EVENTS.get(i)), back.get(i));
-        }
+    void filesAreRotatedBySizeAndTheOldestRemoved() throws IOException {
+        appendMany(new RecordFileWriter(smallFiles(), "front-1", 42), "front-1");
+        long totalBytes = 0;
+        for (Path file : RecordFiles.list(folder)) {
+            totalBytes += Files.size(file);
+        }
+        assertTrue(totalBytes <= (128 << 10) + (16 << 10), "in all " + totalBytes);
+        RecordFiles read = RecordFiles.read(folder);
+        assertEquals(19_999, read.last().number());
+        assertTrue(read.entries().get(0).number() > 0);
     }
 
-    /** Killed while it wrote: whatever byte of the last block it stopped at, the blocks before are all there. */
     @Test
-    void fileCutAtEveryByteOfItsLastBlockLosesThatBlockAlone() throws IOException {
-        RecordFileWriter log = new RecordFileWriter(settings(), "front-1", 42);
-        long number = 0;
-        for (int block = 0; block < 3; block++) {
-            for (Event event : SampleEvents.EVENTS) {
-                log.append(new Entry("front-1", 42, number++, FROM, event));
-            }
-            log.flush();
-        }
-        Path file = files().get(0);
-        long two = Files.size(file);
-        for (Event event : SampleEvents.EVENTS) {
-            log.append(new Entry("front-1", 42, number++, FROM, event));
-        }
-        log.close();
-        byte[] whole = Files.readAllBytes(file);
-        assertTrue(whole.length > two);
-        for (int cut = (int) two; cut < whole.length; cut++) {
-            Files.write(file, Arrays.copyOf(whole, cut));
-            List<String> troubles = new ArrayList<>();
-            assertEquals(3 * SampleEvents.EVENTS.size(), read(file, troubles).size(), "cut at " + cut);
-            assertEquals(cut == two ? 0 : 1, troubles.size(), "cut at " + cut + " " + troubles);
-        }
+    void filesAreRotatedByAge() throws IOException {
+        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(folder), "front-1", 43);
+        writer.append(new Entry("front-1", 43, 0, START_US, new Event.ProxyStopped()));
+        writer.append(new Entry("front-1", 43, 1, START_US + HOUR_US + 1, new Event.ProxyStopped()));
+        writer.close();
+        assertEquals(2, RecordFiles.list(folder).size());
     }
 
+    /** The name of another proxy may begin with this one's: its files stay, whatever the bound. */
     @Test
-    void spoiltBlockIsPassedOverAndNamed() throws IOException {
-        RecordFileWriter log = new RecordFileWriter(settings(), "front-1", 42);
-        long number = 0;
-        long[] ends = new long[3];
-        for (int block = 0; block < 3; block++) {
-            for (Event event : SampleEvents.EVENTS) {
-                log.append(new Entry("front-1", 42, number++, FROM, event));
-            }
-            log.flush();
-            ends[block] = Files.size(files().get(0));
-        }
-        log.close();
-        Path file = files().get(0);
-        byte[] bytes = Files.readAllBytes(file);
-        for (int i = (int) ends[0] + 8; i < ends[0] + 40; i++) {
-            bytes[i] ^= 0x55;
-        }
-        Files.write(file, bytes);
-        List<String> troubles = new ArrayList<>();
-        List<Entry> back = read(folder, troubles);
-        assertEquals(2 * SampleEvents.EVENTS.size(), back.size());
-        assertEquals(1, troubles.size());
-        assertTrue(troubles.get(0).startsWith(file + ": a block at byte "), troubles.toString());
-    }
-
-    @Test
-    void whatIsNoRecordFileIsNamedAndTheRestIsRead() throws IOException {
-        DirectSink sink = new DirectSink(settings(), "front-1", 42);
-        sink.record(FROM, new Event.ProxyStopped());
-        sink.close();
-        Files.writeString(folder.resolve("notes.txt"), "not one of ours");
-        Files.write(folder.resolve("zero"), new byte[0]);
-        List<String> troubles = new ArrayList<>();
-        assertEquals(1, read(folder, troubles).size());
-        assertEquals(2, troubles.size());
-        assertTrue(troubles.get(0).contains("notes.txt: no record file"), troubles.toString());
+    void filesOfOtherProxiesAreKept() throws IOException {
+        RecordFileWriter other = new RecordFileWriter(smallFiles(), "front-1.branch1", 7);
+        other.append(new Entry("front-1.branch1", 7, 0, START_US, new Event.ProxyStopped()));
+        other.close();
+        appendMany(new RecordFileWriter(smallFiles(), "front", 42), "front");
+        RecordFiles read = RecordFiles.read(folder);
+        assertEquals(
+                1,
+                read.entries().stream()
+                        .filter(entry -> entry.incarnation() == 7)
+                        .count());
+        assertTrue(read.entries().size() < 20_000);
     }
 
     @Test
-    void filesFollowEachOtherBySizeAndAgeAndTheOldestGo() throws IOException {
-        RecordSettings small = new RecordSettings(folder, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
-        RecordFileWriter log = new RecordFileWriter(small, "front-1", 42);
-        for (int i = 0; i < 20_000; i++) {
-            log.append(new Entry("front-1", 42, i, FROM + i, new Event.ClientDisconnected(i * 0x9e3779b97f4a7c15L)));
-        }
-        log.close();
-        long total = 0;
-        for (Path file : files()) {
-            total += Files.size(file);
-        }
-        assertTrue(total <= (128 << 10) + (16 << 10), "in all " + total);
-        List<Entry> back = read(folder, new ArrayList<>());
-        assertEquals(19_999, back.get(back.size() - 1).number());
-        assertTrue(back.get(0).number() > 0);
-        RecordFileWriter next = new RecordFileWriter(RecordSettings.in(folder.resolve("aged")), "front-1", 43);
-        next.append(new Entry("front-1", 43, 0, FROM, new Event.ProxyStopped()));
-        next.append(new Entry("front-1", 43, 1, FROM + 3_600_000_001L, new Event.ProxyStopped()));
-        next.close();
-        try (Stream<Path> aged = Files.list(folder.resolve("aged"))) {
-            assertEquals(2, aged.count());
-        }
+    void nameOfAProxyMayHoldCharactersThatFileNamesMayNot() throws IOException {
+        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(folder), "../a b", 1);
+        writer.append(new Entry("../a b", 1, 0, START_US, new Event.ProxyStopped()));
+        writer.close();
+        assertEquals("../a b", RecordFiles.read(folder).entries().get(0).proxy());
     }
 
-    /** The event thread never waits: what finds no room is lost, the gap shows in the numbers, and the count is told. */
+    /** All that is lost is counted, what was buffered too, and the disk is not filled with empty files. */
     @Test
-    void writerSlowerThanTheFrontLosesEventsAndSaysSo() throws IOException, InterruptedException {
-        CountDownLatch go = new CountDownLatch(1);
-        RecordSettings tight = new RecordSettings(folder, 64 << 10, 10_000_000, 1 << 20, 16, 1, false);
-        RecordFileWriter stuck = new RecordFileWriter(tight, "front-1", 42, file -> {
+    void writingResumesAfterAFullDiskAndLossesAreCounted() throws IOException {
+        FillableDisk disk = new FillableDisk();
+        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(folder), "front-1", 42, disk::create);
+        int failures = 0;
+        long lost = 0;
+        for (int i = 0; i < 3000; i++) {
+            disk.full = i >= 1000 && i < 2000;
             try {
-                go.await();
-            } catch (InterruptedException e) {
-                throw new IOException(e);
+                writer.append(new Entry("front-1", 42, i, START_US + i * 100_000L, new Event.ProxyStopped()));
+            } catch (IOException e) {
+                assertEquals("No space left on device", e.getMessage());
+                failures++;
             }
-            return Files.newOutputStream(file);
-        });
-        FileSink sink = new FileSink(tight.queued(), "front-1", 42, stuck);
-        for (int i = 0; i < 1000; i++) {
-            sink.record(FROM + i, new Event.ClientDisconnected(i));
-        }
-        go.countDown();
-        long lost = -1;
-        for (int tries = 0; lost < 0; tries++) {
-            // Room comes as the writer goes on; the next event then carries the count.
-            sink.record(FROM + 2000 + tries, new Event.EndpointRecovered("box"));
-            lost = sink.unreportedLosses() > 0 ? -1 : 0;
+            lost += writer.takeLost();
         }
-        sink.close();
-        List<Entry> back = read(folder, new ArrayList<>());
-        long told = back.stream()
-                .filter(e -> e.event() instanceof Event.EventsLost)
-                .mapToLong(e -> ((Event.EventsLost) e.event()).events())
-                .sum();
-        long last = back.get(back.size() - 1).number();
-        assertTrue(told >= 1000 - 2 * 16 - 512, "told " + told);
-        assertEquals(last + 1 - back.size(), told);
-    }
-
-    /** Another front's name may begin with this one's: its files stay, whatever the bound. */
-    @Test
-    void onlyTheFrontsOwnOldFilesGo() throws IOException {
-        RecordSettings small = new RecordSettings(folder, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
-        RecordFileWriter other = new RecordFileWriter(small, "front-1.branch1", 7);
-        other.append(new Entry("front-1.branch1", 7, 0, FROM, new Event.ProxyStopped()));
-        other.close();
-        RecordFileWriter log = new RecordFileWriter(small, "front", 42);
-        for (int i = 0; i < 20_000; i++) {
-            log.append(new Entry("front", 42, i, FROM + i, new Event.ClientDisconnected(i * 0x9e3779b97f4a7c15L)));
-        }
-        log.close();
-        List<Entry> back = read(folder, new ArrayList<>());
-        assertEquals(1, back.stream().filter(e -> e.incarnation() == 7).count());
-        assertTrue(back.size() < 20_000);
-        RecordFileWriter odd = new RecordFileWriter(RecordSettings.in(folder.resolve("odd")), "../a b", 1);
-        odd.append(new Entry("../a b", 1, 0, FROM, new Event.ProxyStopped()));
-        odd.close();
+        writer.close();
+        RecordFiles read = RecordFiles.read(folder);
+        assertTrue(failures > 50 && failures <= 101, "failures " + failures);
+        assertEquals(3000, read.entries().size() + lost);
         assertEquals(
-                "../a b", read(folder.resolve("odd"), new ArrayList<>()).get(0).proxy());
+                990,
+                read.entries().stream().filter(entry -> entry.number() >= 2010).count());
+        assertTrue(RecordFiles.list(folder).size() <= 3, "files in " + folder);
     }
 
-    @Test
-    void sameEntriesGiveTheSameBytes() throws IOException {
-        byte[][] bytes = new byte[2][];
-        for (int i = 0; i < bytes.length; i++) {
-            DirectSink sink = new DirectSink(RecordSettings.in(folder.resolve("run" + i)), "front-1", 42);
-            SampleEvents.EVENTS.forEach(e -> sink.record(FROM, e));
-            sink.close();
-            try (Stream<Path> all = Files.list(folder.resolve("run" + i))) {
-                bytes[i] = Files.readAllBytes(all.findFirst().orElseThrow());
-            }
-        }
-        assertTrue(Arrays.equals(bytes[0], bytes[1]));
-    }
+    /** Files can be created on it, also while it takes no bytes. */
+    private static final class FillableDisk {
+        private boolean full;
 
-    /**
-     * A full disk costs records, and neither the front nor what comes once there is room again. All that is lost is
-     * counted, what stood in memory too, and the disk is not filled with empty files.
-     */
-    @Test
-    void fullDiskIsSurvivedAndWhatComesAfterIsWritten() throws IOException {
-        boolean[] full = {false};
-        RecordFileWriter log = new RecordFileWriter(settings(), "front-1", 42, file -> {
-            OutputStream out = Files.newOutputStream(file);
-            return new OutputStream() {
+        OutputStream create(Path file) throws IOException {
+            return new FilterOutputStream(Files.newOutputStream(file)) {
                 @Override
-                public void write(int b) throws IOException {
-                    write(new byte[] {(byte) b}, 0, 1);
+                public void write(int single) throws IOException {
+                    write(new byte[] {(byte) single}, 0, 1);
                 }
 
                 @Override
                 public void write(byte[] bytes, int from, int length) throws IOException {
-                    if (full[0]) {
+                    if (full) {
                         throw new IOException("No space left on device");
                     }
                     out.write(bytes, from, length);
@@ -250,51 +129,6 @@
                     out.close();
                 }
             };
-        });
-        int failed = 0;
-        long lost = 0;
-        for (int i = 0; i < 3000; i++) {
-            full[0] = i >= 1000 && i < 2000;
-            try {
-                log.append(new Entry("front-1", 42, i, FROM + i * 100_000L, new Event.ProxyStopped()));
-            } catch (IOException e) {
-                assertEquals("No space left on device", e.getMessage());
-                failed++;
-            }
-            lost += log.takeLost();
-        }
-        log.close();
-        List<Entry> back = read(folder, new ArrayList<>());
-        assertTrue(failed > 50 && failed <= 101, "failed " + failed);
-        assertEquals(3000, back.size() + lost);
-        assertEquals(990, back.stream().filter(e -> e.number() >= 2010).count());
-        assertTrue(files().size() <= 3, files().toString());
-    }
-
-    /** What the disk does not take is told in the records too, once it takes them again. */
-    @Test
-    void whatTheDiskLostIsToldInTheRecords() throws IOException, InterruptedException {
-        AtomicBoolean full = new AtomicBoolean(true);
-        RecordSettings quick = new RecordSettings(folder, 64 << 10, 10_000_000, 1 << 20, 64, 1, false);
-        RecordFileWriter log = new RecordFileWriter(quick, "front-1", 42, file -> {
-            if (full.get()) {
-                throw new IOException("No space left on device");
-            }
-            return Files.newOutputStream(file);
-        });
-        FileSink sink = new FileSink(quick.queued(), "front-1", 42, log);
-        for (int i = 0; i < 40; i++) {
-            sink.record(FROM + i, new Event.ClientDisconnected(i));
-        }
-        while (sink.unreportedLosses() < 40) {
-            Thread.onSpinWait();
         }
-        full.set(false);
-        sink.record(FROM + 2_000_000, new Event.ProxyStopped());
-        sink.close();
-        List<Entry> back = read(folder, new ArrayList<>());
-        assertEquals(
-                List.of(new Event.EventsLost(40), new Event.ProxyStopped()),
-                back.stream().map(Entry::event).toList());
     }
 }
--- /dev/null
+++ b/src/test/java/petrelplank/record/RecordReaderTest.java
@@ -0,0 +1,98 @@
+package petrelplank.record;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+class RecordReaderTest {
+    private static final long START_US = 1_764_576_000_000_000L;
+    private static final int EVENTS_PER_BLOCK = SampleEvents.EVENTS.size();
+    private static final int FLUSHED_BLOCKS = 3;
+
+    @TempDir
+    Path folder;
+
+    private RecordFileWriter writer;
+    private long nextNumber;
+
+    @BeforeEach
+    void createWriter() {
+        writer = new RecordFileWriter(RecordSettings.in(folder), "front-1", 42);
+    }
+
+    private void appendSamples() throws IOException {
+        for (Event event : SampleEvents.EVENTS) {
+            writer.append(new Entry("front-1", 42, nextNumber++, START_US, event));
+        }
+    }
+
+    /** Appends blocks and returns the file's length after each. */
+    private long[] flushBlocks() throws IOException {
+        long[] ends = new long[FLUSHED_BLOCKS];
+        for (int block = 0; block < FLUSHED_BLOCKS; block++) {
+            appendSamples();
+            writer.flush();
+            ends[block] = Files.size(file());
+        }
+        return ends;
+    }
+
+    private Path file() throws IOException {
+        return RecordFiles.list(folder).get(0);
+    }
+
+    /** As where the process is killed during a write: the blocks before are all there. */
+    @Test
+    void fileTruncatedAnywhereInItsLastBlockLosesOnlyThatBlock() throws IOException {
+        int flushed = (int) flushBlocks()[FLUSHED_BLOCKS - 1];
+        appendSamples();
+        writer.close();
+        Path file = file();
+        byte[] complete = Files.readAllBytes(file);
+        assertTrue(complete.length > flushed);
+        for (int length = flushed; length < complete.length; length++) {
+            Files.write(file, Arrays.copyOf(complete, length));
+            RecordFiles read = RecordFiles.read(file);
+            assertEquals(FLUSHED_BLOCKS * EVENTS_PER_BLOCK, read.entries().size(), "truncated to " + length);
+            assertEquals(
+                    length == flushed ? 0 : 1, read.errors().size(), "truncated to " + length + " " + read.errors());
+        }
+    }
+
+    @Test
+    void corruptBlockIsSkippedAndReported() throws IOException {
+        int firstBlockEnd = (int) flushBlocks()[0];
+        writer.close();
+        Path file = file();
+        byte[] bytes = Files.readAllBytes(file);
+        for (int i = firstBlockEnd + 8; i < firstBlockEnd + 40; i++) {
+            bytes[i] ^= 0x55;
+        }
+        Files.write(file, bytes);
+        RecordFiles read = RecordFiles.read(folder);
+        assertEquals((FLUSHED_BLOCKS - 1) * EVENTS_PER_BLOCK, read.entries().size());
+        assertEquals(1, read.errors().size());
+        String message = read.errors().get(0).message();
+        assertTrue(message.startsWith(file + ": a block at byte "), message);
+    }
+
+    @Test
+    void foreignFilesAreReportedAndTheOthersAreRead() throws IOException {
+        writer.append(new Entry("front-1", 42, 0, START_US, new Event.ProxyStopped()));
+        writer.close();
+        Files.writeString(folder.resolve("notes.txt"), "not one of ours");
+        Files.write(folder.resolve("zero"), new byte[0]);
+        RecordFiles read = RecordFiles.read(folder);
+        assertEquals(1, read.entries().size());
+        assertEquals(2, read.errors().size());
+        String message = read.errors().get(0).message();
+        assertTrue(message.contains("notes.txt: no record file"), message);
+    }
+}
--- a/src/test/java/petrelplank/record/StoredRecordsTest.java
+++ b/src/test/java/petrelplank/record/StoredRecordsTest.java
@@ -6,42 +6,35 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Record files outlive the Java names of the version that wrote them. */
+/** Record files outlive the Java names of the version that wrote them: the committed file is of an earlier version. */
 class StoredRecordsTest {
     private static final Path STORED = Path.of("src/test/resources/records/every-event");
-    private static final long FROM = 1_764_576_000_000_000L;
+    private static final long START_US = 1_764_576_000_000_000L;
 
     @TempDir
     Path folder;
 
     private static Path onlyFile(Path directory) throws IOException {
-        try (Stream<Path> files = Files.list(directory)) {
-            List<Path> all = files.toList();
-            assertEquals(1, all.size());
-            return all.get(0);
-        }
+        List<Path> files = RecordFiles.list(directory);
+        assertEquals(1, files.size());
+        return files.get(0);
     }
 
-    /** The file was written before any Java name was parted from its stored name. */
     @Test
-    void fileOfAnEarlierVersionHoldsEveryEvent() throws IOException {
-        List<Entry> read = new ArrayList<>();
-        RecordReader reader = new RecordReader();
-        reader.read(List.of(STORED), read::add);
-        assertEquals(List.of(), reader.errors());
-        assertEquals(SampleEvents.EVENTS, read.stream().map(Entry::event).toList());
+    void fileOfAnEarlierVersionIsReadCompletely() throws IOException {
+        RecordFiles read = RecordFiles.read(STORED);
+        assertEquals(List.of(), read.errors());
+        assertEquals(SampleEvents.EVENTS, read.events());
     }
 
     @Test
-    void sameEventsAreWrittenAsTheSameBytes() throws IOException {
+    void eventsAreWrittenAsTheBytesOfTheEarlierVersion() throws IOException {
         DirectSink sink = new DirectSink(RecordSettings.in(folder), "front-1", 42);
-        SampleEvents.EVENTS.forEach(event -> sink.record(FROM, event));
+        SampleEvents.EVENTS.forEach(event -> sink.record(START_US, event));
         sink.close();
         assertArrayEquals(Files.readAllBytes(onlyFile(STORED)), Files.readAllBytes(onlyFile(folder)));
     }
--- a/src/test/java/petrelplank/record/TraceLinesTest.java
+++ b/src/test/java/petrelplank/record/TraceLinesTest.java
@@ -12,41 +12,38 @@
 import petrelplank.routing.EndpointState;
 
 class TraceLinesTest {
-    private static void entry(TraceLines lines, long unixUs, Event event) {
+    private static final Event.AttemptEnded ATTEMPT_ENDED = new Event.AttemptEnded(
+            0xab,
+            0,
+            "pages",
+            "s-1",
+            null,
+            0xcd,
+            7,
+            AttemptStatus.OK,
+            CacheStatus.HIT,
+            49_990,
+            0,
+            900,
+            512,
+            List.of(1.5));
+    private static final Event.EndpointsChanged ENDPOINTS_CHANGED = new Event.EndpointsChanged(
+            3, false, List.of(new ListedEndpoint("s-1", "edge", "box", EndpointState.DRAINING, 5, 0)));
+
+    private static void append(TraceLines lines, long unixUs, Event event) {
         lines.append(new Entry("f", 0, 0, unixUs, event));
     }
 
     @Test
-    void eachEventIsALineOfFieldsAndNothingIsKeptBack() {
+    void eventIsALineOfFieldsAndClosingFlushes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         TraceLines lines = new TraceLines(new PrintStream(bytes, false, StandardCharsets.UTF_8));
-        entry(lines, 1_000_000, new Event.RequestAdmitted(0xab, "pages", 0xcd, 7));
-        entry(lines, 1_000_010, new Event.AttemptSent(0xab, 0, "pages", "s-1", null, 0xcd, 7));
-        entry(
-                lines,
-                1_050_000,
-                new Event.AttemptEnded(
-                        0xab,
-                        0,
-                        "pages",
-                        "s-1",
-                        null,
-                        0xcd,
-                        7,
-                        AttemptStatus.OK,
-                        CacheStatus.HIT,
-                        49_990,
-                        0,
-                        900,
-                        512,
-                        List.of(1.5)));
-        entry(
-                lines,
-                1_060_000,
-                new Event.EndpointsChanged(
-                        3, false, List.of(new ListedEndpoint("s-1", "edge", "box", EndpointState.DRAINING, 5, 0))));
-        entry(lines, 1_070_000, new Event.ProxyStopped());
-        entry(lines, 1_080_000, new Event.EventsLost(3));
+        append(lines, 1_000_000, new Event.RequestAdmitted(0xab, "pages", 0xcd, 7));
+        append(lines, 1_000_010, new Event.AttemptSent(0xab, 0, "pages", "s-1", null, 0xcd, 7));
+        append(lines, 1_050_000, ATTEMPT_ENDED);
+        append(lines, 1_060_000, ENDPOINTS_CHANGED);
+        append(lines, 1_070_000, new Event.ProxyStopped());
+        append(lines, 1_080_000, new Event.EventsLost(3));
         lines.close();
         assertEquals("""
             @1000000\ttaken\tab\tpages\tcd\t7
