--- a/src/main/java/petrelplank/yaml/Yaml.java
+++ b/src/main/java/petrelplank/yaml/Yaml.java
@@ -1,7 +1,6 @@
 package petrelplank.yaml;
 
 import com.fasterxml.jackson.core.JsonLocation;
-import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadFeature;
@@ -18,74 +17,48 @@
 import java.util.Map;
 
 /**
- * Reads a YAML file into a tree that knows the place of each value. Scalars stay text until a {@link Section} reads
- * them by type. No anchors or aliases, since a short file could grow without end; no key twice; a bound on bytes and
- * depth.
+ * Parses a YAML file into nodes that know their positions. Scalars stay text until a {@link Section} reads them by
+ * type. Duplicate keys are errors; size and depth are bounded; anchors and aliases are not allowed, since a short file
+ * could expand without bound.
  */
 public final class Yaml {
-    /** Longer files are refused before they are read. */
-    static final int LONGEST = 1 << 20;
+    /** Longer files are rejected before they are read. */
+    static final int MAX_BYTES = 1 << 20;
 
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
     private static final YAMLFactory YAML = YAMLFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
     private final String file;
+    private final YAMLParser parser;
 
-    private Yaml(String file) {
+    private Yaml(String file, YAMLParser parser) {
         this.file = file;
-    }
-
-    /**
-     * A value and its place: exactly one of scalar, mapping and list is set.
-     *
-     * @param file the file's name
-     * @param line from 1
-     * @param column from 1
-     * @param keyLine the line of its key
-     * @param keyColumn the column of its key
-     * @param scalar text of a scalar
-     * @param mapping values by key, in the file's order
-     * @param list values
-     */
-    record Node(
-            String file,
-            int line,
-            int column,
-            int keyLine,
-            int keyColumn,
-            String scalar,
-            Map<String, Node> mapping,
-            List<Node> list) {
-        YamlException wrong(String what) {
-            return new YamlException(file + ":" + line + ":" + column + ": " + what);
-        }
-
-        YamlException keyWrong(String what) {
-            return new YamlException(file + ":" + keyLine + ":" + keyColumn + ": " + what);
-        }
+        this.parser = parser;
     }
 
     /**
      * Reads a file.
      *
      * @param path the file
-     * @return its mapping; YamlException tells what is wrong
+     * @return its top-level mapping
      * @throws IOException where it can't be read
+     * @throws YamlException where it is not valid
      */
     public static Section read(Path path) throws IOException {
-        if (Files.size(path) > LONGEST) {
-            throw new YamlException(path + ": longer than " + LONGEST + " bytes");
+        if (Files.size(path) > MAX_BYTES) {
+            throw new YamlException(path + ": longer than " + MAX_BYTES + " bytes");
         }
         return read(path.toString(), Files.readString(path, StandardCharsets.UTF_8));
     }
 
     /**
-     * Reads a resource of the program.
+     * Reads a class path resource.
      *
      * @param name the resource
-     * @return its mapping
+     * @return its top-level mapping
+     * @throws YamlException where it is not valid
      */
     public static Section resource(String name) {
         try (InputStream in = Yaml.class.getResourceAsStream(name)) {
@@ -99,62 +72,73 @@
     /**
      * Reads text.
      *
-     * @param file the name that mistakes are told under
+     * @param file the file's name in error messages
      * @param text the text
-     * @return its mapping; YamlException tells what is wrong
+     * @return its top-level mapping
+     * @throws YamlException where it is not valid
      */
     public static Section read(String file, String text) {
-        try (YAMLParser in = YAML.createParser(text)) {
-            if (in.nextToken() == null) {
-                throw new YamlException(file + ":1:1: the file is empty");
-            }
-            Node root = new Yaml(file).node(in, in.currentTokenLocation(), 0);
-            if (in.nextToken() != null) {
-                throw new YamlException(place(file, in.currentTokenLocation()) + ": a second document");
-            }
-            return new Section(root, "");
+        try (YAMLParser parser = YAML.createParser(text)) {
+            return new Section(new Yaml(file, parser).document(), "");
         } catch (JsonProcessingException e) {
-            JsonLocation at = e.getLocation();
-            throw new YamlException((at == null ? file + ":1:1" : place(file, at)) + ": "
-                    + e.getOriginalMessage().lines().findFirst().orElse("not YAML"));
+            JsonLocation location = e.getLocation();
+            Position position = location == null ? Position.startOf(file) : Position.of(file, location);
+            throw position.error(e.getOriginalMessage().lines().findFirst().orElse("not YAML"));
         } catch (IOException e) {
-            throw new YamlException(file + ":1:1: " + e.getMessage());
+            throw Position.startOf(file).error(e.getMessage());
+        }
+    }
+
+    private YamlNode document() throws IOException {
+        if (parser.nextToken() == null) {
+            throw Position.startOf(file).error("the file is empty");
+        }
+        YamlNode root = node(position(), 0);
+        if (parser.nextToken() != null) {
+            throw position().error("a second document");
         }
+        return root;
     }
 
-    private static String place(String file, JsonLocation at) {
-        return file + ":" + at.getLineNr() + ":" + at.getColumnNr();
+    private Position position() {
+        return Position.of(file, parser.currentTokenLocation());
     }
 
-    private Node node(YAMLParser in, JsonLocation key, int depth) throws IOException {
-        JsonLocation at = in.currentTokenLocation();
-        if (depth > DEEPEST) {
-            throw new YamlException(place(file, at) + ": nested deeper than " + DEEPEST);
+    /** The value that begins with the parser's current token. */
+    private YamlNode node(Position key, int depth) throws IOException {
+        Position position = position();
+        if (depth > MAX_DEPTH) {
+            throw position.error("nested deeper than " + MAX_DEPTH);
         }
-        if (in.isCurrentAlias() || in.getObjectId() != null) {
-            throw new YamlException(place(file, at) + ": anchors and aliases are not allowed");
+        if (parser.isCurrentAlias() || parser.getObjectId() != null) {
+            throw position.error("anchors and aliases are not allowed");
         }
-        JsonToken token = in.currentToken();
-        String scalar = null;
-        Map<String, Node> mapping = null;
-        List<Node> list = null;
+        JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
-            mapping = new LinkedHashMap<>();
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                JsonLocation keyAt = in.currentTokenLocation();
-                in.nextToken();
-                mapping.put(name, node(in, keyAt, depth + 1));
-            }
+            return new YamlNode.Mapping(position, key, values(depth));
         } else if (token == JsonToken.START_ARRAY) {
-            list = new ArrayList<>();
-            while (in.nextToken() != JsonToken.END_ARRAY) {
-                list.add(node(in, in.currentTokenLocation(), depth + 1));
-            }
-        } else {
-            scalar = token == JsonToken.VALUE_NULL ? "" : ((JsonParser) in).getText();
+            return new YamlNode.Sequence(position, key, elements(depth));
+        }
+        String text = token == JsonToken.VALUE_NULL ? "" : parser.getText();
+        return new YamlNode.Scalar(position, key, text);
+    }
+
+    private Map<String, YamlNode> values(int depth) throws IOException {
+        Map<String, YamlNode> values = new LinkedHashMap<>();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            Position key = position();
+            parser.nextToken();
+            values.put(name, node(key, depth + 1));
+        }
+        return values;
+    }
+
+    private List<YamlNode> elements(int depth) throws IOException {
+        List<YamlNode> elements = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            elements.add(node(position(), depth + 1));
         }
-        return new Node(
-                file, at.getLineNr(), at.getColumnNr(), key.getLineNr(), key.getColumnNr(), scalar, mapping, list);
+        return elements;
     }
 }
--- a/src/main/java/petrelplank/yaml/YamlException.java
+++ b/src/main/java/petrelplank/yaml/YamlException.java
@@ -1,6 +1,6 @@
 package petrelplank.yaml;
 
-/** A YAML file that can't be used; the message names file, line, column and rule. */
+/** An unusable YAML file; the message names file, line, column and the rule that is broken. */
 public final class YamlException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/test/java/petrelplank/yaml/YamlTest.java
+++ b/src/test/java/petrelplank/yaml/YamlTest.java
@@ -14,7 +14,7 @@
 import petrelplank.record.OperatorRecords;
 import petrelplank.record.RecordSettings;
 
-/** Every mistake is told with file, line, column and rule. */
+/** Every error names file, line, column and rule. */
 class YamlTest {
     private static RecordSettings operator(String text) {
         Section file = Yaml.read("operator.yaml", text.replace("|", "\n"));
@@ -24,12 +24,12 @@
     }
 
     @Test
-    void whatIsNotSetHasItsDefaultAndWhatIsSetItsUnit() {
-        RecordSettings s = operator("records:|  on: true|  directory: here|  file-size: 1MiB|  flush: 1.5s");
-        assertEquals(Path.of("here"), s.directory());
-        assertEquals(1 << 20, s.fileBytes());
-        assertEquals(1_500_000, s.flushUs());
-        assertEquals(16_384, s.queued());
+    void absentKeysHaveDefaultsAndValuesTheirUnits() {
+        RecordSettings settings = operator("records:|  on: true|  directory: here|  file-size: 1MiB|  flush: 1.5s");
+        assertEquals(Path.of("here"), settings.directory());
+        assertEquals(1 << 20, settings.fileBytes());
+        assertEquals(1_500_000, settings.flushUs());
+        assertEquals(16_384, settings.queued());
         assertEquals(null, operator("records:|  on: false"));
     }
 
@@ -55,20 +55,20 @@
                 "records: &a|  on: true;operator.yaml:1:10: anchors and aliases are not allowed",
                 "a: 1|---|b: 2;operator.yaml:3:1: a second document",
             })
-    void mistakeIsToldWithItsPlaceAndRule(String text, String told) {
+    void errorNamesItsPositionAndRule(String text, String message) {
         assertEquals(
-                told, assertThrows(YamlException.class, () -> operator(text)).getMessage());
+                message, assertThrows(YamlException.class, () -> operator(text)).getMessage());
     }
 
     @Test
-    void whatIsNoYamlOrTooLongOrTooDeepIsRefused(@TempDir Path folder) throws IOException {
+    void invalidOrTooLongOrTooDeepYamlIsRejected(@TempDir Path folder) throws IOException {
         for (String bad : new String[] {"", "a: 1\na: 2", "a: [1", "\ta: 1", "a: &x [*x]", "a: *x", "[".repeat(60)}) {
-            String told = assertThrows(YamlException.class, () -> Yaml.read("f.yaml", bad), bad)
+            String message = assertThrows(YamlException.class, () -> Yaml.read("f.yaml", bad), bad)
                     .getMessage();
-            assertTrue(told.matches("f\\.yaml:[0-9]+:[0-9]+: .+"), told);
+            assertTrue(message.matches("f\\.yaml:[0-9]+:[0-9]+: .+"), message);
         }
         Path large = folder.resolve("large.yaml");
-        Files.writeString(large, "a: " + "x".repeat(Yaml.LONGEST));
+        Files.writeString(large, "a: " + "x".repeat(Yaml.MAX_BYTES));
         assertTrue(assertThrows(YamlException.class, () -> Yaml.read(large))
                 .getMessage()
                 .contains("longer than"));
