--- a/src/main/java/petrelplank/cli/RecordSinks.java
+++ b/src/main/java/petrelplank/cli/RecordSinks.java
@@ -10,14 +10,24 @@
 import petrelplank.yaml.Section;
 import petrelplank.yaml.Yaml;
 
-/** Turns records on where the operator's file says so. Apart from {@link ServeCommand}, so that nothing of it is loaded. */
+/**
+ * Turns records on where the operator's file says so. Apart from {@link ServeCommand}, so that a proxy without records
+ * does not load the classes for them.
+ */
 final class RecordSinks {
     private RecordSinks() {}
 
-    static EventSink sink(File operator, String name) throws IOException {
+    /**
+     * Starts the sink of a proxy.
+     *
+     * @param operator the operator's file
+     * @param proxy the proxy's name
+     * @return the sink; null where records are off
+     */
+    static EventSink sink(File operator, String proxy) throws IOException {
         Section file = Yaml.read(operator.toPath());
         RecordSettings settings = OperatorRecords.read(file.section("records"));
         file.done();
-        return settings == null ? null : new FileSink(settings, name, new SecureRandom().nextLong());
+        return settings == null ? null : new FileSink(settings, proxy, new SecureRandom().nextLong());
     }
 }
--- a/src/main/java/petrelplank/record/EventSink.java
+++ b/src/main/java/petrelplank/record/EventSink.java
@@ -3,22 +3,22 @@
 /** Takes events, from the event thread; never waits. */
 public interface EventSink {
     /**
-     * Writes an event down.
+     * Records an event.
      *
-     * @param unixUs when
-     * @param event what
+     * @param unixUs when it happened
+     * @param event the event
      */
     void record(long unixUs, Event event);
 
     /**
-     * The memory that the process uses, for {@link Event.Heartbeat}.
+     * The heap that the process uses, for {@link Event.Heartbeat}.
      *
-     * @return bytes; 0 where it is another's to know, as of an emulated front
+     * @return bytes; 0 where the heap is not the proxy's own, as of an emulated proxy
      */
     default long heapBytes() {
         return 0;
     }
 
-    /** Ends it: what was taken is written, within a bounded time. */
+    /** Writes the events recorded so far, within a bounded time, and ends the sink. */
     default void close() {}
 }
--- a/src/test/java/petrelplank/cli/ReplayTest.java
+++ b/src/test/java/petrelplank/cli/ReplayTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The same seed gives the same bytes in another process: the truth of the emulator and the report's JSON. Within one
- * process the order of a {@code Map.of} is fixed, so only two processes show it.
+ * The same seed gives the same bytes in another process: the emulator's ground truth and the report's JSON. Within one
+ * process the order of a {@code Map.of} is fixed, so only two processes can show a difference.
  */
 class ReplayTest {
     private static void run(Path folder, String... arguments) throws IOException, InterruptedException {
@@ -24,15 +24,15 @@
                 System.getProperty("java.class.path"),
                 Main.class.getName()));
         command.addAll(List.of(arguments));
-        Process p = new ProcessBuilder(command)
+        Process process = new ProcessBuilder(command)
                 .directory(folder.toFile())
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log").toFile())
                 .start();
-        if (!p.waitFor(120, TimeUnit.SECONDS)) {
-            p.destroyForcibly();
+        if (!process.waitFor(120, TimeUnit.SECONDS)) {
+            process.destroyForcibly();
         }
-        assertEquals(0, p.exitValue(), () -> arguments[0] + " failed: " + read(folder.resolve("log")));
+        assertEquals(0, process.exitValue(), () -> arguments[0] + " failed: " + read(folder.resolve("log")));
     }
 
     private static String read(Path file) {
@@ -45,16 +45,16 @@
 
     @Test
     void theSameSeedGivesTheSameBytesInTwoProcesses(@TempDir Path folder) throws IOException, InterruptedException {
-        byte[][] truth = new byte[2][];
+        byte[][] groundTruth = new byte[2][];
         byte[][] report = new byte[2][];
         for (int i = 0; i < 2; i++) {
             Path run = Files.createDirectory(folder.resolve("run" + i));
             run(run, "emulate", "--seed", "901", "--truth", "truth.json", "--records", "records");
             run(run, "report", "records", "--json", "report.json");
-            truth[i] = Files.readAllBytes(run.resolve("truth.json"));
+            groundTruth[i] = Files.readAllBytes(run.resolve("truth.json"));
             report[i] = Files.readAllBytes(run.resolve("report.json"));
         }
-        assertArrayEquals(truth[0], truth[1], "truth");
+        assertArrayEquals(groundTruth[0], groundTruth[1], "ground truth");
         assertArrayEquals(report[0], report[1], "report");
     }
 }
