--- a/src/main/java/petrelplank/cli/RecordSinks.java
+++ b/src/main/java/petrelplank/cli/RecordSinks.java
@@ -21,13 +21,13 @@
      * Starts the sink of a proxy.
      *
      * @param operator the operator's file
-     * @param proxy the proxy's name
-     * @return the sink; null where records are off
+     * @param name the proxy's name
+     * @return the sink that the file asks for
      */
-    static EventSink sink(File operator, String proxy) throws IOException {
+    static EventSink sink(File operator, String name) throws IOException {
         Section file = Yaml.read(operator.toPath());
         RecordSettings settings = OperatorRecords.read(file.section("records"));
         file.done();
-        return settings == null ? null : new FileSink(settings, proxy, new SecureRandom().nextLong());
+        return settings == null ? null : new FileSink(settings, name, new SecureRandom().nextLong());
     }
 }
