--- a/src/main/java/petrelplank/cli/RecordSinks.java
+++ b/src/main/java/petrelplank/cli/RecordSinks.java
@@ -10,10 +10,20 @@
 import petrelplank.yaml.Section;
 import petrelplank.yaml.Yaml;
 
-/** Turns records on where the operator's file says so. Apart from {@link ServeCommand}, so that nothing of it is loaded. */
+/**
+ * Turns records on where the operator's file says so. Apart from {@link ServeCommand}, so that a proxy without records
+ * does not load the classes for them.
+ */
 final class RecordSinks {
     private RecordSinks() {}
 
+    /**
+     * Starts the sink of a proxy.
+     *
+     * @param operator the operator's file
+     * @param name the proxy's name
+     * @return the sink that the file asks for
+     */
     static EventSink sink(File operator, String name) throws IOException {
         Section file = Yaml.read(operator.toPath());
         RecordSettings settings = OperatorRecords.read(file.section("records"));
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -17,6 +17,7 @@
 import petrelplank.analysis.FleetSnapshot;
 import petrelplank.analysis.IncidentTimeline;
 import petrelplank.analysis.RecordAggregator;
+import petrelplank.record.ReadError;
 import petrelplank.record.RecordReader;
 import petrelplank.report.Page;
 import petrelplank.report.Summary;
@@ -52,7 +53,7 @@
             }
         }
         reader.read(paths, fold::add);
-        reader.troubles().forEach(t -> System.err.println("petrelplank: " + t));
+        reader.errors().stream().map(ReadError::message).toList().forEach(t -> System.err.println("petrelplank: " + t));
         if (fold.entries() == 0) {
             return unusable("no records in " + String.join(", ", places)
                     + "; a front writes them where its operator's file turns them on, and emulate with --records DIR");
@@ -62,7 +63,8 @@
         if (json != null) {
             Map<String, Object> tree = course.tree();
             tree.put("findings", findings.stream().map(Finding::tree).toList());
-            tree.put("troubles", reader.troubles());
+            tree.put(
+                    "troubles", reader.errors().stream().map(ReadError::message).toList());
             long worst = FleetSnapshot.worstUs(course);
             tree.put("worstUs", worst);
             Map<String, Object> fleet = new LinkedHashMap<>();
@@ -71,9 +73,16 @@
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(json, tree);
         }
         if (out != null) {
-            Files.writeString(out.toPath(), Page.of(course, findings, reader.troubles()));
+            Files.writeString(
+                    out.toPath(),
+                    Page.of(
+                            course,
+                            findings,
+                            reader.errors().stream().map(ReadError::message).toList()));
         }
         System.out.print(Summary.of(course, findings));
-        return reader.troubles().isEmpty() ? ExitStatus.SUCCESS : ExitStatus.INCOMPLETE_RECORDS;
+        return reader.errors().stream().map(ReadError::message).toList().isEmpty()
+                ? ExitStatus.SUCCESS
+                : ExitStatus.INCOMPLETE_RECORDS;
     }
 }
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -6,6 +6,9 @@
 import java.util.stream.Collectors;
 import petrelplank.record.Event;
 import petrelplank.record.EventSink;
+import petrelplank.record.ListedEndpoint;
+import petrelplank.record.ResponseKind;
+import petrelplank.record.ServiceClassInfo;
 import petrelplank.routing.CacheStatus;
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.RouterSettings;
@@ -37,7 +40,7 @@
                 settings.zone(),
                 settings.zones(),
                 settings.classes().stream()
-                        .map(type -> new Event.ClassInfo(
+                        .map(type -> new ServiceClassInfo(
                                 type.name(),
                                 type.priorityWeight(),
                                 type.deadlineUs(),
@@ -68,13 +71,13 @@
         record(new Event.RequestRejected(request.id(), knownClass, recorded(kind)));
     }
 
-    private static Event.ResponseKind recorded(ClientResponse.Kind kind) {
+    private static ResponseKind recorded(ClientResponse.Kind kind) {
         return switch (kind) {
-            case SERVED -> Event.ResponseKind.SERVED;
-            case NOT_MODIFIED -> Event.ResponseKind.NOT_MODIFIED;
-            case REJECTED -> Event.ResponseKind.REJECTED;
-            case FAILED -> Event.ResponseKind.FAILED;
-            case BAD_REQUEST -> Event.ResponseKind.BAD_REQUEST;
+            case SERVED -> ResponseKind.SERVED;
+            case NOT_MODIFIED -> ResponseKind.NOT_MODIFIED;
+            case REJECTED -> ResponseKind.REJECTED;
+            case FAILED -> ResponseKind.FAILED;
+            case BAD_REQUEST -> ResponseKind.BAD_REQUEST;
         };
     }
 
@@ -185,8 +188,8 @@
         }
     }
 
-    private static Event.ListedEndpoint listed(EndpointInfo endpoint) {
-        return new Event.ListedEndpoint(
+    private static ListedEndpoint listed(EndpointInfo endpoint) {
+        return new ListedEndpoint(
                 endpoint.id(),
                 endpoint.zone(),
                 endpoint.kind(),
