--- a/src/main/java/petrelplank/routing/Endpoint.java
+++ b/src/main/java/petrelplank/routing/Endpoint.java
@@ -62,4 +62,9 @@
         this.q = new double[groups];
         this.heard = new boolean[groups];
     }
+
+    /** Whether its last load report tells of room for more. */
+    boolean hasReportedRoom() {
+        return inHand >= 0 && inHand < RequestRouter.BUSY * weight;
+    }
 }
--- a/src/main/java/petrelplank/routing/RequestRouter.java
+++ b/src/main/java/petrelplank/routing/RequestRouter.java
@@ -24,14 +24,11 @@
     private static final double EXPLORE = 0.02; // share of fills that try any ready parent anew
     private static final double TIE = LOAD_CAP / 5; // Q values this close tie: the noise of a few fills
     private static final double HOT = 0.15; // an object takes a cache more whenever share x caches passes it
-    private static final int COUNT_CELLS = 1 << 13; // of the counts, and most seen holders: bounds memory
     private static final int FAILURES = 3; // in a row eject a server; one failed connect if not heard lately
     private static final int ERRORS = 3; // from so many servers: the request's own, they are pardoned
     private static final double FIRST_PAUSE = 2; // of an ejected server, in connect time-outs
     private static final double PAUSE_CAP = 16; // to which it doubles with each failed trial
     private static final double COLD_MARGIN = 0.45; // of the cold rule, as burst and as rate: under a half
-    private static final double RETRY_EARN = 0.2; // retries earned by each request
-    private static final double RETRY_CAP = 20; // the most saved up
     private static final double LIMIT_START = 32; // out at once, over the gateways of a location
     private static final double LIMIT_LEAST = 4;
     private static final double LIMIT_SHRINK = 0.9; // steps that keep 1 in 20 or so late
@@ -47,7 +44,7 @@
     private static final double QUEUED = 0.5; // part of the aim: calls that wait longer tell of a queue
     private static final double LINK_ROOM = 0.5; // link in use below which late fills are not the link's
     /** Requests in hand per unit of weight, and link use, above which a late answer is taken for overload. */
-    private static final double BUSY = 1.5;
+    static final double BUSY = 1.5;
 
     private static final double USED = 0.9; // the same for the share used, which hides what waits
     private static final double SMOOTH = 0.05; // weight of a new sample in running means
@@ -88,18 +85,15 @@
     private final Actions actions;
     private final SplittableRandom random;
     private final Map<String, Integer> classIndex = new HashMap<>();
-    private final double[] classWorkUs;
+    private final TransferTimeEstimator transferTimes;
     private final Map<String, Endpoint> nodes = new LinkedHashMap<>();
     private final List<Endpoint> edges = new ArrayList<>();
     private final List<Endpoint> parents = new ArrayList<>();
     private Endpoint origin;
     private final Map<String, RequestState> live = new HashMap<>();
-    private final float[] counts = new float[COUNT_CELLS];
-    private double countTotal;
-    private long countsHalvedUs;
-    private final Map<Long, Endpoint> holders = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<Long, Long> purges = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<Long, Long> groupPurges = new LinkedHashMap<>(16, 0.75f, true);
+    private final ObjectPopularity popularity;
+    private final CopyLocations copies = new CopyLocations();
+    private final PurgeLog purges;
     private final Map<Long, RequestState> waiting = new HashMap<>();
     private long timers;
     /** Places in a load report: requests in hand, else the share used, and the link's use; -1: not told. */
@@ -123,12 +117,11 @@
     private long shareAtUs;
     private double edgeRate;
     private double parentRate;
-    private double retryTokens = RETRY_CAP;
-    private final Map<String, Tenant> tenants = new HashMap<>();
-    private final Map<String, DecayingRate> tenantRates = new HashMap<>();
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final TenantQuotas quotas;
+    private final RateLimitedLog log;
     private long beganUs = Long.MAX_VALUE;
     private double quickestUs = Double.MAX_VALUE;
-    private long loggedUs = Long.MIN_VALUE / 2;
 
     /** A router for one gateway; what is missing is named. */
     public RequestRouter(RouterSettings settings, long seed, Actions actions) {
@@ -137,7 +130,7 @@
         this.rules = settings.rules();
         this.notesTold = settings.cacheStatusDetail() == CacheStatusDetail.ALL;
         this.random = new SplittableRandom(seed);
-        this.classWorkUs = new double[settings.classes().size()];
+        this.transferTimes = new TransferTimeEstimator(settings.classes(), settings.flowKbPerSecond());
         int at = settings.zones().indexOf(settings.zone());
         this.sharers = settings.zoneGatewayCount();
         this.fills = new Limit(sharers);
@@ -149,15 +142,17 @@
         this.link = at < settings.zoneLinkKbPerSecond().size() && settings.flowKbPerSecond() > 0
                 ? settings.zoneLinkKbPerSecond().get(at) / settings.flowKbPerSecond()
                 : 0;
-        settings.tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
         long longest = 0;
-        for (int i = 0; i < classWorkUs.length; i++) {
-            ServiceClass type = settings.classes().get(i);
-            classIndex.put(type.name(), i);
-            classWorkUs[i] = type.latencyObjectiveUs() / 4.0;
-            longest = Math.max(longest, type.deadlineUs());
+        for (int i = 0; i < settings.classes().size(); i++) {
+            ServiceClass serviceClass = settings.classes().get(i);
+            classIndex.put(serviceClass.name(), i);
+            longest = Math.max(longest, serviceClass.deadlineUs());
         }
         this.windowUs = longest;
+        this.popularity = new ObjectPopularity(2 * windowUs);
+        this.purges = new PurgeLog(rules.purgeDoneUs());
+        this.quotas = new TenantQuotas(settings, windowUs);
+        this.log = new RateLimitedLog(actions, windowUs / 10);
         if (settings.watchEndpoints()) {
             actions.watchEndpoints();
         }
@@ -173,7 +168,7 @@
             Endpoint n = nodes.computeIfAbsent(m.id(), id -> new Endpoint(id, new Limit(sharers), GROUPS));
             if (m.startedUs() != n.startedUs) {
                 n.startedUs = m.startedUs();
-                holders.values().removeIf(n::equals);
+                copies.forgetCache(n);
                 n.tokensAtUs = 0;
                 n.failures = 0;
                 n.ejected = false;
@@ -187,7 +182,7 @@
             n.role = role(m);
         }
         nodes.values().removeIf(n -> n.state == EndpointState.REMOVED);
-        holders.values().removeIf(n -> n.state == EndpointState.REMOVED);
+        copies.forgetRemovedCaches();
         edges.clear();
         parents.clear();
         origin = null;
@@ -251,7 +246,7 @@
             n.pauseUs = (long) (n.ejected ? Math.min(2 * n.pauseUs, PAUSE_CAP * first / FIRST_PAUSE) : first);
             n.trialAtUs = now + n.pauseUs;
             actions.ejected(n.id, n.ejected, n.pauseUs);
-            log(now, (n.ejected ? "trial failed: " : "ejected: ") + n.id + ", ms " + n.pauseUs / 1000);
+            log.log(now, (n.ejected ? "trial failed: " : "ejected: ") + n.id + ", ms " + n.pauseUs / 1000);
             n.ejected = true;
         }
     }
@@ -268,7 +263,7 @@
         if (n.ejected) {
             n.ejected = false;
             actions.recovered(n.id);
-            log(now, "returned: " + n.id);
+            log.log(now, "returned: " + n.id);
         }
     }
 
@@ -300,14 +295,14 @@
         }
         usable.sort(Comparator.comparingDouble(n -> n.score));
         r.crowded = false;
-        int width = Math.min(3, 1 + (int) (heat(r.key) * usable.size() / HOT));
+        int width = Math.min(3, 1 + (int) (popularity.share(r.key) * usable.size() / HOT));
         Endpoint best = null;
         for (int i = 0; i < usable.size() && (i < width || best == null); i++) {
             Endpoint node = usable.get(i);
             if (i >= width && r.crowded && (node.inHand < 0 || node.inHand > node.weight)) {
                 continue;
             }
-            if (!affords(node, classWorkUs[r.typeIndex], now)) {
+            if (!affords(node, transferTimes.classMeanUs(r.classIndex), now)) {
                 continue;
             }
             boolean free = node.limit.free(r) || hasRoom(node);
@@ -330,28 +325,6 @@
         return fills.free(r) || linkUse >= 0 && linkUse < 1;
     }
 
-    /** Counts a request for an object, ageing all counts by half every so often. */
-    private void count(long now, long key) {
-        if (now - countsHalvedUs > 2 * windowUs) {
-            for (int i = 0; i < counts.length; i++) {
-                counts[i] /= 2;
-            }
-            countTotal /= 2;
-            countsHalvedUs = now;
-        }
-        counts[cell(key)]++;
-        countTotal++;
-    }
-
-    private static int cell(long key) {
-        return (int) (key >>> 20) & (COUNT_CELLS - 1);
-    }
-
-    /** The object's share of the requests seen lately; none until there is enough to tell. */
-    private double heat(long key) {
-        return counts[cell(key)] < 4 ? 0 : counts[cell(key)] / countTotal;
-    }
-
     /**
      * The ready parent with the group's highest Q, or any, at a small exploring share; the origin only where
      * none is ready or all are below zero. Ties go to the nearest hub, then by rendezvous hash.
@@ -360,7 +333,7 @@
         int group = (int) Long.remainderUnsigned(Hash.mix(r.request.object()), GROUPS);
         List<Endpoint> usable = usable(parents, r, now);
         usable.removeIf(n -> Hash.unit(Hash.mix(r.request.object() + n.hash)) > ramp(n, now));
-        usable.removeIf(n -> !affords(n, r.workUs, now));
+        usable.removeIf(n -> !affords(n, r.transferUs, now));
         boolean free = origin != null && !r.onlyIfCached && ready(origin, now) && !r.failed.contains(origin);
         double mean = meanQ(usable, group);
         double top = usable.stream().mapToDouble(n -> q(n, group, mean)).max().orElse(-SERVED);
@@ -409,16 +382,16 @@
             if (o.cacheStatus() == CacheStatus.FILLED
                     || o.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN
                     || settings.cacheStatusDetail() == CacheStatusDetail.NONE && o.cacheStatus() == CacheStatus.NONE) {
-                double wait = o.sourceWaitUs() > 0 ? o.sourceWaitUs() : Math.max(0, o.latencyUs() - r.workUs);
+                double wait = o.sourceWaitUs() > 0 ? o.sourceWaitUs() : Math.max(0, o.latencyUs() - r.transferUs);
                 t.source.heardUs = now;
-                learn(t.source, r, SERVED - LOAD_CAP * Math.min(1, wait / r.type.latencyObjectiveUs()));
+                learn(t.source, r, SERVED - LOAD_CAP * Math.min(1, wait / r.serviceClass.latencyObjectiveUs()));
                 if (t.source.role != Role.PARENT) {
                     return;
                 }
-                filled.add(now, r.workUs, windowUs);
+                filled.add(now, r.transferUs, windowUs);
                 if (r.request.sizeKb() + o.sizeKb() <= 0
                         || o.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN
-                        || !slow(t.source, stretch(r, o), r.workUs)) {
+                        || !slow(t.source, stretch(r, o), r.transferUs)) {
                     worked(t.source, now);
                 } else if (!t.source.ejected || t.trial) {
                     failed(t.source, now, true, t.trial);
@@ -452,7 +425,7 @@
 
     /** How much longer than at a client's pace the bytes took to come. */
     private static double stretch(RequestState r, AttemptOutcome o) {
-        return (o.latencyUs() - o.sourceWaitUs()) / r.workUs;
+        return (o.latencyUs() - o.sourceWaitUs()) / r.transferUs;
     }
 
     /** Whether the source failed; without notes, what came back too fast to have asked it is the cache's. */
@@ -523,48 +496,22 @@
     private void measure(long now) {
         edgeRate = edges.stream()
                 .filter(n -> ramp(n, now) >= 1)
-                .mapToDouble(n -> n.sent.add(now, 0, windowUs))
+                .mapToDouble(n -> n.sent.read(now, windowUs))
                 .average()
                 .orElse(edgeRate);
         if (!parents.isEmpty()) {
-            parentRate = Math.max(parentRate, filled.add(now, 0, windowUs) / parents.size());
+            parentRate = Math.max(parentRate, filled.read(now, windowUs) / parents.size());
         }
     }
 
     @Override
     public void objectPurged(long now, long object, long ageUs) {
-        purged(purges, object, now - ageUs);
+        purges.recordObject(object, now - ageUs);
     }
 
     @Override
     public void groupPurged(long now, int group, long ageUs) {
-        purged(groupPurges, (long) group, now - ageUs);
-    }
-
-    /** Kept past the stated time: a cache may have filled an old copy after it had dropped its own. */
-    private void purged(Map<Long, Long> table, long name, long at) {
-        table.merge(name, at, Math::max);
-        if (table.size() > COUNT_CELLS) {
-            table.remove(table.keySet().iterator().next());
-        }
-    }
-
-    /** When the object or its group was last purged; the least value where neither was. */
-    private long purgedAt(RoutingRequest r) {
-        return Math.max(
-                purges.getOrDefault(r.object(), Long.MIN_VALUE),
-                groupPurges.getOrDefault((long) r.group(), Long.MIN_VALUE));
-    }
-
-    /** Oldest copy that will do: the class's limit, less what a purge forbids; never 0 (the default). */
-    private long maxAge(RequestState r, long now) {
-        long own = r.type.freshnessUs() + (r.oldCopyWillDo ? r.type.staleIfErrorUs() : 0);
-        long purged = purgedAt(r.request);
-        if (purged == Long.MIN_VALUE) {
-            return r.type.freshnessUs() == 0 ? 0 : own;
-        }
-        long since = Math.max(1, now - purged - 1);
-        return r.type.freshnessUs() == 0 ? since : Math.min(own, since);
+        purges.recordGroup(group, now - ageUs);
     }
 
     @Override
@@ -574,32 +521,20 @@
             actions.reject(request.id(), 0);
             return;
         }
-        double work = workUs(request.sizeKb(), classWorkUs[index]);
-        classWorkUs[index] += SMOOTH * (work - classWorkUs[index]);
-        RequestState r = new RequestState(request, settings.classes().get(index), index, work, random.nextDouble());
-        r.share = Math.max(LEAST_SHARE, Math.min(1, classWorkUs[index] / work));
-        if (overAllowance(request.tenant(), now)) {
+        double transferUs = transferTimes.recordRequest(index, request.sizeKb());
+        RequestState r =
+                new RequestState(request, settings.classes().get(index), index, transferUs, random.nextDouble());
+        r.share = Math.max(LEAST_SHARE, Math.min(1, transferTimes.classMeanUs(index) / transferUs));
+        if (quotas.recordAndCheckOverQuota(request.tenant(), now)) {
             r.share *= Math.max(LEAST_SHARE, settings.overQuotaWeightFactor());
         }
         live.put(request.id(), r);
-        count(now, r.key);
+        popularity.recordRequest(now, r.key);
         measure(now);
-        retryTokens = Math.min(RETRY_CAP, retryTokens + RETRY_EARN);
+        retryBudget.earn();
         attempt(r, now);
     }
 
-    /** Whether a tenant had more here of late than this gateway's part of its allowance, chance aside. */
-    private boolean overAllowance(String name, long now) {
-        Tenant tenant = tenants.get(name);
-        if (tenant == null) {
-            return false;
-        }
-        double seen = windowUs
-                * tenantRates.computeIfAbsent(name, n -> new DecayingRate()).add(now, 1, windowUs);
-        double fair = tenant.quotaPerSecond() * windowUs / 1e6 / settings.gateways();
-        return seen > fair + Math.sqrt(fair) + 1;
-    }
-
     @Override
     public void attemptEnded(long now, AttemptOutcome o) {
         RequestState r = live.get(o.request());
@@ -613,7 +548,7 @@
         }
         r.over |= o.completed();
         report(t.node, o.load());
-        learnWork(r, t, o);
+        transferTimes.recordOutcome(r, t.node, o);
         adapt(r, t, o, now);
         if (o.status() != AttemptStatus.NOT_SENT && o.status() != AttemptStatus.CANCELLED) {
             learnFrom(r, t, o, now);
@@ -627,9 +562,9 @@
             cancelAll(r);
         } else if (r.out == 0) {
             double cost = o.status() == AttemptStatus.MISS || o.status() == AttemptStatus.CONNECT_FAILED ? 0 : 1;
-            if (retryTokens >= cost && o.status() != AttemptStatus.NOT_SENT && r.errors.size() < ERRORS) {
-                retryTokens -= cost;
-                r.oldCopyWillDo = true;
+            if (retryBudget.canAfford(cost) && o.status() != AttemptStatus.NOT_SENT && r.errors.size() < ERRORS) {
+                retryBudget.spend(cost);
+                r.staleAllowed = true;
                 attempt(r, now);
             } else {
                 giveUp(r, TerminationReason.RETRY_BUDGET_EXHAUSTED);
@@ -667,8 +602,8 @@
     /** How long silence has a usual cause; longer for what would come late anyway, or was silent before. */
     private double patienceUs(RequestState r) {
         double more = PATIENCE * Math.max(SMOOTH, delayDeviation) * aim(r);
-        double first = r.workUs + delay * aim(r) + more;
-        return r.tries.size() < 2 && first + r.workUs <= aim(r) ? first : first + more;
+        double first = r.transferUs + delay * aim(r) + more;
+        return r.tries.size() < 2 && first + r.transferUs <= aim(r) ? first : first + more;
     }
 
     /**
@@ -692,8 +627,8 @@
         r.lost = t;
         t.node.limit.out--;
         fills.out -= t.fill ? 1 : 0;
-        if (retryTokens >= 1 && again(r) && r.request.deadlineUs() - now > r.workUs) {
-            retryTokens--;
+        if (retryBudget.canAfford(1) && again(r) && r.request.deadlineUs() - now > r.transferUs) {
+            retryBudget.spend(1);
             r.silent = true;
             if (t.node.heardUs < t.sentUs) {
                 failed(t.node, now, false, t.trial);
@@ -709,7 +644,7 @@
 
     private boolean again(RequestState r) {
         return (settings.permissions().hedging() || settings.permissions().cancel())
-                && r.type.idempotency() == Idempotency.IDEMPOTENT
+                && r.serviceClass.idempotency() == Idempotency.IDEMPOTENT
                 && r.tries.size() < settings.permissions().maxAttempts();
     }
 
@@ -749,12 +684,12 @@
                 || o.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN
                 || o.cacheStatus() == CacheStatus.ORIGIN_FAILED
                 || crawls;
-        boolean behind = called && !good && (r.type.write() || !ok && !late || crawls || linkHasRoom(o, now));
+        boolean behind = called && !good && (r.serviceClass.write() || !ok && !late || crawls || linkHasRoom(o, now));
         if (r.onlyIfCached && o.status() == AttemptStatus.MISS && t.source.role == Role.PARENT && r.failed.isEmpty()) {
             r.asking = r.draw < originShare(now);
         }
-        if (called && !r.overdue && (r.asking || r.type.write() || originShare(now) >= 1)) {
-            double first = o.sourceWaitUs() > 0 ? o.sourceWaitUs() : o.latencyUs() - r.workUs;
+        if (called && !r.overdue && (r.asking || r.serviceClass.write() || originShare(now) >= 1)) {
+            double first = o.sourceWaitUs() > 0 ? o.sourceWaitUs() : o.latencyUs() - r.transferUs;
             called(now, ok && !behind && first <= QUEUED * aim(r));
         }
         r.overdue = false;
@@ -772,21 +707,6 @@
         }
     }
 
-    private double workUs(double sizeKb, double untold) {
-        return sizeKb > 0 && settings.flowKbPerSecond() > 0 ? sizeKb / settings.flowKbPerSecond() * 1e6 : untold;
-    }
-
-    /** Learns sending times by class where sizes are not told, from what came or hits at caches with room. */
-    private void learnWork(RequestState r, AttemptState t, AttemptOutcome o) {
-        boolean room = t.node.inHand >= 0 && t.node.inHand < BUSY * t.node.weight;
-        boolean tells = o.sizeKb() > 0 || room && o.cacheStatus() == CacheStatus.HIT;
-        r.workUs = workUs(o.sizeKb(), r.workUs);
-        if (tells && r.request.sizeKb() <= 0 && o.status() == AttemptStatus.OK) {
-            double work = workUs(o.sizeKb(), o.latencyUs());
-            classWorkUs[r.typeIndex] += SMOOTH * (work - classWorkUs[r.typeIndex]);
-        }
-    }
-
     private void report(Endpoint n, double[] load) {
         if (load == null || n.role != Role.EDGE) {
             return;
@@ -804,18 +724,20 @@
 
     /** Whether an attempt calls the origin as far as one knows; where notes tell, fills wait for the note. */
     private boolean mayCall(RequestState r, AttemptState t) {
-        return r.type.write() || t.fill && (t.source == origin || !notesTold);
+        return r.serviceClass.write() || t.fill && (t.source == origin || !notesTold);
     }
 
     /** Whether a late fill was late behind its source: told, or the link is known to have room. */
     private boolean linkHasRoom(AttemptOutcome o, long now) {
         return notesTold
                 ? 2 * o.sourceWaitUs() > o.latencyUs()
-                : filled.add(now, 0, windowUs) * sharers < LINK_ROOM * link;
+                : filled.read(now, windowUs) * sharers < LINK_ROOM * link;
     }
 
     private static double aim(RequestState r) {
-        return Math.min(r.type.deadlineUs(), r.type.latencyObjectiveUs() + r.type.objectiveSizeFactor() * r.workUs);
+        return Math.min(
+                r.serviceClass.deadlineUs(),
+                r.serviceClass.latencyObjectiveUs() + r.serviceClass.objectiveSizeFactor() * r.transferUs);
     }
 
     /** What an outcome says of the server that was asked, and whom this request shall pass by. */
@@ -825,12 +747,9 @@
             case OK -> {
                 worked(t.node, now);
                 t.node.heardUs = now;
-                quickestUs = Math.min(quickestUs, Math.max(1, o.latencyUs() - r.workUs));
-                if (!r.type.write() && t.node.role == Role.EDGE) {
-                    holders.put(r.key, t.node);
-                    if (holders.size() > COUNT_CELLS) {
-                        holders.remove(holders.keySet().iterator().next());
-                    }
+                quickestUs = Math.min(quickestUs, Math.max(1, o.latencyUs() - r.transferUs));
+                if (!r.serviceClass.write() && t.node.role == Role.EDGE) {
+                    copies.record(r.key, t.node);
                 }
             }
             case CONNECT_FAILED -> {
@@ -859,7 +778,7 @@
             }
         }
         if (o.status() == AttemptStatus.MISS) {
-            holders.remove(r.key);
+            copies.forgetObject(r.key);
         }
         if ((source || o.status() == AttemptStatus.MISS) && t.source != t.node && !(r.onlyIfCached && r.asking)) {
             r.failed.add(t.source);
@@ -899,7 +818,7 @@
 
     /** Sends the next attempt, or gives the final answer at once. */
     private void attempt(RequestState r, long now) {
-        TerminationReason why = r.request.deadlineUs() - now <= r.workUs / 2
+        TerminationReason why = r.request.deadlineUs() - now <= r.transferUs / 2
                 ? TerminationReason.DEADLINE_TOO_CLOSE
                 : r.tries.size() >= settings.permissions().maxAttempts()
                         ? TerminationReason.ATTEMPTS_EXHAUSTED
@@ -910,12 +829,12 @@
         }
         boolean direct = settings.permissions().directToParents();
         boolean originUp = origin != null && origin.state == EndpointState.UP;
-        r.onlyIfCached = originShare(now) < 1 && !r.asking && !r.type.write();
-        Endpoint source = r.type.write() ? (originUp ? origin : null) : source(r, now);
-        Endpoint node = !r.type.write() || !direct
+        r.onlyIfCached = originShare(now) < 1 && !r.asking && !r.serviceClass.write();
+        Endpoint source = r.serviceClass.write() ? (originUp ? origin : null) : source(r, now);
+        Endpoint node = !r.serviceClass.write() || !direct
                 ? edge(r, now)
                 : originUp && !r.failed.contains(origin) ? origin : source(r, now);
-        boolean past = direct && !r.onlyIfCached && !r.type.write() && !r.crowded;
+        boolean past = direct && !r.onlyIfCached && !r.serviceClass.write() && !r.crowded;
         if (node == null && past && source != null && mayFill(r)) {
             node = source;
             source = origin;
@@ -924,9 +843,9 @@
             giveUp(r, TerminationReason.NO_ENDPOINT_AVAILABLE);
             return;
         }
-        boolean toEdge = node.role == Role.EDGE && !r.type.write();
-        boolean known = toEdge && !r.onlyIfCached && holders.get(r.key) == node;
-        boolean fill = source != null && !r.type.write() && !known;
+        boolean toEdge = node.role == Role.EDGE && !r.serviceClass.write();
+        boolean known = toEdge && !r.onlyIfCached && copies.holds(node, r.key);
+        boolean fill = source != null && !r.serviceClass.write() && !known;
         boolean noFill = source == null || fill && !mayFill(r);
         if (toEdge && (noFill || fill && r.onlyIfCached)) {
             if (r.looked && noFill) {
@@ -934,7 +853,7 @@
                 return;
             }
             r.looked = true;
-            r.oldCopyWillDo = true;
+            r.staleAllowed = true;
         }
         fill &= !(toEdge && noFill);
         source = source == null || toEdge && noFill ? node : source;
@@ -957,7 +876,7 @@
             shareAtUs = now;
             asked.clear();
             served.clear();
-            log(now, "origin short: asked for the misses of one in " + Math.round(1 / share));
+            log.log(now, "origin short: asked for the misses of one in " + Math.round(1 / share));
         }
     }
 
@@ -973,24 +892,24 @@
         }
         node.trialOut |= node.ejected;
         source.trialOut |= source.ejected;
-        int rank = r.type.write() || node.role != Role.EDGE ? 0 : counts[cell(r.key)] > 1.5 ? 2 : 1;
-        // Fills of older copies may be under way: twice the stated time, for clocks and late messages.
-        boolean purged = now - 2 * rules.purgeDoneUs() <= purgedAt(r.request);
-        AttemptState t = new AttemptState(node, source, now, r.workUs, trial, fill);
+        int rank = r.serviceClass.write() || node.role != Role.EDGE ? 0 : popularity.isRepeated(r.key) ? 2 : 1;
+        boolean purged = purges.isRecentlyPurged(r.request, now);
+        AttemptState t = new AttemptState(node, source, now, r.transferUs, trial, fill);
         r.tries.add(t);
         r.out++;
-        node.outWorkUs += r.workUs;
+        node.outWorkUs += r.transferUs;
         node.limit.out++;
         fills.out += fill ? 1 : 0;
-        node.sent.add(now, r.workUs, windowUs);
-        charge(node, classWorkUs[r.typeIndex], now);
+        node.sent.add(now, r.transferUs, windowUs);
+        charge(node, transferTimes.classMeanUs(r.classIndex), now);
         if (source != node) {
-            charge(source, r.workUs, now);
+            charge(source, r.transferUs, now);
         }
-        boolean join = settings.permissions().coalescing() && !purged && !r.type.write();
-        boolean renew = r.type.freshnessUs() > 0 && !purged;
+        boolean join = settings.permissions().coalescing() && !purged && !r.serviceClass.write();
+        boolean renew = r.serviceClass.freshnessUs() > 0 && !purged;
         long leftUs = Math.max(1, r.request.deadlineUs() - now);
-        AttemptPlan order = new AttemptPlan(node.id, source.id, rank, maxAge(r, now), join, held, renew, leftUs);
+        AttemptPlan order =
+                new AttemptPlan(node.id, source.id, rank, purges.maxAgeUs(r, now), join, held, renew, leftUs);
         actions.send(r.request.id(), order);
         listen(r, t, now);
     }
@@ -998,10 +917,10 @@
     /** Whether the class allows a retry; a keyed one has to arrive inside its window, connecting included. */
     private boolean mayResend(RequestState r, long now) {
         return !r.mayHaveRun
-                || r.type.idempotency() == Idempotency.IDEMPOTENT
-                || r.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && r.type.idempotencyScope() == IdempotencyScope.ALL
-                        && now + settings.connectTimeoutUs() - r.firstRunUs < r.type.idempotencyWindowUs();
+                || r.serviceClass.idempotency() == Idempotency.IDEMPOTENT
+                || r.serviceClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && r.serviceClass.idempotencyScope() == IdempotencyScope.ALL
+                        && now + settings.connectTimeoutUs() - r.firstRunUs < r.serviceClass.idempotencyWindowUs();
     }
 
     /** The final answer, at once: a refusal with advice where a further try is harmless, else a failure. */
@@ -1011,7 +930,7 @@
         }
         r.over = true;
         actions.terminated(r.request.id(), why);
-        if (!r.mayHaveRun || r.type.idempotency() == Idempotency.IDEMPOTENT) {
+        if (!r.mayHaveRun || r.serviceClass.idempotency() == Idempotency.IDEMPOTENT) {
             long wait =
                     settings.permissions().retryAfter() ? settings.permissions().maxRetryAfterUs() : 0;
             actions.reject(r.request.id(), wait);
@@ -1020,11 +939,4 @@
         }
         forget(r);
     }
-
-    private void log(long now, String line) {
-        if (now - loggedUs > windowUs / 10) {
-            loggedUs = now;
-            actions.log(line);
-        }
-    }
 }
--- a/src/main/java/petrelplank/routing/RequestState.java
+++ b/src/main/java/petrelplank/routing/RequestState.java
@@ -25,12 +25,12 @@
     }
 
     final RoutingRequest request;
-    final ServiceClass type;
-    final int typeIndex;
+    final ServiceClass serviceClass;
+    final int classIndex;
     /** The object's part, hashed. */
     final long key;
     /** Sending time at a client's pace: told, or the class's mean until an answer tells it. */
-    double workUs;
+    double transferUs;
     /** Drawn once, evenly from 0 to 1: what is shed or spared by share goes by it. */
     final double draw;
     /** Part of the limits that it may use. */
@@ -44,7 +44,7 @@
 
     int out;
     boolean over;
-    boolean oldCopyWillDo;
+    boolean staleAllowed;
     /** It has had its look without a fill. */
     boolean looked;
     /** A cache was passed by since it is at its limit. */
@@ -63,12 +63,12 @@
     boolean mayHaveRun;
     long firstRunUs;
 
-    RequestState(RoutingRequest request, ServiceClass type, int typeIndex, double workUs, double draw) {
+    RequestState(RoutingRequest request, ServiceClass serviceClass, int classIndex, double transferUs, double draw) {
         this.request = request;
-        this.type = type;
-        this.typeIndex = typeIndex;
+        this.serviceClass = serviceClass;
+        this.classIndex = classIndex;
         this.key = Hash.mix(request.object() ^ Hash.mix(request.part()));
-        this.workUs = workUs;
+        this.transferUs = transferUs;
         this.draw = draw;
     }
 }
--- /dev/null
+++ b/src/main/java/petrelplank/routing/TransferTimeEstimator.java
@@ -0,0 +1,56 @@
+package petrelplank.routing;
+
+import java.util.List;
+
+/**
+ * Transfer times at a client's pace: from the size where it is known, else the mean of the service class, which is
+ * learned from responses.
+ */
+final class TransferTimeEstimator {
+    /** Weight of a new sample in a mean. */
+    private static final double SMOOTHING = 0.05;
+    /** A class's first estimate, as a part of its latency objective. */
+    private static final double INITIAL_PART_OF_OBJECTIVE = 1 / 4.0;
+
+    private static final double US_PER_SECOND = 1e6;
+
+    private final double flowKbPerSecond;
+    private final double[] classMeanUs;
+
+    TransferTimeEstimator(List<ServiceClass> classes, double flowKbPerSecond) {
+        this.flowKbPerSecond = flowKbPerSecond;
+        this.classMeanUs = new double[classes.size()];
+        for (int i = 0; i < classMeanUs.length; i++) {
+            classMeanUs[i] = classes.get(i).latencyObjectiveUs() * INITIAL_PART_OF_OBJECTIVE;
+        }
+    }
+
+    double classMeanUs(int classIndex) {
+        return classMeanUs[classIndex];
+    }
+
+    /** The transfer time of a new request, which counts into its class's mean. */
+    double recordRequest(int classIndex, double sizeKb) {
+        double transferUs = transferUs(sizeKb, classMeanUs[classIndex]);
+        addSample(classIndex, transferUs);
+        return transferUs;
+    }
+
+    /** Learns where the request told no size: from the response's size, or from hits at caches with room. */
+    void recordOutcome(RequestState request, Endpoint endpoint, AttemptOutcome outcome) {
+        boolean unhindered = endpoint.hasReportedRoom() && outcome.cacheStatus() == CacheStatus.HIT;
+        boolean informative = outcome.sizeKb() > 0 || unhindered;
+        request.transferUs = transferUs(outcome.sizeKb(), request.transferUs);
+        if (informative && request.request.sizeKb() <= 0 && outcome.status() == AttemptStatus.OK) {
+            addSample(request.classIndex, transferUs(outcome.sizeKb(), outcome.latencyUs()));
+        }
+    }
+
+    private void addSample(int classIndex, double transferUs) {
+        classMeanUs[classIndex] += SMOOTHING * (transferUs - classMeanUs[classIndex]);
+    }
+
+    private double transferUs(double sizeKb, double fallbackUs) {
+        return sizeKb > 0 && flowKbPerSecond > 0 ? sizeKb / flowKbPerSecond * US_PER_SECOND : fallbackUs;
+    }
+}
