--- /dev/null
+++ b/src/main/java/petrelplank/routing/AttemptPlanner.java
@@ -0,0 +1,107 @@
+package petrelplank.routing;
+
+/** Chooses endpoint, source and fill mode of a request's next attempt. */
+final class AttemptPlanner {
+    private final boolean directToParents;
+    private final EndpointRegistry endpoints;
+    private final CacheSelector caches;
+    private final FillSourceSelector sources;
+    private final OriginLoadShedder originShedder;
+    private final ConcurrencyLimiter limiter;
+    private final CopyLocations copies;
+
+    AttemptPlanner(
+            boolean directToParents,
+            EndpointRegistry endpoints,
+            CacheSelector caches,
+            FillSourceSelector sources,
+            OriginLoadShedder originShedder,
+            ConcurrencyLimiter limiter,
+            CopyLocations copies) {
+        this.directToParents = directToParents;
+        this.endpoints = endpoints;
+        this.caches = caches;
+        this.sources = sources;
+        this.originShedder = originShedder;
+        this.limiter = limiter;
+        this.copies = copies;
+    }
+
+    /** Where the next attempt goes, or why there is none. */
+    AttemptRoute plan(RequestState request, long now) {
+        request.originAccess = originAccess(request, now);
+        return request.isWrite() ? planWrite(request, now) : planRead(request, now);
+    }
+
+    private OriginAccess originAccess(RequestState request, long now) {
+        if (request.originAccess.isSampled()) {
+            return OriginAccess.GRANTED;
+        }
+        boolean spared = originShedder.isShedding(now) && !request.isWrite();
+        return spared ? OriginAccess.WITHHELD : OriginAccess.UNRESTRICTED;
+    }
+
+    /** A write runs at the origin: straight where that is allowed, else by way of a cache. */
+    private AttemptRoute planWrite(RequestState request, long now) {
+        Endpoint origin = endpoints.isOriginUp() ? endpoints.origin() : null;
+        Endpoint endpoint;
+        if (!directToParents) {
+            endpoint = caches.select(request, now);
+        } else if (origin != null && !request.excluded.contains(origin)) {
+            endpoint = origin;
+        } else {
+            endpoint = sources.select(request, now);
+        }
+        if (endpoint == null) {
+            return AttemptRoute.rejected(TerminationReason.NO_ENDPOINT_AVAILABLE);
+        }
+        return AttemptRoute.to(endpoint, origin == null ? endpoint : origin, FillMode.NONE);
+    }
+
+    /** A read goes to a cache; past the caches where none can take it, and none was passed by for its limit. */
+    private AttemptRoute planRead(RequestState request, long now) {
+        Endpoint source = sources.select(request, now);
+        Endpoint cache = caches.select(request, now);
+        if (cache != null) {
+            return planCacheRead(request, cache, source);
+        }
+        boolean mayBypass = directToParents && !request.originAccess.isOnlyIfCached() && !request.cacheAtLimit;
+        if (mayBypass && source != null && limiter.mayFill(request)) {
+            Endpoint origin = endpoints.origin();
+            return origin == null
+                    ? AttemptRoute.to(source, source, FillMode.NONE)
+                    : AttemptRoute.to(source, origin, FillMode.FULL);
+        }
+        return AttemptRoute.rejected(TerminationReason.NO_ENDPOINT_AVAILABLE);
+    }
+
+    /** A cache without a copy fills it from the source; where no fill may be made, it is asked once for what it has. */
+    private AttemptRoute planCacheRead(RequestState request, Endpoint cache, Endpoint source) {
+        boolean onlyIfCached = request.originAccess.isOnlyIfCached();
+        boolean holdsCopy = !onlyIfCached && copies.holds(cache, request.key);
+        if (source == null || !holdsCopy && !limiter.mayFill(request)) {
+            return planLookup(request, cache);
+        }
+        if (holdsCopy) {
+            return AttemptRoute.to(cache, source, FillMode.NONE);
+        }
+        if (onlyIfCached) {
+            noteLookup(request);
+            return AttemptRoute.to(cache, source, FillMode.ONLY_IF_CACHED);
+        }
+        return AttemptRoute.to(cache, source, FillMode.FULL);
+    }
+
+    private static AttemptRoute planLookup(RequestState request, Endpoint cache) {
+        if (request.cacheLookupDone) {
+            return AttemptRoute.rejected(TerminationReason.FILL_NOT_ALLOWED);
+        }
+        noteLookup(request);
+        return AttemptRoute.to(cache, cache, FillMode.NONE);
+    }
+
+    private static void noteLookup(RequestState request) {
+        request.cacheLookupDone = true;
+        request.staleAllowed = true;
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/routing/AttemptSender.java
@@ -0,0 +1,63 @@
+package petrelplank.routing;
+
+import petrelplank.routing.Endpoint.Role;
+
+/** Sends an attempt along its route, with the freshness bound, the copy's rank and the time-out that it needs. */
+final class AttemptSender {
+    /** Rank of a copy that is not to be kept. */
+    private static final int RANK_NOT_KEPT = 0;
+
+    private static final int RANK_FIRST_REQUEST = 1;
+    private static final int RANK_REPEATED_REQUEST = 2;
+
+    private final RoutingPermissions permissions;
+    private final Router.Actions actions;
+    private final InFlightAttempts attempts;
+    private final HedgingPolicy hedging;
+    private final PurgeLog purges;
+    private final ObjectPopularity popularity;
+
+    AttemptSender(
+            RoutingPermissions permissions,
+            Router.Actions actions,
+            InFlightAttempts attempts,
+            HedgingPolicy hedging,
+            PurgeLog purges,
+            ObjectPopularity popularity) {
+        this.permissions = permissions;
+        this.actions = actions;
+        this.attempts = attempts;
+        this.hedging = hedging;
+        this.purges = purges;
+        this.popularity = popularity;
+    }
+
+    /** Sends the attempt, and sets a timer for its check. */
+    void send(RequestState request, AttemptRoute route, long now) {
+        AttemptState attempt = attempts.begin(request, route, now);
+        actions.send(request.request.id(), plan(request, route, now));
+        hedging.scheduleCheck(request, attempt, now);
+    }
+
+    private AttemptPlan plan(RequestState request, AttemptRoute route, long now) {
+        boolean recentlyPurged = purges.isRecentlyPurged(request.request, now);
+        boolean coalesce = permissions.coalescing() && !recentlyPurged && !request.isWrite();
+        boolean staleWhileRevalidate = request.serviceClass.freshnessUs() > 0 && !recentlyPurged;
+        return new AttemptPlan(
+                route.endpoint().id,
+                route.source().id,
+                rank(request, route.endpoint()),
+                purges.maxAgeUs(request, now),
+                coalesce,
+                route.fillMode() == FillMode.ONLY_IF_CACHED,
+                staleWhileRevalidate,
+                Math.max(1, request.request.deadlineUs() - now));
+    }
+
+    private int rank(RequestState request, Endpoint endpoint) {
+        if (request.isWrite() || endpoint.role != Role.EDGE) {
+            return RANK_NOT_KEPT;
+        }
+        return popularity.isRepeated(request.key) ? RANK_REPEATED_REQUEST : RANK_FIRST_REQUEST;
+    }
+}
--- a/src/main/java/petrelplank/routing/CacheStatus.java
+++ b/src/main/java/petrelplank/routing/CacheStatus.java
@@ -23,5 +23,15 @@
     /** The cache has no place left for a fill. */
     FILL_LIMIT_REACHED,
     /** The origin failed behind the parent. */
-    ORIGIN_FAILED
+    ORIGIN_FAILED;
+
+    /** Whether the answer came from a copy that the cache had. */
+    boolean isCopy() {
+        return this == HIT || this == STALE;
+    }
+
+    /** Whether the copy came from a source, with a fill of this attempt's own. */
+    boolean isFill() {
+        return this == FILLED || this == FILLED_FROM_ORIGIN;
+    }
 }
--- /dev/null
+++ b/src/main/java/petrelplank/routing/EjectionBackoff.java
@@ -0,0 +1,22 @@
+package petrelplank.routing;
+
+/** Pauses of an ejected endpoint before its next health-check attempt: they double with each failed one, to a bound. */
+final class EjectionBackoff {
+    private static final double FIRST_PAUSE_IN_CONNECT_TIMEOUTS = 2;
+    private static final double MAX_PAUSE_IN_CONNECT_TIMEOUTS = 16;
+
+    private final double firstPauseUs;
+
+    EjectionBackoff(long connectTimeoutUs) {
+        this.firstPauseUs = FIRST_PAUSE_IN_CONNECT_TIMEOUTS * Math.max(1, connectTimeoutUs);
+    }
+
+    long firstPauseUs() {
+        return (long) firstPauseUs;
+    }
+
+    long nextPauseUs(long pauseUs) {
+        double maxPauseUs = MAX_PAUSE_IN_CONNECT_TIMEOUTS * firstPauseUs / FIRST_PAUSE_IN_CONNECT_TIMEOUTS;
+        return (long) Math.min(2 * pauseUs, maxPauseUs);
+    }
+}
--- a/src/main/java/petrelplank/routing/Endpoint.java
+++ b/src/main/java/petrelplank/routing/Endpoint.java
@@ -1,11 +1,16 @@
 package petrelplank.routing;
 
-/** A listed server with what this gateway knows of it: notes of the decision module, no decisions. */
+/** A listed server, and the state that each concern keeps for it. */
 final class Endpoint {
+    /** What an endpoint is to this gateway. */
     enum Role {
+        /** A cache of this gateway's zone: it takes requests. */
         EDGE,
+        /** A cache that others fill their misses from. */
         PARENT,
+        /** The origin. */
         ORIGIN,
+        /** A cache of another zone. */
         OTHER
     }
 
@@ -18,53 +23,50 @@
     EndpointState state;
     double weight;
     long startedUs;
-    /** Failures in a row. */
-    int failures;
-
-    boolean ejected;
-    /** Its last failure was that no connection was made. */
-    boolean unreached;
-
-    long trialAtUs;
-    long pauseUs;
-    boolean trialOut;
-    /** When attempts at it were last reset. */
-    long brokenUs;
     /** When it last answered an attempt of this gateway. */
-    long heardUs;
-
-    double outWorkUs;
-    /** Requests in hand as last reported; -1 before, and where it is not told. */
-    double inHand = -1;
-    /** Our attempts out when that report first came; later answers repeat it until it is refreshed. */
-    int outAtReport;
-
-    final RequestRouter.Limit limit;
-    /** Fill time over sending time of late, for parents. */
-    double stretch = 1;
-    /** Q by object group, and whether the group has heard of this parent. */
-    final double[] q;
-
-    final boolean[] heard;
-    /** Cold budget left, in sending time; below 0 where more was sent than it held. */
-    double tokensUs;
-    /** When it was last filled; 0 before its first use. */
-    long tokensAtUs;
+    long lastResponseUs;
+    /** When attempts at it were last reset. */
+    long lastResetUs;
+    /** Transfer time of this gateway's attempts in flight at it. */
+    double inFlightTransferUs;
+    /** Rendezvous score for the request at hand; the least comes first. */
+    double rendezvousScore;
+    /** Recent fill time over transfer time, for parents. */
+    double fillSlowness = 1;
 
-    final DecayingRate sent = new DecayingRate();
-    /** Rendezvous score for the request in hand; the least comes first. */
-    double score;
+    final ConcurrencyLimit limit;
+    final EjectionState ejection = new EjectionState();
+    final ReportedLoad reportedLoad = new ReportedLoad();
+    final QTable qTable = new QTable();
+    final TokenBucket slowStartBucket = new TokenBucket();
+    final DecayingRate sentRate = new DecayingRate();
 
-    Endpoint(String id, RequestRouter.Limit limit, int groups) {
+    Endpoint(String id, ConcurrencyLimit limit) {
         this.id = id;
         this.hash = Hash.mix(Hash.fnv(id));
         this.limit = limit;
-        this.q = new double[groups];
-        this.heard = new boolean[groups];
+    }
+
+    /** It runs anew: what was known of the process that ran before counts no longer. */
+    void restarted(long atUs) {
+        startedUs = atUs;
+        slowStartBucket.reset();
+        ejection.reset();
+        fillSlowness = 1;
+    }
+
+    boolean isUp() {
+        return state == EndpointState.UP;
     }
 
     /** Whether its last load report tells of room for more. */
     boolean hasReportedRoom() {
-        return inHand >= 0 && inHand < RequestRouter.BUSY * weight;
+        return reportedLoad.inFlight >= 0 && reportedLoad.inFlight < ReportedLoad.OVERLOAD * weight;
+    }
+
+    /** Whether the last report, and what was sent since, show room: limits lag, and gateways come and go. */
+    boolean hasRoomSinceReport() {
+        return reportedLoad.inFlight >= 0
+                && reportedLoad.inFlight + Math.max(0, limit.inFlight - reportedLoad.ownInFlightAtReport) < weight;
     }
 }
--- /dev/null
+++ b/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
@@ -0,0 +1,88 @@
+package petrelplank.routing;
+
+import petrelplank.routing.Endpoint.Role;
+import petrelplank.routing.OutlierDetector.Evidence;
+
+/** What an outcome says of the endpoint that was asked, and which endpoints the request shall pass by from now on. */
+final class EndpointOutcomeRecorder {
+    private final long connectTimeoutUs;
+    private final OutlierDetector outliers;
+    private final FailureAttribution attribution;
+    private final CopyLocations copies;
+
+    EndpointOutcomeRecorder(
+            long connectTimeoutUs, OutlierDetector outliers, FailureAttribution attribution, CopyLocations copies) {
+        this.connectTimeoutUs = connectTimeoutUs;
+        this.outliers = outliers;
+        this.attribution = attribution;
+        this.copies = copies;
+    }
+
+    /** Takes in the outcome of an attempt that was sent and not cancelled. */
+    void record(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
+        boolean sourceFailed = attempt.source != attempt.endpoint
+                && attribution.isSourceAtFault(outcome)
+                && (outcome.status() != AttemptStatus.TIMEOUT || attempt.isFill());
+        switch (outcome.status()) {
+            case OK -> recordResponse(request, attempt, outcome, now);
+            case CONNECT_FAILED -> recordConnectFailure(attempt, now);
+            case REJECTED, MISS -> attribution.recordResponseTime(outcome.latencyUs());
+            case RESET -> recordReset(attempt, now);
+            default -> recordFailure(request, attempt, outcome, sourceFailed, now);
+        }
+        if (outcome.status() == AttemptStatus.MISS) {
+            copies.forgetObject(request.key);
+        }
+        exclude(request, attempt, outcome.status(), sourceFailed);
+    }
+
+    private void recordResponse(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
+        Endpoint endpoint = attempt.endpoint;
+        outliers.recordSuccess(endpoint, now);
+        endpoint.lastResponseUs = now;
+        attribution.recordResponseTime(outcome.latencyUs() - request.transferUs);
+        if (!request.isWrite() && endpoint.role == Role.EDGE) {
+            copies.record(request.key, endpoint);
+        }
+    }
+
+    private void recordConnectFailure(AttemptState attempt, long now) {
+        Endpoint endpoint = attempt.endpoint;
+        // Guards a good cache whose table of connections is full: it answers on those it has.
+        boolean silent = now - endpoint.lastResponseUs > connectTimeoutUs;
+        Evidence evidence = silent ? Evidence.CONCLUSIVE : Evidence.INCONCLUSIVE;
+        outliers.recordFailure(endpoint, now, evidence, attempt.healthCheck);
+        endpoint.ejection.unreachable = true;
+    }
+
+    private void recordReset(AttemptState attempt, long now) {
+        // Guards good endpoints: a connection that breaks ends all attempts on it, and that is one failure.
+        if (attempt.sentUs > attempt.endpoint.lastResetUs || attempt.healthCheck) {
+            attempt.endpoint.lastResetUs = now;
+            outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
+        }
+    }
+
+    private void recordFailure(
+            RequestState request, AttemptState attempt, AttemptOutcome outcome, boolean sourceFailed, long now) {
+        if (!sourceFailed && !request.hedged) {
+            outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
+        }
+        boolean plainError = outcome.status() == AttemptStatus.ERROR && outcome.cacheStatus() == CacheStatus.NONE;
+        if (plainError && !attempt.healthCheck && request.recordError(attempt.endpoint)) {
+            request.errored.forEach(endpoint -> outliers.pardonFailure(endpoint, now));
+        }
+    }
+
+    private static void exclude(
+            RequestState request, AttemptState attempt, AttemptStatus status, boolean sourceFailed) {
+        boolean sourceUseless = sourceFailed || status == AttemptStatus.MISS;
+        if (sourceUseless && attempt.source != attempt.endpoint && request.originAccess != OriginAccess.SAMPLED) {
+            request.excluded.add(attempt.source);
+        }
+        boolean endpointFailed = status != AttemptStatus.OK && status != AttemptStatus.MISS && !sourceFailed;
+        if (status == AttemptStatus.TIMEOUT || endpointFailed) {
+            request.excluded.add(attempt.endpoint);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/routing/InFlightAttempts.java
@@ -0,0 +1,84 @@
+package petrelplank.routing;
+
+/** Accounts for attempts in flight: places under the limits, budgets of slow start, health-check attempts. */
+final class InFlightAttempts {
+    private final RoutingPermissions permissions;
+    private final Router.Actions actions;
+    private final ConcurrencyLimiter limiter;
+    private final SlowStart slowStart;
+    private final TransferTimeEstimator transferTimes;
+    private final double windowUs;
+
+    InFlightAttempts(
+            RoutingPermissions permissions,
+            Router.Actions actions,
+            ConcurrencyLimiter limiter,
+            SlowStart slowStart,
+            TransferTimeEstimator transferTimes,
+            double windowUs) {
+        this.permissions = permissions;
+        this.actions = actions;
+        this.limiter = limiter;
+        this.slowStart = slowStart;
+        this.transferTimes = transferTimes;
+        this.windowUs = windowUs;
+    }
+
+    /** An attempt is about to be sent; earlier ones are cancelled where two may not be in flight together. */
+    AttemptState begin(RequestState request, AttemptRoute route, long now) {
+        Endpoint endpoint = route.endpoint();
+        Endpoint source = route.source();
+        boolean healthCheck = endpoint.ejection.ejected || source.ejection.ejected;
+        if (!permissions.hedging()) {
+            cancelAll(request);
+        }
+        endpoint.ejection.healthCheckInFlight |= endpoint.ejection.ejected;
+        source.ejection.healthCheckInFlight |= source.ejection.ejected;
+        AttemptState attempt = new AttemptState(route, now, request.transferUs, healthCheck);
+        request.attempts.add(attempt);
+        request.inFlight++;
+        endpoint.inFlightTransferUs += request.transferUs;
+        limiter.acquire(attempt);
+        endpoint.sentRate.add(now, request.transferUs, windowUs);
+        slowStart.charge(endpoint, transferTimes.classMeanUs(request.classIndex), now);
+        if (source != endpoint) {
+            slowStart.charge(source, request.transferUs, now);
+        }
+        return attempt;
+    }
+
+    /** An attempt ended; null where it had ended before. */
+    AttemptState end(RequestState request, int number) {
+        AttemptState attempt = request.attempts.set(number, null);
+        if (attempt == null) {
+            return null;
+        }
+        request.inFlight--;
+        Endpoint endpoint = attempt.endpoint;
+        endpoint.inFlightTransferUs = Math.max(0, endpoint.inFlightTransferUs - attempt.transferUs);
+        if (attempt != request.unresponsiveAttempt) {
+            limiter.release(attempt);
+        }
+        endpoint.ejection.healthCheckInFlight &= !attempt.healthCheck;
+        attempt.source.ejection.healthCheckInFlight &= !attempt.healthCheck;
+        return attempt;
+    }
+
+    /** Cancels all attempts of the request, where that is allowed. */
+    void cancelAll(RequestState request) {
+        if (!permissions.cancel()) {
+            return;
+        }
+        for (int i = 0; i < request.attempts.size() && request.inFlight > 0; i++) {
+            if (end(request, i) != null) {
+                actions.cancel(request.request.id(), i);
+            }
+        }
+    }
+
+    /** Takes an attempt that stays silent off the limits: a lost response is no load. */
+    void markUnresponsive(RequestState request, AttemptState attempt) {
+        request.unresponsiveAttempt = attempt;
+        limiter.release(attempt);
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/routing/LoadReports.java
@@ -0,0 +1,54 @@
+package petrelplank.routing;
+
+import petrelplank.routing.Endpoint.Role;
+
+/** Reads the load reports that come with responses: requests in flight, else the share used, and the link's use. */
+final class LoadReports {
+    private static final String IN_FLIGHT_FIELD = "concurrent";
+    private static final String SHARE_USED_FIELD = "load_share";
+    private static final String LINK_USE_FIELD = "x1";
+    private static final int NOT_REPORTED = -1;
+    /** Share used above which a cache counts as overloaded, since the share hides what waits. */
+    private static final double FULL_SHARE = 0.9;
+
+    private final ZoneLink zoneLink;
+    private final int inFlightIndex;
+    private final int shareUsedIndex;
+    private final int linkUseIndex;
+
+    LoadReports(RouterSettings settings, ZoneLink zoneLink) {
+        this.zoneLink = zoneLink;
+        WeightMeaning meaning = settings.weightMeaning();
+        boolean weighted = meaning == WeightMeaning.NOMINAL || meaning == WeightMeaning.ROUGH;
+        this.inFlightIndex = weighted ? settings.reportFields().indexOf(IN_FLIGHT_FIELD) : NOT_REPORTED;
+        this.shareUsedIndex =
+                weighted && inFlightIndex < 0 ? settings.reportFields().indexOf(SHARE_USED_FIELD) : NOT_REPORTED;
+        this.linkUseIndex = settings.reportFields().indexOf(LINK_USE_FIELD);
+    }
+
+    /** Whether reports tell the requests in flight. */
+    boolean tellInFlight() {
+        return inFlightIndex >= 0;
+    }
+
+    /** Takes in a cache's report; null where the response had none. */
+    void record(Endpoint endpoint, double[] load) {
+        if (load == null || endpoint.role != Role.EDGE) {
+            return;
+        }
+        double inFlight = value(load, inFlightIndex);
+        if (shareUsedIndex >= 0 && shareUsedIndex < load.length) {
+            double share = load[shareUsedIndex];
+            inFlight = (share > FULL_SHARE ? 2 * ReportedLoad.OVERLOAD : share) * endpoint.weight;
+        }
+        if (inFlight != endpoint.reportedLoad.inFlight) {
+            endpoint.reportedLoad.inFlight = inFlight;
+            endpoint.reportedLoad.ownInFlightAtReport = endpoint.limit.inFlight;
+        }
+        zoneLink.report(value(load, linkUseIndex));
+    }
+
+    private static double value(double[] load, int index) {
+        return index >= 0 && index < load.length ? load[index] : NOT_REPORTED;
+    }
+}
--- a/src/main/java/petrelplank/routing/PurgeLog.java
+++ b/src/main/java/petrelplank/routing/PurgeLog.java
@@ -44,7 +44,9 @@
         return now - 2 * completionUs <= lastPurgedUs(request);
     }
 
-    /** Age of the oldest acceptable copy: the class's limit, less what a purge forbids; never 0 (no limit) by a purge. */
+    /**
+     * Age of the oldest acceptable copy: the class's limit, less what a purge forbids; never 0 (no limit) by a purge.
+     */
     long maxAgeUs(RequestState request, long now) {
         ServiceClass serviceClass = request.serviceClass;
         long limitUs = serviceClass.freshnessUs() + (request.staleAllowed ? serviceClass.staleIfErrorUs() : 0);
--- a/src/main/java/petrelplank/routing/RequestState.java
+++ b/src/main/java/petrelplank/routing/RequestState.java
@@ -3,72 +3,79 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that is not over, or has attempts out: what the decision module notes of it, no decisions. */
+/** A request that is not completed, or has attempts in flight. */
 final class RequestState {
-    /** One attempt that is out. */
-    static final class AttemptState {
-        final Endpoint node;
-        final Endpoint source;
-        final long sentUs;
-        final double workUs;
-        final boolean trial;
-        final boolean fill;
-
-        AttemptState(Endpoint node, Endpoint source, long sentUs, double workUs, boolean trial, boolean fill) {
-            this.node = node;
-            this.source = source;
-            this.sentUs = sentUs;
-            this.workUs = workUs;
-            this.trial = trial;
-            this.fill = fill;
-        }
-    }
+    /** Errors from so many endpoints are the request's own fault. */
+    private static final int ERRORS_OF_ITS_OWN = 3;
 
     final RoutingRequest request;
     final ServiceClass serviceClass;
     final int classIndex;
     /** The object's part, hashed. */
     final long key;
-    /** Sending time at a client's pace: told, or the class's mean until an answer tells it. */
+    /** Transfer time at a client's pace: told, or the class's mean until a response tells it. */
     double transferUs;
     /** Drawn once, evenly from 0 to 1: what is shed or spared by share goes by it. */
-    final double draw;
+    final double samplingKey;
     /** Part of the limits that it may use. */
-    double share = 1;
+    double limitShare = 1;
     /** By attempt number; null once an attempt has ended. */
-    final List<AttemptState> tries = new ArrayList<>(2);
-    /** Servers that it shall pass by. */
-    final List<Endpoint> failed = new ArrayList<>(2);
-    /** Servers that answered with an error and no note. */
-    final List<Endpoint> errors = new ArrayList<>(0);
+    final List<AttemptState> attempts = new ArrayList<>(2);
+    /** Endpoints that it shall pass by. */
+    final List<Endpoint> excluded = new ArrayList<>(2);
+    /** Endpoints that answered with an error and no cache status. */
+    final List<Endpoint> errored = new ArrayList<>(0);
+
+    int inFlight;
+    /** It has its final answer, or needs none. */
+    boolean completed;
 
-    int out;
-    boolean over;
+    OriginAccess originAccess = OriginAccess.UNRESTRICTED;
+    /** A copy past its fresh time will do (stale-if-error). */
     boolean staleAllowed;
-    /** It has had its look without a fill. */
-    boolean looked;
+    /** It has had its one lookup in a cache without a fill. */
+    boolean cacheLookupDone;
     /** A cache was passed by since it is at its limit. */
-    boolean crowded;
+    boolean cacheAtLimit;
     /** The attempt whose silence was not explained; it holds no place under the limits. */
-    AttemptState lost;
+    AttemptState unresponsiveAttempt;
     /** A second attempt was made after a silence. */
-    boolean silent;
+    boolean hedged;
     /** Its attempt's lateness was held against the origin already. */
-    boolean overdue;
-    /** It takes only what a parent holds. */
-    boolean onlyIfCached;
-    /** It is among those that may call the origin while others are spared. */
-    boolean asking;
+    boolean latenessCounted;
+    /** An attempt may have run at the server. */
+    boolean mayHaveExecuted;
+    /** When the first attempt that may have run was sent. */
+    long firstExecutionUs;
 
-    boolean mayHaveRun;
-    long firstRunUs;
-
-    RequestState(RoutingRequest request, ServiceClass serviceClass, int classIndex, double transferUs, double draw) {
+    RequestState(
+            RoutingRequest request, ServiceClass serviceClass, int classIndex, double transferUs, double samplingKey) {
         this.request = request;
         this.serviceClass = serviceClass;
         this.classIndex = classIndex;
         this.key = Hash.mix(request.object() ^ Hash.mix(request.part()));
         this.transferUs = transferUs;
-        this.draw = draw;
+        this.samplingKey = samplingKey;
+    }
+
+    /** The latency objective, which grows with the transfer time. */
+    double latencyObjectiveUs() {
+        return Math.min(
+                serviceClass.deadlineUs(),
+                serviceClass.latencyObjectiveUs() + serviceClass.objectiveSizeFactor() * transferUs);
+    }
+
+    boolean isWrite() {
+        return serviceClass.write();
+    }
+
+    /** Notes an error; whether it is the one that shows the fault to be the request's own. */
+    boolean recordError(Endpoint endpoint) {
+        errored.add(endpoint);
+        return errored.size() == ERRORS_OF_ITS_OWN;
+    }
+
+    boolean isAtFaultItself() {
+        return errored.size() >= ERRORS_OF_ITS_OWN;
     }
 }
--- a/src/main/java/petrelplank/routing/Router.java
+++ b/src/main/java/petrelplank/routing/Router.java
@@ -5,22 +5,24 @@
 /**
  * Decides, for one gateway, which cache answers each request and where a miss is filled from.
  *
- * <p>A host (a gateway) makes one instance with its {@link RouterSettings}, a seed and its {@link Actions}, then reports
- * every event as one method call. An instance is not thread-safe: call it from one thread, in the order in which
- * things happened, with a clock that never runs backwards. The instance answers by calling {@link Actions}, always
- * before the event method returns and only then; it starts no threads and reads no clock. Instances share nothing.
+ * <p>A host (a gateway) makes one instance with its {@link RouterSettings}, a seed and its {@link Actions}, then
+ * reports every event as one method call. An instance is not thread-safe: call it from one thread, in the order in
+ * which things happened, with a clock that never runs backwards. The instance answers by calling {@link Actions},
+ * always before the event method returns and only then; it starts no threads and reads no clock. Instances share
+ * nothing.
  *
- * <p>Order: construct, then {@link #endpointsChanged} with the complete list, then anything. All times are microseconds of the
- * host's clock, all durations microseconds. Every request gets exactly one final answer: an {@link AttemptOutcome} with
- * {@code completed}, {@link Actions#reject} or {@link Actions#fail}. Ids the router no longer holds are ignored.
+ * <p>Order: construct, then {@link #endpointsChanged} with the complete list, then anything. All times are
+ * microseconds of the host's clock, all durations microseconds. Every request gets exactly one final answer: an {@link
+ * AttemptOutcome} with {@code completed}, {@link Actions#reject} or {@link Actions#fail}. Ids the router no longer
+ * holds are ignored.
  */
 public interface Router {
 
     /**
-     * The list of servers changed.
+     * The list of endpoints changed.
      *
      * @param now the clock
-     * @param complete true when {@code members} is the whole list (others are gone), false for changes only
+     * @param complete true when {@code members} is the complete list (others are gone), false for changes only
      * @param members the entries
      */
     void endpointsChanged(long now, boolean complete, List<EndpointInfo> members);
@@ -33,10 +35,10 @@
     void discoveryFailed(long now);
 
     /**
-     * A client's request came in; the router now owes one final answer.
+     * A client's request came in; exactly one final answer has to follow.
      *
      * @param now the clock
-     * @param request what is asked
+     * @param request the request
      */
     void requestReceived(long now, RoutingRequest request);
 
@@ -44,12 +46,12 @@
      * An attempt ended.
      *
      * @param now the clock
-     * @param outcome how
+     * @param outcome how it ended
      */
     void attemptEnded(long now, AttemptOutcome outcome);
 
     /**
-     * The answer to a streamed request has begun: the attempt is the client's now, its time-out is off.
+     * The response to a streamed request has begun: it is passed on to the client, and the attempt has no time-out.
      *
      * @param now the clock
      * @param request the request's id
@@ -58,7 +60,7 @@
     void streamStarted(long now, String request, int attempt);
 
     /**
-     * The client left; nothing more is owed for the request.
+     * The client disconnected; the request needs no final answer.
      *
      * @param now the clock
      * @param request the request's id
@@ -84,10 +86,10 @@
     void groupPurged(long now, int group, long ageUs);
 
     /**
-     * A probe ended.
+     * A health check ended.
      *
      * @param now the clock
-     * @param server whom it asked
+     * @param server the endpoint that was checked
      * @param status {@link AttemptStatus#OK} or why not
      * @param latencyUs how long it took
      * @param load the load report, in the order of {@link RouterSettings#reportFields}; null when there is none
@@ -95,7 +97,7 @@
     default void healthChecked(long now, String server, AttemptStatus status, long latencyUs, double[] load) {}
 
     /**
-     * Another gateway sent a message.
+     * Another gateway sent a gossip message.
      *
      * @param now the clock
      * @param from the sender's number
@@ -117,12 +119,12 @@
          * Sends an attempt; attempts of a request are numbered from 0 in the order sent.
          *
          * @param request the request's id
-         * @param order the attempt
+         * @param plan the attempt
          */
-        void send(String request, AttemptPlan order);
+        void send(String request, AttemptPlan plan);
 
         /**
-         * Final answer: refused; trying again is harmless.
+         * Final answer: rejected; another request is harmless.
          *
          * @param request the request's id
          * @param retryAfterUs when the client should come back; 0 for no advice
@@ -130,33 +132,33 @@
         void reject(String request, long retryAfterUs);
 
         /**
-         * Final answer: failed, with no promise.
+         * Final answer: failed; the request may have run.
          *
          * @param request the request's id
          */
         void fail(String request);
 
         /**
-         * Why the request that is refused or failed next, before anything else happens, is given up.
+         * Tells why the request is terminated; its rejection or failure follows before any other action.
          *
          * @param request the request's id
-         * @param why why
+         * @param reason why
          */
-        default void terminated(String request, TerminationReason why) {}
+        default void terminated(String request, TerminationReason reason) {}
 
         /**
-         * A server is left out until a trial at it succeeds.
+         * An endpoint is ejected until a health-check attempt at it succeeds.
          *
-         * @param server which
-         * @param trial a trial failed, and it stays out
-         * @param pauseUs time to the next trial
+         * @param server the endpoint
+         * @param healthCheck a health-check attempt failed, and it stays ejected
+         * @param pauseUs time to the next health-check attempt
          */
-        default void ejected(String server, boolean trial, long pauseUs) {}
+        default void ejected(String server, boolean healthCheck, long pauseUs) {}
 
         /**
-         * A server that was left out is used again.
+         * An ejected endpoint is used again.
          *
-         * @param server which
+         * @param server the endpoint
          */
         default void recovered(String server) {}
 
@@ -169,14 +171,14 @@
         void cancel(String request, int attempt);
 
         /**
-         * Asks a server how it is.
+         * Sends a health check.
          *
-         * @param server whom
+         * @param server the endpoint to check
          */
         void healthCheck(String server);
 
         /**
-         * Sends at most 256 bytes to another gateway.
+         * Sends a gossip message of at most 256 bytes.
          *
          * @param gateway its number; -1 for all
          * @param data the payload
@@ -191,14 +193,14 @@
          */
         void setTimer(long token, long atUs);
 
-        /** Asks for changes of the roster from now on. */
+        /** Subscribes to changes of the endpoint list. */
         void watchEndpoints();
 
-        /** Asks for the whole roster once. */
+        /** Asks for the complete endpoint list once. */
         void fetchEndpoints();
 
         /**
-         * A line for the people on call.
+         * Writes a log line for the operators.
          *
          * @param line the text
          */
--- /dev/null
+++ b/src/main/java/petrelplank/routing/RouterComponents.java
@@ -0,0 +1,69 @@
+package petrelplank.routing;
+
+import java.util.SplittableRandom;
+
+/**
+ * Makes the parts of a {@link RequestRouter}, one for each concern, in an order in which each knows earlier ones only.
+ */
+final class RouterComponents {
+    final EndpointRegistry endpoints;
+    final PurgeLog purges;
+    final ObjectPopularity popularity;
+    final RetryBudget retryBudget = new RetryBudget();
+    final RetryPolicy retryPolicy;
+    final SlowStart slowStart;
+    final HedgingPolicy hedging;
+    final RequestAdmission admission;
+    final AttemptPlanner planner;
+    final InFlightAttempts attempts;
+    final AttemptSender sender;
+    final SilenceMonitor silence;
+    final OutcomeRecorder outcomes;
+
+    RouterComponents(RouterSettings settings, long seed, Router.Actions actions) {
+        double windowUs = longestDeadlineUs(settings);
+        CacheStatusDetail detail = settings.cacheStatusDetail();
+        RoutingPermissions permissions = settings.permissions();
+        SplittableRandom random = new SplittableRandom(seed);
+        RateLimitedLog log = new RateLimitedLog(actions, windowUs / 10);
+        OutlierDetector outliers = new OutlierDetector(settings.connectTimeoutUs(), actions, log);
+        FailureAttribution attribution = new FailureAttribution(detail);
+        TransferTimeEstimator transferTimes = new TransferTimeEstimator(settings.classes(), settings.flowKbPerSecond());
+        ZoneLink zoneLink = new ZoneLink(settings, windowUs);
+        LoadReports loadReports = new LoadReports(settings, zoneLink);
+        CopyLocations copies = new CopyLocations();
+        purges = new PurgeLog(settings.rules().purgeDoneUs());
+        popularity = new ObjectPopularity(2 * windowUs);
+        retryPolicy = new RetryPolicy(settings, retryBudget);
+        admission = new RequestAdmission(settings, transferTimes, new TenantQuotas(settings, windowUs), random);
+        endpoints = new EndpointRegistry(settings, copies, loadReports);
+        slowStart = new SlowStart(settings, endpoints, zoneLink, windowUs);
+        hedging = new HedgingPolicy(permissions, actions);
+        ConcurrencyLimiter limiter = new ConcurrencyLimiter(settings.zoneGatewayCount(), zoneLink);
+        OriginLoadShedder shedder = new OriginLoadShedder(windowUs, log);
+        OriginCallMonitor originCalls = new OriginCallMonitor(detail, endpoints, shedder, attribution, zoneLink);
+        EligibleEndpoints eligible = new EligibleEndpoints(settings, endpoints, outliers);
+        CacheSelector caches = new CacheSelector(eligible, slowStart, popularity, transferTimes);
+        FillSourceSelector sources = new FillSourceSelector(eligible, endpoints, slowStart, random);
+        planner =
+                new AttemptPlanner(permissions.directToParents(), endpoints, caches, sources, shedder, limiter, copies);
+        attempts = new InFlightAttempts(permissions, actions, limiter, slowStart, transferTimes, windowUs);
+        sender = new AttemptSender(permissions, actions, attempts, hedging, purges, popularity);
+        silence = new SilenceMonitor(hedging, retryBudget, attempts, originCalls, outliers, sources);
+        FillOutcomeRecorder fillOutcomes = new FillOutcomeRecorder(
+                detail, sources, new SlowSourceDetector(endpoints), outliers, attribution, zoneLink);
+        EndpointOutcomeRecorder endpointOutcomes =
+                new EndpointOutcomeRecorder(settings.connectTimeoutUs(), outliers, attribution, copies);
+        outcomes = new OutcomeRecorder(
+                loadReports, transferTimes, hedging, originCalls, limiter, attribution, fillOutcomes, endpointOutcomes);
+    }
+
+    /** The time over which rates are taken: by then, requests that were in flight have ended. */
+    private static double longestDeadlineUs(RouterSettings settings) {
+        long longest = 0;
+        for (ServiceClass serviceClass : settings.classes()) {
+            longest = Math.max(longest, serviceClass.deadlineUs());
+        }
+        return longest;
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/routing/SilenceMonitor.java
@@ -0,0 +1,68 @@
+package petrelplank.routing;
+
+import petrelplank.routing.OutlierDetector.Evidence;
+
+/**
+ * Hedged requests: after a silence that size and usual delay don't explain, a second attempt goes out where two may run
+ * together, else the first is cancelled. The cache is passed by unless it answered others since, then the source. Under
+ * the retry budget; under overload the usual delay rises, and hedging stops by itself.
+ */
+final class SilenceMonitor {
+    private static final double HEDGE_COST = 1;
+
+    private final HedgingPolicy hedging;
+    private final RetryBudget retryBudget;
+    private final InFlightAttempts attempts;
+    private final OriginCallMonitor originCalls;
+    private final OutlierDetector outliers;
+    private final FillSourceSelector sources;
+
+    SilenceMonitor(
+            HedgingPolicy hedging,
+            RetryBudget retryBudget,
+            InFlightAttempts attempts,
+            OriginCallMonitor originCalls,
+            OutlierDetector outliers,
+            FillSourceSelector sources) {
+        this.hedging = hedging;
+        this.retryBudget = retryBudget;
+        this.attempts = attempts;
+        this.originCalls = originCalls;
+        this.outliers = outliers;
+        this.sources = sources;
+    }
+
+    /** A request's check is due; whether another attempt shall be made now. */
+    boolean check(RequestState request, long now) {
+        AttemptState attempt = request.attempts.get(request.attempts.size() - 1);
+        boolean checked = attempt == null || attempt == request.unresponsiveAttempt;
+        if (request.completed || request.inFlight != 1 || checked) {
+            return false;
+        }
+        originCalls.checkLateness(request, attempt, now);
+        if (now < attempt.sentUs + hedging.hedgeDelayUs(request)) {
+            hedging.scheduleCheck(request, attempt, now);
+            return false;
+        }
+        attempts.markUnresponsive(request, attempt);
+        boolean enoughTime = request.request.deadlineUs() - now > request.transferUs;
+        if (!retryBudget.canAfford(HEDGE_COST) || !hedging.mayHedge(request) || !enoughTime) {
+            return false;
+        }
+        retryBudget.spend(HEDGE_COST);
+        request.hedged = true;
+        excludeSilentEndpoint(request, attempt, now);
+        return true;
+    }
+
+    private void excludeSilentEndpoint(RequestState request, AttemptState attempt, long now) {
+        if (attempt.endpoint.lastResponseUs < attempt.sentUs) {
+            outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
+            request.excluded.add(attempt.endpoint);
+        } else if (attempt.isFill() && attempt.source.lastResponseUs < attempt.sentUs) {
+            sources.recordFailure(attempt.source, request);
+            outliers.recordFailure(attempt.source, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
+            request.excluded.add(attempt.source);
+        }
+    }
+}
--- a/src/test/java/petrelplank/routing/DecisionModuleTest.java
+++ b/src/test/java/petrelplank/routing/DecisionModuleTest.java
@@ -14,17 +14,32 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** The module as a whole: its size, odd input, and the same actions for the same events. */
 class DecisionModuleTest {
+    private static final int MAX_LINES = 250;
+    private static final int MAX_COLUMNS = 120;
+
     private final Recorder host = new Recorder().usual();
 
+    /** Each concern stays short enough to be read as a whole. */
     @Test
-    void moduleStaysShortEnoughToReadAtNight() throws IOException {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/petrelplank/routing/RequestRouter.java"));
-        assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 955);
-        assertTrue(lines.stream().allMatch(l -> l.length() <= 120));
+    void everyFileOfThePackageIsShort() throws IOException {
+        List<Path> files = sourceFiles();
+        assertTrue(files.size() > 1, "found " + files);
+        for (Path file : files) {
+            List<String> lines = Files.readAllLines(file);
+            assertTrue(lines.size() <= MAX_LINES, file + " has " + lines.size() + " lines");
+            assertTrue(lines.stream().allMatch(line -> line.length() <= MAX_COLUMNS), file + " has a long line");
+        }
+    }
+
+    private static List<Path> sourceFiles() throws IOException {
+        try (Stream<Path> files = Files.list(Path.of("src/main/java/petrelplank/routing"))) {
+            return files.filter(file -> file.toString().endsWith(".java")).toList();
+        }
     }
 
     @Test
@@ -105,9 +120,12 @@
 
     @Test
     void badSettingIsNamed() {
-        IllegalArgumentException e = assertThrows(
+        IllegalArgumentException thrown = assertThrows(
                 IllegalArgumentException.class, () -> new PlatformRules(-1, 0.2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0));
-        assertTrue(e.getMessage().contains("drainGraceUs") && e.getMessage().contains("-1"), e.getMessage());
+        assertTrue(
+                thrown.getMessage().contains("drainGraceUs")
+                        && thrown.getMessage().contains("-1"),
+                thrown.getMessage());
     }
 
     /** Lists with doubled and unknown ids, and a server that goes and comes back, lose nothing. */
--- a/src/test/java/petrelplank/routing/OriginLinkTest.java
+++ b/src/test/java/petrelplank/routing/OriginLinkTest.java
@@ -69,7 +69,7 @@
     void fillsThatCrawlBehindAnEarlyFirstByteCutTheOriginsShare() {
         fills(2 * S, 110 * MS);
         assertThat(spared()).isGreaterThanOrEqualTo(4);
-        assertThat(host.lines).anyMatch(line -> line.startsWith("origin short"));
+        assertThat(host.lines).anyMatch(line -> line.startsWith("origin overloaded"));
         assertThat(host.lines).as("no hub is blamed").noneMatch(line -> line.startsWith("ejected: p-"));
     }
 
@@ -84,7 +84,7 @@
     void aJamOfTheLocationsOwnLinkIsNotTheOrigins() {
         linkUse = 6;
         fills(900 * MS, 900 * MS);
-        assertThat(host.lines).noneMatch(line -> line.startsWith("origin short"));
+        assertThat(host.lines).noneMatch(line -> line.startsWith("origin overloaded"));
     }
 
     /** Nothing came in all its time, while cache and hub answered others: what lies behind the hub is short. */
--- a/src/test/java/petrelplank/routing/OriginShareTest.java
+++ b/src/test/java/petrelplank/routing/OriginShareTest.java
@@ -58,7 +58,10 @@
         assertFalse(hits.last().onlyIfCached());
     }
 
-    /** A front of a large fleet makes few calls: a share that only time lifted slept for seconds after the origin was well. */
+    /**
+     * A front of a large fleet makes few calls: a share that only time lifted slept for seconds after the origin was
+     * well.
+     */
     @Test
     void goodCallsLiftTheOriginsShareFasterThanTime() {
         for (int i = 0; i < 60; i++) {
@@ -82,7 +85,9 @@
         assertEquals(0, heldOfTen(2000));
     }
 
-    /** Once calls came late, a second's worth of others stood behind them, and all came late for as long as it lasted. */
+    /**
+     * Once calls came late, a second's worth of others stood behind them, and all came late for as long as it lasted.
+     */
     @Test
     void waitOfMoreThanHalfAnAimIsTakenForAQueueAtTheOrigin() {
         assertEquals(0, heldAfterWaitsOf(150 * MS));
