--- a/src/test/java/petrelplank/routing/EdgeChoiceTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import java.util.List;
 import java.util.Set;
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Which cache is asked: rendezvous order, hot objects, reports of room. */
-class EdgeChoiceTest {
-    private final Recorder host = new Recorder().usual();
+class CacheSelectorTest {
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void hotObjectIsWidened() {
@@ -56,10 +56,10 @@
     /** A limit that a jam had sunk under what its cache fits refused a tenth for ten seconds after the jam. */
     @Test
     void limitSinksNoFurtherThanWhatTheCacheFits() {
-        Recorder told = new Recorder(Recorder.settings(
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
-                        Recorder.permissions(),
+                        RouterFixture.permissions(),
                         2,
                         List.of("concurrent", "x0", "x1")))
                 .usual();
@@ -74,10 +74,10 @@
     }
 
     private static Set<String> serversOfACrowdedCachesObjects(double[] report) {
-        Recorder told = new Recorder(Recorder.settings(
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
-                        Recorder.permissions(),
+                        RouterFixture.permissions(),
                         2,
                         List.of("concurrent", "x0", "x1")))
                 .usual();
@@ -99,8 +99,12 @@
     }
 
     private static long looksAfterLateFills(String field, double used) {
-        Recorder told = new Recorder(Recorder.settings(
-                        WeightMeaning.ROUGH, CacheStatusDetail.ALL, Recorder.permissions(), 2, List.of(field, "x0")))
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.ROUGH,
+                        CacheStatusDetail.ALL,
+                        RouterFixture.permissions(),
+                        2,
+                        List.of(field, "x0")))
                 .usual();
         for (int i = 0; i < 30; i++) {
             told.end(told.ask(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {used, 0.5});
@@ -119,8 +123,12 @@
     }
 
     private static int sentAtOnceAfterAReportOf(double inHand, String field) {
-        Recorder told = new Recorder(Recorder.settings(
-                WeightMeaning.ROUGH, CacheStatusDetail.ALL, Recorder.permissions(), 2, List.of(field, "x0", "x1")));
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
+                WeightMeaning.ROUGH,
+                CacheStatusDetail.ALL,
+                RouterFixture.permissions(),
+                2,
+                List.of(field, "x0", "x1")));
         told.router.endpointsChanged(
                 told.now, true, List.of(new EndpointInfo("a", "office", "box", 0, EndpointState.UP, 60, 0)));
         told.end(told.ask(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {inHand, 0.5, 0.5});
--- a/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
@@ -2,15 +2,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** How much is let out at once. */
 class ConcurrencyLimitTest {
-    private final Recorder host = new Recorder().usual();
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void overloadIsShedAtOnceAndAnswersInTimeLetMoreOutAgain() {
@@ -94,8 +94,8 @@
 
     @Test
     void manyGatewaysOfALocationShareItsLimits() {
-        Recorder many = new Recorder(
-                        Recorder.settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, Recorder.permissions(), 40))
+        RouterFixture many = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 40))
                 .usual();
         int sent = 0;
         for (int i = 0; i < 100; i++) {
@@ -106,8 +106,8 @@
 
     @Test
     void locationWithoutGatewayCountsStillDecides() {
-        Recorder none = new Recorder(
-                        Recorder.settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, Recorder.permissions(), 0))
+        RouterFixture none = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 0))
                 .usual();
         assertEquals(1, none.attempts(none.ask(1)));
     }
@@ -127,10 +127,10 @@
     }
 
     private static long looksAfterLateFills(double linkUse) {
-        Recorder told = new Recorder(Recorder.settings(
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
-                        Recorder.permissions(),
+                        RouterFixture.permissions(),
                         2,
                         List.of("concurrent", "x0", "x1")))
                 .usual();
@@ -146,7 +146,7 @@
     }
 
     private static long looksOfABurst(double linkUse) {
-        Recorder told = reporting();
+        RouterFixture told = reporting();
         told.end(told.ask(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {1, 0.5, linkUse});
         int before = told.sent.size();
         for (int i = 10; i < 30; i++) {
@@ -158,7 +158,7 @@
     }
 
     private static long looksAfterFillsOf(double sizeKb) {
-        Recorder told = new Recorder().usual();
+        RouterFixture told = new RouterFixture().usual();
         for (int i = 0; i < 30; i++) {
             told.end(told.ask("video", i, 0, 4 * S, 0), AttemptStatus.OK, CacheStatus.FILLED, 1200 * MS, null, sizeKb);
         }
@@ -170,11 +170,11 @@
                 .count();
     }
 
-    private static Recorder reporting() {
-        return new Recorder(Recorder.settings(
+    private static RouterFixture reporting() {
+        return new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
-                        Recorder.permissions(),
+                        RouterFixture.permissions(),
                         6,
                         List.of("concurrent", "x0", "x1")))
                 .usual();
--- a/src/test/java/petrelplank/routing/FillSourceTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import java.util.List;
 import java.util.Set;
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /** From where a miss is filled. */
-class FillSourceTest {
-    private final Recorder host = new Recorder().usual();
+class FillSourceSelectorTest {
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void missIsFilledFromTheNearestParentWhileAllAreGood() {
@@ -131,7 +131,7 @@
         }
         assertTrue(slow < 40, "slow " + slow);
         int near = 0;
-        Recorder large = new Recorder().usual();
+        RouterFixture large = new RouterFixture().usual();
         for (int i = 0; i < 60; i++) {
             String id = large.ask("video", i, 0, 4 * S, 0);
             near += large.last().source().equals("p-north") ? 1 : 0;
--- a/src/test/java/petrelplank/routing/OriginLinkTest.java
+++ b/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -11,11 +11,11 @@
  * The origin's link is thin: where too many fills share it, each crawls though its first byte came soon, and the fills
  * of clients that have left run on. Nothing told of it, and goodput by way of the origin fell to a fiftieth.
  */
-class OriginLinkTest {
-    private final Recorder host = new Recorder(Recorder.settings(
+class OriginCallMonitorTest {
+    private final RouterFixture host = new RouterFixture(RouterFixture.settings(
                     WeightMeaning.ROUGH,
                     CacheStatusDetail.ALL,
-                    Recorder.permissions(),
+                    RouterFixture.permissions(),
                     2,
                     List.of("concurrent", "x0", "x1")))
             .usual();
--- a/src/test/java/petrelplank/routing/OriginShareTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import org.junit.jupiter.api.Test;
 
 /** How many misses may call an origin that is short, and what is done without a fill. */
-class OriginShareTest {
-    private final Recorder host = new Recorder().usual();
+class OriginLoadShedderTest {
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void requestWithNoSourceLeftLooksOnceAndIsAnswered() {
@@ -35,8 +35,8 @@
 
     @Test
     void failingOriginIsSparedParentsAreAskedWhatTheyHoldAndWritesStayLongest() {
-        Recorder hits = new Recorder(
-                        Recorder.settings(WeightMeaning.NOMINAL, CacheStatusDetail.HITS, Recorder.permissions()))
+        RouterFixture hits = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.NOMINAL, CacheStatusDetail.HITS, RouterFixture.permissions()))
                 .usual();
         for (int i = 100; i < 103; i++) {
             hits.end(hits.ask(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
@@ -120,7 +120,7 @@
     }
 
     private static long heldAfterWaitsOf(long waitUs) {
-        Recorder host = new Recorder().usual();
+        RouterFixture host = new RouterFixture().usual();
         for (int i = 0; i < 40; i++) {
             String id = host.ask(i);
             if (!host.last().onlyIfCached()) {
--- a/src/test/java/petrelplank/routing/MembershipTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
-import static petrelplank.routing.Recorder.cache;
-import static petrelplank.routing.Recorder.parent;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+import static petrelplank.routing.RouterFixture.cache;
+import static petrelplank.routing.RouterFixture.parent;
 
 import java.util.List;
 import java.util.Set;
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Which servers are offered: lists, ejection and return. */
-class MembershipTest {
-    private final Recorder host = new Recorder().usual();
+class OutlierDetectorTest {
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void oneObjectGoesToOneCacheAndManyToAll() {
@@ -105,7 +105,7 @@
 
     @Test
     void emptyRosterAnswersAtOnce() {
-        Recorder empty = new Recorder();
+        RouterFixture empty = new RouterFixture();
         empty.router.endpointsChanged(empty.now, true, List.of());
         String id = empty.ask(1);
         assertEquals(List.of(id), empty.refused);
--- a/src/test/java/petrelplank/routing/PurgeTest.java
+++ b/src/test/java/petrelplank/routing/PurgeLogTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import org.junit.jupiter.api.Test;
 
 /** Ages of copies after a purge. */
-class PurgeTest {
-    private final Recorder host = new Recorder().usual();
+class PurgeLogTest {
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void purgeBoundsTheAgeOfEveryLaterSend() {
--- a/src/test/java/petrelplank/routing/RecordedActions.java
+++ b/src/test/java/petrelplank/routing/RecordingActions.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /** Writes down what a router does. */
-class RecordedActions implements Router.Actions {
+class RecordingActions implements Router.Actions {
     record Sent(String request, AttemptPlan order) {}
 
     final List<Sent> sent = new ArrayList<>();
--- a/src/test/java/petrelplank/routing/DecisionModuleTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
-import static petrelplank.routing.Recorder.cache;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+import static petrelplank.routing.RouterFixture.cache;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The module as a whole: its size, odd input, and the same actions for the same events. */
-class DecisionModuleTest {
+class RequestRouterTest {
     private static final int MAX_LINES = 250;
     private static final int MAX_COLUMNS = 120;
 
-    private final Recorder host = new Recorder().usual();
+    private final RouterFixture host = new RouterFixture().usual();
 
     /** Each concern stays short enough to be read as a whole. */
     @Test
@@ -54,7 +54,7 @@
 
     @Test
     void settingsWithoutParentsSiblingsSizesNotesOrWeightsStillDecide() {
-        Recorder bare = new Recorder(new RouterSettings(
+        RouterFixture bare = new RouterFixture(new RouterSettings(
                 0,
                 1,
                 "z",
@@ -70,7 +70,7 @@
                 null,
                 false,
                 0,
-                List.of(Recorder.VIDEO),
+                List.of(RouterFixture.VIDEO),
                 new RoutingPermissions(2, false, false, false, false, false, 0, false, false, SiblingFillPolicy.NONE),
                 new PlatformRules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)));
         bare.router.endpointsChanged(
@@ -98,7 +98,7 @@
 
     @Test
     void sameEventsGiveSameActions() {
-        Recorder other = new Recorder().usual();
+        RouterFixture other = new RouterFixture().usual();
         host.fills(0, 300);
         other.fills(0, 300);
         assertEquals(host.all, other.all);
@@ -106,7 +106,7 @@
 
     @Test
     void strayMessagesReportsAndProbesChangeNothing() {
-        Recorder plain = new Recorder().usual();
+        RouterFixture plain = new RouterFixture().usual();
         host.router.gossipReceived(host.now, 77, new byte[] {1, 2});
         host.router.gossipReceived(host.now, -1, new byte[300]);
         host.router.healthChecked(host.now, "nobody", AttemptStatus.OK, 5, new double[] {Double.NaN, 1e9});
--- a/src/test/java/petrelplank/routing/Recorder.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** A host that writes down what the router does, with short ways to script events. */
-final class Recorder extends RecordedActions {
+final class RouterFixture extends RecordingActions {
     static final long MS = 1000;
     static final long S = 1000 * MS;
     static final ServiceClass VIDEO = new ServiceClass(
@@ -104,16 +104,16 @@
                 rules());
     }
 
-    Recorder() {
+    RouterFixture() {
         this(settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, permissions()));
     }
 
-    Recorder(RouterSettings settings) {
+    RouterFixture(RouterSettings settings) {
         router = new RequestRouter(settings, 7, this);
     }
 
     /** A usual roster: four caches, a parent at each of two hubs, an origin, a cache elsewhere. */
-    Recorder usual() {
+    RouterFixture usual() {
         router.endpointsChanged(
                 now,
                 true,
--- a/src/test/java/petrelplank/routing/AttemptsTest.java
+++ b/src/test/java/petrelplank/routing/SilenceMonitorTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Retries, hedged requests and final answers. */
-class AttemptsTest {
-    private final Recorder host = new Recorder().usual();
+class SilenceMonitorTest {
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void keyedWriteThatMayHaveRunIsNotSentAgainAfterItsWindow() {
@@ -63,7 +63,7 @@
 
     @Test
     void answerThatNeverComesIsAskedForTwiceWhereSecondCopiesAreAllowedAndTheLoserIsCalledOff() {
-        Recorder two = new Recorder(Recorder.settings(
+        RouterFixture two = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL,
                         CacheStatusDetail.ALL,
                         new RoutingPermissions(
--- a/src/test/java/petrelplank/routing/ColdFleetTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartFleetTest.java
@@ -14,9 +14,9 @@
  * A cold cache under the sum of what all gateways of its zone send, in simulated time. What it is sent is counted at
  * the cache, in any window of the rule's length, against what the settings allow it by the window's end.
  */
-class ColdFleetTest {
-    private static final long MS = Recorder.MS;
-    private static final long S = Recorder.S;
+class SlowStartFleetTest {
+    private static final long MS = RouterFixture.MS;
+    private static final long S = RouterFixture.S;
     private static final String COLD = "a";
     private static final double WEIGHT = 40;
     private static final long WORK_US = 100 * MS;
@@ -30,26 +30,26 @@
     private int sent;
     private double worst = Double.NEGATIVE_INFINITY;
 
-    private static Recorder gateway(int gateways) {
-        return new Recorder(
-                Recorder.settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, Recorder.permissions(), gateways));
+    private static RouterFixture gateway(int gateways) {
+        return new RouterFixture(RouterFixture.settings(
+                WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), gateways));
     }
 
-    private Recorder started(int gateways, long nowUs) {
-        Recorder host = gateway(gateways);
+    private RouterFixture started(int gateways, long nowUs) {
+        RouterFixture host = gateway(gateways);
         host.now = nowUs;
         List<EndpointInfo> members = new ArrayList<>();
         for (String id : List.of(COLD, "b", "c")) {
             members.add(new EndpointInfo(
                     id, "office", "box", 0, EndpointState.UP, WEIGHT, id.equals(COLD) ? startedUs : 0));
         }
-        members.add(Recorder.parent("p-north", "north", 0));
+        members.add(RouterFixture.parent("p-north", "north", 0));
         host.router.endpointsChanged(nowUs, true, members);
         return host;
     }
 
     private double permissions(long nowUs) {
-        PlatformRules rules = Recorder.rules();
+        PlatformRules rules = RouterFixture.rules();
         double ramp = rules.slowStartFrom() + (1 - rules.slowStartFrom()) * (nowUs - startedUs) / rules.slowStartUs();
         return rules.overloadMultiple() * Math.min(1, ramp) * WEIGHT * rules.overloadUs() / WORK_US;
     }
@@ -57,7 +57,7 @@
     private void audit(long nowUs) {
         window.add(nowUs);
         sent++;
-        while (window.peek() < nowUs - Recorder.rules().overloadUs()) {
+        while (window.peek() < nowUs - RouterFixture.rules().overloadUs()) {
             window.poll();
         }
         double most = permissions(nowUs);
@@ -68,7 +68,7 @@
     @ParameterizedTest
     @CsvSource({"2, 0.7", "20, 0.7", "30, 0.7", "100, 0.7", "30, 0.1", "100, 0.1"})
     void sumOfAllGatewaysStaysWithinTheBudget(int gateways, double restarted) {
-        List<Recorder> fleet = new ArrayList<>();
+        List<RouterFixture> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
             fleet.add(started(gateways, startedUs));
         }
@@ -92,7 +92,7 @@
         assertThat(sent).as("sent to the cold cache at all").isGreaterThan(gateways);
     }
 
-    private void ask(Recorder host, long now, long object) {
+    private void ask(RouterFixture host, long now, long object) {
         host.now = now;
         int before = host.sent.size();
         String id = host.ask(object);
--- a/src/test/java/petrelplank/routing/ColdBudgetTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -1,17 +1,17 @@
 package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
-import static petrelplank.routing.Recorder.cache;
-import static petrelplank.routing.Recorder.parent;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+import static petrelplank.routing.RouterFixture.cache;
+import static petrelplank.routing.RouterFixture.parent;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Budgets of servers that have just started. */
-class ColdBudgetTest {
-    private final Recorder host = new Recorder().usual();
+class SlowStartTest {
+    private final RouterFixture host = new RouterFixture().usual();
 
     @Test
     void coldCacheIsSentNoMoreThanItsBudget() {
--- a/src/test/java/petrelplank/routing/TenantsTest.java
+++ b/src/test/java/petrelplank/routing/TenantQuotasTest.java
@@ -2,16 +2,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static petrelplank.routing.Recorder.MS;
-import static petrelplank.routing.Recorder.S;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Where load must be shed, what lies over a tenant's allowance goes first; where there is room, all is served. */
-class TenantsTest {
+class TenantQuotasTest {
     private static RouterSettings settings(double quotaPerSecond, double overQuotaWeightFactor) {
-        RouterSettings s = Recorder.settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, Recorder.permissions(), 2);
+        RouterSettings s =
+                RouterFixture.settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 2);
         return new RouterSettings(
                 s.self(),
                 s.gateways(),
@@ -37,7 +38,7 @@
 
     /** Requests of each tenant in turn at one moment; how many of them were refused. */
     private static int[] refusedOfABurst(RouterSettings settings, String... tenants) {
-        Recorder host = new Recorder(settings).usual();
+        RouterFixture host = new RouterFixture(settings).usual();
         host.fills(0, 100);
         int[] refused = new int[tenants.length];
         for (int i = 0; i < 400; i++) {
@@ -75,7 +76,7 @@
 
     @Test
     void thereIsNoSheddingWhileThereIsRoom() {
-        Recorder host = new Recorder(settings(2, 0.1)).usual();
+        RouterFixture host = new RouterFixture(settings(2, 0.1)).usual();
         host.tenant = "small";
         for (int i = 0; i < 200; i++) {
             String id = host.ask(i);
@@ -94,7 +95,7 @@
 
     /** What a tenant that asked 300 times at once, and rested, is let through over what another one is. */
     private static double letThroughAfterAFlood(long restUs) {
-        Recorder host = new Recorder(settings(60, 0.1)).usual();
+        RouterFixture host = new RouterFixture(settings(60, 0.1)).usual();
         host.tenant = "small";
         for (int i = 0; i < 300; i++) {
             host.end(host.ask(i), AttemptStatus.OK, CacheStatus.HIT, MS);
