--- a/src/main/java/petrelplank/emulator/Simulation.java
+++ b/src/main/java/petrelplank/emulator/Simulation.java
@@ -201,7 +201,9 @@
                         OriginServer.FALL_US,
                         PURGE_GRACE_US,
                         6_000_000,
-                        10_000_000));
+                        10_000_000),
+                List.of(),
+                0);
     }
 
     private void start(String name, String branch) {
--- a/src/main/java/petrelplank/proxy/RouterWarmup.java
+++ b/src/main/java/petrelplank/proxy/RouterWarmup.java
@@ -41,7 +41,7 @@
             router.requestReceived(
                     now,
                     new RoutingRequest(
-                            id, i % 64, 0, i % 16, type.name(), now + type.deadlineUs(), 0, type.write(), false));
+                            id, i % 64, 0, i % 16, type.name(), now + type.deadlineUs(), 0, type.write(), false, null));
             now += STEP_US;
             if (host.order != null) {
                 router.attemptEnded(
--- a/src/main/java/petrelplank/routing/AttemptOutcome.java
+++ b/src/main/java/petrelplank/routing/AttemptOutcome.java
@@ -8,10 +8,10 @@
  * @param status how it ended
  * @param latencyUs time since it was sent
  * @param completed the request has its final answer
- * @param cacheStatus what is told of the copy or the fill
- * @param sourceWaitUs time to the source's first byte or failure; 0 when not told
- * @param load the server's load report; null when there is none
- * @param sizeKb size of what came; 0 when not told
+ * @param cacheStatus what the response tells of the copy or the fill
+ * @param sourceWaitUs time to the source's first byte or failure; 0 where it is not known
+ * @param load the endpoint's load report; null where there is none
+ * @param sizeKb size of the response; 0 where it is not known
  */
 public record AttemptOutcome(
         String request,
--- a/src/main/java/petrelplank/routing/AttemptPlan.java
+++ b/src/main/java/petrelplank/routing/AttemptPlan.java
@@ -1,15 +1,15 @@
 package petrelplank.routing;
 
 /**
- * An attempt to send.
+ * An attempt to send, with what the endpoint is asked to do on a miss.
  *
- * @param server who is asked
- * @param source who supplies a miss; the server itself for nobody
- * @param rank rank of the copy, 1 to 3; 0 keeps nothing and changes nothing
- * @param maxAgeUs oldest copy that will do; 0 for the class's own limit
- * @param coalesce join a fill under way
- * @param onlyIfCached the source gives only what it holds
- * @param staleWhileRevalidate an ageing copy is served and fetched anew behind
+ * @param server the endpoint that is asked
+ * @param source the endpoint that a miss is filled from; the server itself for none
+ * @param rank rank of the copy in the cache, 1 to 3; 0 caches nothing and changes nothing
+ * @param maxAgeUs age of the oldest acceptable copy; 0 for the class's own limit
+ * @param coalesce join a fill in progress (request coalescing)
+ * @param onlyIfCached the source serves only what it has cached
+ * @param staleWhileRevalidate a copy past its fresh time is served, and fetched anew in the background
  * @param timeoutUs the attempt's time-out, more than 0
  */
 public record AttemptPlan(
--- a/src/main/java/petrelplank/routing/AttemptStatus.java
+++ b/src/main/java/petrelplank/routing/AttemptStatus.java
@@ -4,21 +4,21 @@
 public enum AttemptStatus {
     /** Served. */
     OK,
-    /** The server answered with an error; the request may have run. */
+    /** The endpoint answered with an error; the request may have run. */
     ERROR,
-    /** Turned away unseen, or its fill source refused or was not reached; it did not run. */
+    /** Rejected by the endpoint or its fill source, or the source was not reached; the request did not run. */
     REJECTED,
-    /** No answer in the time allowed; it may have run or still run. */
+    /** No response before the time-out; the request may have run or still run. */
     TIMEOUT,
-    /** No connection was made; it did not run. */
+    /** No connection was made; the request did not run. */
     CONNECT_FAILED,
-    /** The connection broke; it may have run. */
+    /** The connection broke; the request may have run. */
     RESET,
-    /** Withdrawn by the router; it may have run. */
+    /** Cancelled by the router; the request may have run. */
     CANCELLED,
-    /** Never sent; it did not run. */
+    /** Never sent; the request did not run. */
     NOT_SENT,
-    /** No copy that will do and none was filled; it did not run. */
+    /** No acceptable copy, and none was filled; the request did not run. */
     MISS;
 
     /**
--- a/src/main/java/petrelplank/routing/CacheStatus.java
+++ b/src/main/java/petrelplank/routing/CacheStatus.java
@@ -1,26 +1,26 @@
 package petrelplank.routing;
 
-/** What the answer tells of a copy or a fill. */
+/** What a response tells of a copy or a fill. */
 public enum CacheStatus {
     /** Nothing is told. */
     NONE,
-    /** The copy was there. */
+    /** Served from a copy in the cache. */
     HIT,
     /** Filled from the source's copy. */
     FILLED,
     /** Filled by way of the origin. */
     FILLED_FROM_ORIGIN,
-    /** Joined a fill under way; on a miss: one is under way. */
+    /** Joined a fill in progress; on a miss: one is in progress. */
     COALESCED,
     /** Served from a copy past its fresh time. */
     STALE,
-    /** The source refused. */
+    /** The source rejected the fill. */
     SOURCE_REJECTED,
-    /** The source was not reached, broke off or was too slow. */
+    /** The source was not reached, broke the connection or was too slow. */
     SOURCE_UNREACHABLE,
     /** The source has no copy. */
     SOURCE_MISS,
-    /** The cache has no place left for a fill. */
+    /** The cache is at its limit of fills. */
     FILL_LIMIT_REACHED,
     /** The origin failed behind the parent. */
     ORIGIN_FAILED;
--- a/src/main/java/petrelplank/routing/CacheStatusDetail.java
+++ b/src/main/java/petrelplank/routing/CacheStatusDetail.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** How much the answers tell; see {@link CacheStatus}. */
+/** How much responses tell; see {@link CacheStatus}. */
 public enum CacheStatusDetail {
     /** Nothing. */
     NONE,
     /** Hits and fills, not failures. */
     HITS,
-    /** Everything, with the wait for the source. */
+    /** Everything, also the wait for the source. */
     ALL
 }
--- a/src/main/java/petrelplank/routing/Checks.java
+++ b/src/main/java/petrelplank/routing/Checks.java
@@ -1,10 +1,10 @@
 package petrelplank.routing;
 
-/** Checks of figures that settings tell. */
+/** Checks of values in settings. */
 final class Checks {
     private Checks() {}
 
-    /** Ends with a message that names the setting and the value that it can't have. */
+    /** Throws where a value is out of range; the message names the setting and the value. */
     static void require(boolean holds, String name, Object value) {
         if (!holds) {
             throw new IllegalArgumentException("setting " + name + ": bad value " + value);
--- a/src/main/java/petrelplank/routing/EndpointState.java
+++ b/src/main/java/petrelplank/routing/EndpointState.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** The state of a listed server. */
+/** The state of a listed endpoint. */
 public enum EndpointState {
     /** Running. */
     UP,
-    /** Finishing its work; takes nothing new. */
+    /** Finishes its requests; takes no new ones. */
     DRAINING,
-    /** Removed. */
+    /** No longer listed. */
     REMOVED
 }
--- a/src/main/java/petrelplank/routing/Idempotency.java
+++ b/src/main/java/petrelplank/routing/Idempotency.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** How far a class may be repeated. */
+/** Whether requests of a class may run more than once. */
 public enum Idempotency {
-    /** Any number of times. */
+    /** They may, any number of times. */
     IDEMPOTENT,
-    /** Inside its group of servers and its window only. */
+    /** Repeats with the same key are dropped inside a scope of endpoints and a window of time. */
     IDEMPOTENT_WITH_KEY,
-    /** Only when no earlier attempt can have run. */
+    /** They may not: a retry needs proof that no earlier attempt has run. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/petrelplank/routing/IdempotencyScope.java
+++ b/src/main/java/petrelplank/routing/IdempotencyScope.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Which servers drop the repeats of a keyed request. */
+/** Which endpoints drop the repeats of a request with a key. */
 public enum IdempotencyScope {
     /** All of them. */
     ALL,
--- a/src/main/java/petrelplank/routing/PlatformRules.java
+++ b/src/main/java/petrelplank/routing/PlatformRules.java
@@ -1,21 +1,21 @@
 package petrelplank.routing;
 
 /**
- * Figures of the rules.
+ * Figures of the platform's rules: draining, slow start, overload, purges, discovery.
  *
- * @param drainGraceUs sends to a draining or gone server stop within this
- * @param slowStartFrom part of its capacity with which a cache starts, at least
- * @param slowStartUs it has all of it after this, at most
- * @param overloadMultiple sent more than this multiple of its present capacity
- * @param overloadUs for this long, a cold server falls over
+ * @param drainGraceUs nothing new may be sent to a draining or removed endpoint after this
+ * @param slowStartFrom least part of its capacity with which a cache starts
+ * @param slowStartUs after this a cache has all of its capacity
+ * @param overloadMultiple a cache in slow start that is sent more than this multiple of its present capacity
+ * @param overloadUs for this long fails
  * @param parentSlowStartFrom as {@code slowStartFrom}, for parents
  * @param parentSlowStartUs as {@code slowStartUs}, for parents
  * @param parentOverloadMultiple as {@code overloadMultiple}, for parents
- * @param originOverloadMultiple overload at which the origin stops for a while; 0 for none
- * @param originOverloadUs for how long it bears that
- * @param purgeGraceUs time to heed a purge
+ * @param originOverloadMultiple overload at which the origin stops serving for a while; 0 for none
+ * @param originOverloadUs how long the origin bears that
+ * @param purgeGraceUs time in which a purge has to take effect
  * @param purgeDoneUs after this no older copy is left anywhere
- * @param pollIntervalUs where the roster must be asked for: at least this often
+ * @param pollIntervalUs where the endpoint list has to be polled: the longest interval
  */
 public record PlatformRules(
         long drainGraceUs,
@@ -31,7 +31,7 @@
         long purgeGraceUs,
         long purgeDoneUs,
         long pollIntervalUs) {
-    /** Checks the figures. */
+    /** Checks the values. */
     public PlatformRules {
         Checks.require(drainGraceUs >= 0, "drainGraceUs (must be 0 or more)", drainGraceUs);
         Checks.require(slowStartFrom >= 0 && slowStartFrom <= 1, "coldFrom (must be 0 to 1)", slowStartFrom);
--- a/src/main/java/petrelplank/routing/RouterSettings.java
+++ b/src/main/java/petrelplank/routing/RouterSettings.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * What an instance is told at its start.
+ * Settings of a {@link Router}: the gateway's place in the fleet, the service classes and the rules of the platform.
  *
  * @param self its number among the gateways
- * @param gateways how many there are
- * @param zone its zone
+ * @param gateways gateways in the fleet
+ * @param zone the gateway's zone
  * @param zones all zones
- * @param zoneGateways gateways in each of {@code zones}; empty when not told
- * @param zoneHub by zone: its hub, as a place in {@code zones}; hubs form a ring; empty when not told
- * @param zoneLinkKbPerSecond by zone: its link in; 0 or empty when not told
- * @param parentKind the kind of the parents; null where there are none
- * @param originKind the kind of the origin; null where there is none
- * @param flowKbPerSecond top pace of one answer; 0 when not told
- * @param weightMeaning what the members' weights mean
- * @param cacheStatusDetail how much the answers tell
+ * @param zoneGateways gateways in each of {@code zones}; empty where they are not known
+ * @param zoneHub by zone: its hub, as a place in {@code zones}; hubs form a ring; empty where they are not known
+ * @param zoneLinkKbPerSecond by zone: capacity of the link into it; 0 or empty where it is not known
+ * @param parentKind the {@link EndpointInfo#kind} of parents; null where there are none
+ * @param originKind the {@link EndpointInfo#kind} of the origin; null where there is none
+ * @param flowKbPerSecond highest rate of one response; 0 where it is not known
+ * @param weightMeaning what the endpoints' weights mean
+ * @param cacheStatusDetail how much responses tell of copies and fills
  * @param reportFields names of the values in load reports
- * @param watchEndpoints the roster comes only after {@link Router.Actions#watchEndpoints}
- * @param connectTimeoutUs a connection not made in this time failed
- * @param classes the classes of requests
- * @param permissions what may be done
- * @param rules figures of the rules
- * @param tenants those that requests are counted for; empty where there are none
- * @param overQuotaWeightFactor part of a class's worth that a request beyond its tenant's allowance earns
+ * @param watchEndpoints the endpoint list comes only after {@link Router.Actions#watchEndpoints}
+ * @param connectTimeoutUs a connection that is not made in this time has failed
+ * @param classes the service classes
+ * @param permissions what the platform allows the router to do
+ * @param rules figures of the platform's rules
+ * @param tenants tenants with a quota; empty where there are none
+ * @param overQuotaWeightFactor part of a class's priority weight that a request over its tenant's quota has
  */
 public record RouterSettings(
         int self,
@@ -57,50 +57,7 @@
         return at < zoneGateways.size() && zoneGateways.get(at) > 0 ? zoneGateways.get(at) : gateways;
     }
 
-    /** A site without tenants. */
-    public RouterSettings(
-            int self,
-            int gateways,
-            String zone,
-            List<String> zones,
-            List<Integer> zoneGateways,
-            List<Integer> zoneHub,
-            List<Double> zoneLinkKbPerSecond,
-            String parentKind,
-            String originKind,
-            double flowKbPerSecond,
-            WeightMeaning weightMeaning,
-            CacheStatusDetail cacheStatusDetail,
-            List<String> reportFields,
-            boolean watchEndpoints,
-            long connectTimeoutUs,
-            List<ServiceClass> classes,
-            RoutingPermissions permissions,
-            PlatformRules rules) {
-        this(
-                self,
-                gateways,
-                zone,
-                zones,
-                zoneGateways,
-                zoneHub,
-                zoneLinkKbPerSecond,
-                parentKind,
-                originKind,
-                flowKbPerSecond,
-                weightMeaning,
-                cacheStatusDetail,
-                reportFields,
-                watchEndpoints,
-                connectTimeoutUs,
-                classes,
-                permissions,
-                rules,
-                List.of(),
-                0);
-    }
-
-    /** Checks and copies the figures. */
+    /** Checks and copies the values. */
     public RouterSettings {
         Checks.require(gateways > 0, "gateways (must be above 0)", gateways);
         Checks.require(self >= 0, "self (must be 0 or more)", self);
--- a/src/main/java/petrelplank/routing/RoutingPermissions.java
+++ b/src/main/java/petrelplank/routing/RoutingPermissions.java
@@ -1,18 +1,18 @@
 package petrelplank.routing;
 
 /**
- * What may be done, and how much.
+ * What the platform allows the router to do, and how much of it.
  *
- * @param maxAttempts most attempts for one request
- * @param hedging two attempts of one request may be out together
+ * @param maxAttempts upper bound on attempts for one request
+ * @param hedging two attempts of one request may be in flight together
  * @param cancel {@link Router.Actions#cancel} is allowed
  * @param healthChecks {@link Router.Actions#healthCheck} is allowed
  * @param gossip {@link Router.Actions#gossip} is allowed
- * @param retryAfter clients are told when to come back
- * @param maxRetryAfterUs the longest time that clients follow
- * @param coalescing fills under way may be joined
- * @param directToParents parents and the origin take attempts too
- * @param siblingFills caches that may be a source
+ * @param retryAfter rejections may carry advice on when to retry
+ * @param maxRetryAfterUs the longest such advice
+ * @param coalescing requests may join a fill in progress
+ * @param directToParents attempts may go to parents and the origin without a cache between
+ * @param siblingFills which caches may be the source of a fill
  */
 public record RoutingPermissions(
         int maxAttempts,
@@ -25,7 +25,7 @@
         boolean coalescing,
         boolean directToParents,
         SiblingFillPolicy siblingFills) {
-    /** Checks the figures. */
+    /** Checks the values. */
     public RoutingPermissions {
         Checks.require(maxAttempts > 0, "attempts (must be above 0)", maxAttempts);
         Checks.require(maxRetryAfterUs >= 0, "maxRetryAfterUs (must be 0 or more)", maxRetryAfterUs);
--- a/src/main/java/petrelplank/routing/ServiceClass.java
+++ b/src/main/java/petrelplank/routing/ServiceClass.java
@@ -1,22 +1,22 @@
 package petrelplank.routing;
 
 /**
- * A class of requests.
+ * A class of requests, with its latency objective, priority and idempotency.
  *
  * @param name its name
- * @param latencyObjectiveUs an answer within this earns the full worth
- * @param objectiveSizeFactor the aim grows by this multiple of the request's sending time
- * @param deadlineUs how long a client waits over all its tries
- * @param priorityWeight worth of an answer in time
- * @param lateWeightFactor part of the worth that a later answer earns
- * @param idempotency how far it may be repeated
- * @param idempotencyScope for keyed classes: who drops repeats
- * @param idempotencyWindowUs for keyed classes: for how long, from the first send that may have run
+ * @param latencyObjectiveUs a response within this earns the full priority weight
+ * @param objectiveSizeFactor the objective grows by this multiple of the request's transfer time
+ * @param deadlineUs how long a client waits over all attempts
+ * @param priorityWeight weight of a response in time
+ * @param lateWeightFactor part of the weight that a later response earns
+ * @param idempotency whether a request may run more than once
+ * @param idempotencyScope for requests with a key: which endpoints drop repeats
+ * @param idempotencyWindowUs for requests with a key: for how long, from the first attempt that may have run
  * @param streamed whether {@link Router#streamStarted} is reported
  * @param freshnessUs how long a copy is fresh; 0 for no limit
- * @param staleIfErrorUs how much older than fresh a copy may still be asked for
- * @param staleWeightFactor part of the worth that such an old copy earns
- * @param write runs at the origin and is never kept
+ * @param staleIfErrorUs how much older than fresh a copy may be where a fill fails (stale-if-error)
+ * @param staleWeightFactor part of the weight that such a stale copy earns
+ * @param write a write: it runs at the origin, and the response is never cached
  */
 public record ServiceClass(
         String name,
@@ -33,7 +33,7 @@
         long staleIfErrorUs,
         double staleWeightFactor,
         boolean write) {
-    /** Checks the figures. */
+    /** Checks the values. */
     public ServiceClass {
         Checks.require(name != null, "class name", name);
         Checks.require(latencyObjectiveUs > 0, name + " aimUs (must be above 0)", latencyObjectiveUs);
--- a/src/main/java/petrelplank/routing/SiblingFillPolicy.java
+++ b/src/main/java/petrelplank/routing/SiblingFillPolicy.java
@@ -2,10 +2,10 @@
 
 /** Which caches may be the source of a fill. */
 public enum SiblingFillPolicy {
-    /** None. */
+    /** No cache. */
     NONE,
-    /** Those of the own zone. */
+    /** Caches of the gateway's zone. */
     OWN_ZONE,
-    /** Any. */
+    /** Any cache. */
     ANY
 }
--- a/src/main/java/petrelplank/routing/WeightMeaning.java
+++ b/src/main/java/petrelplank/routing/WeightMeaning.java
@@ -1,13 +1,13 @@
 package petrelplank.routing;
 
-/** What a server's weight means. */
+/** What an endpoint's weight means. */
 public enum WeightMeaning {
-    /** Nothing: all are alike. */
+    /** Nothing: all endpoints are alike. */
     NONE,
-    /** Its link out, in answers at full pace. */
+    /** The capacity of its outgoing link, in responses at full pace. */
     NOMINAL,
     /** The same, roughly. */
     ROUGH,
-    /** The same over its load, a while back. */
+    /** The same over its load some time ago. */
     LIVE
 }
--- a/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
@@ -69,7 +69,7 @@
             boolean big = i % 2 == 0;
             host.router.requestReceived(
                     host.now,
-                    new RoutingRequest(id, i, 0, 0, "video", host.now + 4 * S, big ? 1600 : 800, false, false));
+                    new RoutingRequest(id, i, 0, 0, "video", host.now + 4 * S, big ? 1600 : 800, false, false, null));
             large += big && host.refused.contains(id) ? 1 : 0;
             usual += !big && host.refused.contains(id) ? 1 : 0;
         }
--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -72,7 +72,9 @@
                 0,
                 List.of(RouterFixture.VIDEO),
                 new RoutingPermissions(2, false, false, false, false, false, 0, false, false, SiblingFillPolicy.NONE),
-                new PlatformRules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)));
+                new PlatformRules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0),
+                null,
+                0));
         bare.router.endpointsChanged(
                 bare.now,
                 true,
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -101,7 +101,9 @@
                 400 * MS,
                 List.of(VIDEO, FILE, NOTE),
                 allowed,
-                rules());
+                rules(),
+                List.of(),
+                0);
     }
 
     RouterFixture() {
