--- a/src/test/java/petrelplank/routing/CacheSelectorTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static petrelplank.routing.RouterFixture.MS;
-import static petrelplank.routing.RouterFixture.S;
 
 import java.util.List;
 import java.util.Set;
@@ -32,47 +31,6 @@
                 1, serversOfACrowdedCachesObjects(new double[] {30, 0.5, 0.5}).size());
     }
 
-    /** When other gateways stop, their clients come here, and limits that lag refused what the caches had room for. */
-    @Test
-    void reportOfRoomCountsMoreThanALimitThatLags() {
-        assertTrue(sentAtOnceAfterAReportOf(2) >= 40);
-        assertTrue(sentAtOnceAfterAReportOf(70) < 25);
-    }
-
-    /** Sites that tell the share used, and neither requests in hand nor the link, refused what their caches fit. */
-    @Test
-    void shareUsedTellsOfRoomWhereRequestsInHandAreNotTold() {
-        assertTrue(sentAtOnceAfterAReportOf(0.1, "load_share") >= 40);
-        assertTrue(sentAtOnceAfterAReportOf(0.97, "load_share") < 25);
-    }
-
-    /** Late fills at a cache that is full say nothing of the link: others may still fill. */
-    @Test
-    void lateFillsAtAFullCacheLeaveTheLinksLimitAlone() {
-        assertEquals(0, looksAfterLateFills("load_share", 0.97));
-        assertTrue(looksAfterLateFills("load_share", 0.4) > 0);
-    }
-
-    /** A limit that a jam had sunk under what its cache fits refused a tenth for ten seconds after the jam. */
-    @Test
-    void limitSinksNoFurtherThanWhatTheCacheFits() {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
-                        WeightMeaning.ROUGH,
-                        CacheStatusDetail.ALL,
-                        RouterFixture.permissions(),
-                        2,
-                        List.of("concurrent", "x0", "x1")))
-                .usual();
-        for (int i = 0; i < 200; i++) {
-            told.end(told.ask(i), AttemptStatus.OK, CacheStatus.HIT, 2 * S, new double[] {20, 0.5, 0.5});
-        }
-        int before = told.sent.size();
-        for (int i = 1000; i < 1100; i++) {
-            told.ask(i);
-        }
-        assertTrue(told.sent.size() - before >= 16, "let out " + (told.sent.size() - before));
-    }
-
     private static Set<String> serversOfACrowdedCachesObjects(double[] report) {
         RouterFixture told = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
@@ -98,44 +56,15 @@
         return servers;
     }
 
-    private static long looksAfterLateFills(String field, double used) {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
-                        WeightMeaning.ROUGH,
-                        CacheStatusDetail.ALL,
-                        RouterFixture.permissions(),
-                        2,
-                        List.of(field, "x0")))
-                .usual();
-        for (int i = 0; i < 30; i++) {
-            told.end(told.ask(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {used, 0.5});
-        }
-        int before = told.sent.size();
-        for (int i = 100; i < 106; i++) {
-            told.ask(i);
-        }
-        return told.sent.subList(before, told.sent.size()).stream()
-                .filter(s -> s.order().server().equals(s.order().source()))
-                .count();
-    }
-
-    private static int sentAtOnceAfterAReportOf(double inHand) {
-        return sentAtOnceAfterAReportOf(inHand, "concurrent");
-    }
-
-    private static int sentAtOnceAfterAReportOf(double inHand, String field) {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
-                WeightMeaning.ROUGH,
-                CacheStatusDetail.ALL,
-                RouterFixture.permissions(),
-                2,
-                List.of(field, "x0", "x1")));
-        told.router.endpointsChanged(
-                told.now, true, List.of(new EndpointInfo("a", "office", "box", 0, EndpointState.UP, 60, 0)));
-        told.end(told.ask(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {inHand, 0.5, 0.5});
-        int before = told.sent.size();
-        for (int i = 0; i < 50; i++) {
-            told.ask(i);
+    @Test
+    void oneObjectGoesToOneCacheAndManyToAll() {
+        Set<String> one = new TreeSet<>();
+        Set<String> many = new TreeSet<>();
+        host.fills(0, 100).forEach(o -> many.add(o.server()));
+        for (int i = 0; i < 3; i++) {
+            host.fills(500, 501).forEach(o -> one.add(o.server()));
         }
-        return told.sent.size() - before;
+        assertEquals(Set.of("a", "b", "c", "d"), many);
+        assertEquals(1, one.size());
     }
 }
--- a/src/test/java/petrelplank/routing/ConcurrencyLimitTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How much is let out at once. */
-class ConcurrencyLimitTest {
+class ConcurrencyLimiterTest {
     private final RouterFixture host = new RouterFixture().usual();
 
     @Test
@@ -179,4 +179,32 @@
                         List.of("concurrent", "x0", "x1")))
                 .usual();
     }
+
+    /** A limit that a jam had sunk under what its cache fits refused a tenth for ten seconds after the jam. */
+    @Test
+    void limitSinksNoFurtherThanWhatTheCacheFits() {
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.ROUGH,
+                        CacheStatusDetail.ALL,
+                        RouterFixture.permissions(),
+                        2,
+                        List.of("concurrent", "x0", "x1")))
+                .usual();
+        for (int i = 0; i < 200; i++) {
+            told.end(told.ask(i), AttemptStatus.OK, CacheStatus.HIT, 2 * S, new double[] {20, 0.5, 0.5});
+        }
+        int before = told.sent.size();
+        for (int i = 1000; i < 1100; i++) {
+            told.ask(i);
+        }
+        assertTrue(told.sent.size() - before >= 16, "let out " + (told.sent.size() - before));
+    }
+
+    @Test
+    void writesAreNotHeldBackByTheLimitOnFills() {
+        for (int i = 0; i < 80; i++) {
+            host.ask("note", i, 0, 3 * S);
+        }
+        assertEquals(80, host.sent.size());
+    }
 }
--- /dev/null
+++ b/src/test/java/petrelplank/routing/EndpointRegistryTest.java
@@ -0,0 +1,66 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+import static petrelplank.routing.RouterFixture.cache;
+import static petrelplank.routing.RouterFixture.parent;
+
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+
+/** Which endpoints the list offers. */
+class EndpointRegistryTest {
+    private final RouterFixture host = new RouterFixture().usual();
+
+    @Test
+    void drainingAndGoneServersGetNothingNewAndAreNoSource() {
+        host.fills(0, 50);
+        host.change(
+                new EndpointInfo("a", "office", "box", 0, EndpointState.DRAINING, 5, 0),
+                new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
+        for (AttemptPlan o : host.fills(0, 100)) {
+            assertFalse(
+                    Set.of("a", "b").contains(o.server()) || Set.of("a", "b").contains(o.source()));
+        }
+    }
+
+    @Test
+    void emptyRosterAnswersAtOnce() {
+        RouterFixture empty = new RouterFixture();
+        empty.router.endpointsChanged(empty.now, true, List.of());
+        String id = empty.ask(1);
+        assertEquals(List.of(id), empty.refused);
+    }
+
+    @Test
+    void cacheMissingFromACompleteListIsNoSource() {
+        host.fills(0, 60);
+        host.router.endpointsChanged(
+                host.now, true, List.of(cache("b", 0), cache("c", 0), parent("p-north", "north", 0)));
+        for (AttemptPlan o : host.fills(0, 60)) {
+            assertFalse(
+                    Set.of("a", "d").contains(o.server()) || Set.of("a", "d").contains(o.source()));
+        }
+    }
+
+    /** Lists with doubled and unknown ids, and a server that goes and comes back, lose nothing. */
+    @Test
+    void oddListsAreTakenAsTheyStand() {
+        host.change(
+                cache("a", 0),
+                cache("a", 0),
+                new EndpointInfo("nobody", "office", "box", 0, EndpointState.REMOVED, 5, 0));
+        host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
+        String id = host.ask(1);
+        host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0), cache("b", host.now));
+        host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+        Set<String> servers = new TreeSet<>();
+        host.now += 20 * S;
+        host.fills(0, 200).forEach(o -> servers.add(o.server()));
+        assertEquals(Set.of("a", "b", "c", "d"), servers);
+    }
+}
--- /dev/null
+++ b/src/test/java/petrelplank/routing/HedgingPolicyTest.java
@@ -0,0 +1,23 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+
+import org.junit.jupiter.api.Test;
+
+/** When attempts without a response are checked. */
+class HedgingPolicyTest {
+    private final RouterFixture host = new RouterFixture().usual();
+
+    /** A write late by its aim once set a timer in the past, over and over, until the event thread stood still. */
+    @Test
+    void lateWriteSetsNoTimerInThePast() {
+        host.ask("note", 5, 0, 3 * S);
+        for (int i = 0; i < 40; i++) {
+            host.pass(50 * MS);
+            long now = host.now;
+            assertTrue(host.timers.values().stream().allMatch(at -> at > now), host.timers.toString());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/petrelplank/routing/LoadReportsTest.java
@@ -0,0 +1,74 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What load reports tell of room. */
+class LoadReportsTest {
+    /** When other gateways stop, their clients come here, and limits that lag refused what the caches had room for. */
+    @Test
+    void reportOfRoomCountsMoreThanALimitThatLags() {
+        assertTrue(sentAtOnceAfterAReportOf(2) >= 40);
+        assertTrue(sentAtOnceAfterAReportOf(70) < 25);
+    }
+
+    /** Sites that tell the share used, and neither requests in hand nor the link, refused what their caches fit. */
+    @Test
+    void shareUsedTellsOfRoomWhereRequestsInHandAreNotTold() {
+        assertTrue(sentAtOnceAfterAReportOf(0.1, "load_share") >= 40);
+        assertTrue(sentAtOnceAfterAReportOf(0.97, "load_share") < 25);
+    }
+
+    /** Late fills at a cache that is full say nothing of the link: others may still fill. */
+    @Test
+    void lateFillsAtAFullCacheLeaveTheLinksLimitAlone() {
+        assertEquals(0, looksAfterLateFills("load_share", 0.97));
+        assertTrue(looksAfterLateFills("load_share", 0.4) > 0);
+    }
+
+    private static long looksAfterLateFills(String field, double used) {
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.ROUGH,
+                        CacheStatusDetail.ALL,
+                        RouterFixture.permissions(),
+                        2,
+                        List.of(field, "x0")))
+                .usual();
+        for (int i = 0; i < 30; i++) {
+            told.end(told.ask(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {used, 0.5});
+        }
+        int before = told.sent.size();
+        for (int i = 100; i < 106; i++) {
+            told.ask(i);
+        }
+        return told.sent.subList(before, told.sent.size()).stream()
+                .filter(s -> s.order().server().equals(s.order().source()))
+                .count();
+    }
+
+    private static int sentAtOnceAfterAReportOf(double inHand) {
+        return sentAtOnceAfterAReportOf(inHand, "concurrent");
+    }
+
+    private static int sentAtOnceAfterAReportOf(double inHand, String field) {
+        RouterFixture told = new RouterFixture(RouterFixture.settings(
+                WeightMeaning.ROUGH,
+                CacheStatusDetail.ALL,
+                RouterFixture.permissions(),
+                2,
+                List.of(field, "x0", "x1")));
+        told.router.endpointsChanged(
+                told.now, true, List.of(new EndpointInfo("a", "office", "box", 0, EndpointState.UP, 60, 0)));
+        told.end(told.ask(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {inHand, 0.5, 0.5});
+        int before = told.sent.size();
+        for (int i = 0; i < 50; i++) {
+            told.ask(i);
+        }
+        return told.sent.size() - before;
+    }
+}
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -12,27 +12,6 @@
 class OriginLoadShedderTest {
     private final RouterFixture host = new RouterFixture().usual();
 
-    @Test
-    void requestWithNoSourceLeftLooksOnceAndIsAnswered() {
-        host.change(
-                new EndpointInfo("p-north", "north", "parent", 0, EndpointState.REMOVED, 10, 0),
-                new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0),
-                new EndpointInfo("origin", "north", "origin", 0, EndpointState.REMOVED, 10, 0));
-        String id = host.ask(1);
-        assertEquals(host.last().server(), host.last().source());
-        host.end(id, AttemptStatus.MISS, CacheStatus.NONE, MS);
-        assertEquals(1, host.attempts(id));
-        assertTrue(host.answered(id));
-    }
-
-    @Test
-    void writesAreNotHeldBackByTheLimitOnFills() {
-        for (int i = 0; i < 80; i++) {
-            host.ask("note", i, 0, 3 * S);
-        }
-        assertEquals(80, host.sent.size());
-    }
-
     @Test
     void failingOriginIsSparedParentsAreAskedWhatTheyHoldAndWritesStayLongest() {
         RouterFixture hits = new RouterFixture(RouterFixture.settings(
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -1,13 +1,10 @@
 package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static petrelplank.routing.RouterFixture.MS;
 import static petrelplank.routing.RouterFixture.S;
-import static petrelplank.routing.RouterFixture.cache;
-import static petrelplank.routing.RouterFixture.parent;
 
 import java.util.List;
 import java.util.Set;
@@ -18,30 +15,6 @@
 class OutlierDetectorTest {
     private final RouterFixture host = new RouterFixture().usual();
 
-    @Test
-    void oneObjectGoesToOneCacheAndManyToAll() {
-        Set<String> one = new TreeSet<>();
-        Set<String> many = new TreeSet<>();
-        host.fills(0, 100).forEach(o -> many.add(o.server()));
-        for (int i = 0; i < 3; i++) {
-            host.fills(500, 501).forEach(o -> one.add(o.server()));
-        }
-        assertEquals(Set.of("a", "b", "c", "d"), many);
-        assertEquals(1, one.size());
-    }
-
-    @Test
-    void drainingAndGoneServersGetNothingNewAndAreNoSource() {
-        host.fills(0, 50);
-        host.change(
-                new EndpointInfo("a", "office", "box", 0, EndpointState.DRAINING, 5, 0),
-                new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
-        for (AttemptPlan o : host.fills(0, 100)) {
-            assertFalse(
-                    Set.of("a", "b").contains(o.server()) || Set.of("a", "b").contains(o.source()));
-        }
-    }
-
     @Test
     void deadCacheIsLeftAtOnceAndTriedAgainAfterAPause() {
         String id = host.ask(1);
@@ -103,60 +76,6 @@
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 
-    @Test
-    void emptyRosterAnswersAtOnce() {
-        RouterFixture empty = new RouterFixture();
-        empty.router.endpointsChanged(empty.now, true, List.of());
-        String id = empty.ask(1);
-        assertEquals(List.of(id), empty.refused);
-    }
-
-    @Test
-    void cacheMissingFromACompleteListIsNoSource() {
-        host.fills(0, 60);
-        host.router.endpointsChanged(
-                host.now, true, List.of(cache("b", 0), cache("c", 0), parent("p-north", "north", 0)));
-        for (AttemptPlan o : host.fills(0, 60)) {
-            assertFalse(
-                    Set.of("a", "d").contains(o.server()) || Set.of("a", "d").contains(o.source()));
-        }
-    }
-
-    @Test
-    void restartedCacheIsNoHolderOfWhatItHadBefore() {
-        String id = host.ask(1);
-        String holder = host.last().server();
-        host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
-        host.now += MS;
-        host.change(cache(holder, host.now));
-        for (int i = 0; i < 20; i++) {
-            host.ask(1);
-            assertNotEquals(
-                    holder,
-                    host.last().server().equals(holder) ? "" : host.last().source());
-        }
-    }
-
-    /** A branch that lost all its caches asked one dead machine after the other, and refused for seconds. */
-    @Test
-    void branchWhoseCachesAreNotReachedAsksTheHubsStraightAndTriesTheCachesNowAndThen() {
-        Set<String> caches = Set.of("a", "b", "c", "d");
-        int direct = 0;
-        int tried = 0;
-        for (int i = 0; i < 60; i++) {
-            String id = host.ask(i);
-            while (caches.contains(host.last().server()) && !host.answered(id)) {
-                tried++;
-                host.end(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
-            }
-            assertFalse(host.answered(id), id);
-            direct++;
-            host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
-        }
-        assertEquals(60, direct);
-        assertTrue(tried >= 4 && tried <= 8, "tried " + tried);
-    }
-
     /** A full table of connections refuses new ones, while the cache answers on those it has. */
     @Test
     void refusedConnectionIsNoProofAgainstACacheThatAnswers() {
--- /dev/null
+++ b/src/test/java/petrelplank/routing/PlatformRulesTest.java
@@ -0,0 +1,19 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Checks of settings. */
+class PlatformRulesTest {
+    @Test
+    void badSettingIsNamed() {
+        IllegalArgumentException thrown = assertThrows(
+                IllegalArgumentException.class, () -> new PlatformRules(-1, 0.2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0));
+        assertTrue(
+                thrown.getMessage().contains("drainGraceUs")
+                        && thrown.getMessage().contains("-1"),
+                thrown.getMessage());
+    }
+}
--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -2,46 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static petrelplank.routing.RouterFixture.MS;
 import static petrelplank.routing.RouterFixture.S;
-import static petrelplank.routing.RouterFixture.cache;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.List;
-import java.util.Set;
-import java.util.TreeSet;
-import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** The module as a whole: its size, odd input, and the same actions for the same events. */
 class RequestRouterTest {
-    private static final int MAX_LINES = 250;
-    private static final int MAX_COLUMNS = 120;
-
     private final RouterFixture host = new RouterFixture().usual();
 
-    /** Each concern stays short enough to be read as a whole. */
-    @Test
-    void everyFileOfThePackageIsShort() throws IOException {
-        List<Path> files = sourceFiles();
-        assertTrue(files.size() > 1, "found " + files);
-        for (Path file : files) {
-            List<String> lines = Files.readAllLines(file);
-            assertTrue(lines.size() <= MAX_LINES, file + " has " + lines.size() + " lines");
-            assertTrue(lines.stream().allMatch(line -> line.length() <= MAX_COLUMNS), file + " has a long line");
-        }
-    }
-
-    private static List<Path> sourceFiles() throws IOException {
-        try (Stream<Path> files = Files.list(Path.of("src/main/java/petrelplank/routing"))) {
-            return files.filter(file -> file.toString().endsWith(".java")).toList();
-        }
-    }
-
     @Test
     void clockJumpOfMinutesKeepsDeciding() {
         host.fills(0, 50);
@@ -121,29 +92,12 @@
     }
 
     @Test
-    void badSettingIsNamed() {
-        IllegalArgumentException thrown = assertThrows(
-                IllegalArgumentException.class, () -> new PlatformRules(-1, 0.2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0));
-        assertTrue(
-                thrown.getMessage().contains("drainGraceUs")
-                        && thrown.getMessage().contains("-1"),
-                thrown.getMessage());
-    }
-
-    /** Lists with doubled and unknown ids, and a server that goes and comes back, lose nothing. */
-    @Test
-    void oddListsAreTakenAsTheyStand() {
-        host.change(
-                cache("a", 0),
-                cache("a", 0),
-                new EndpointInfo("nobody", "office", "box", 0, EndpointState.REMOVED, 5, 0));
-        host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
-        String id = host.ask(1);
-        host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0), cache("b", host.now));
-        host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
-        Set<String> servers = new TreeSet<>();
-        host.now += 20 * S;
-        host.fills(0, 200).forEach(o -> servers.add(o.server()));
-        assertEquals(Set.of("a", "b", "c", "d"), servers);
+    void clientThatLeftHasItsAttemptCalledOffAndAStreamDoesNot() {
+        String left = host.ask(1);
+        host.router.clientDisconnected(host.now, left);
+        assertTrue(host.all.contains("cancel " + left + " 0"), host.all.toString());
+        String streamed = host.ask(2);
+        host.router.streamStarted(host.now, streamed, 0);
+        assertFalse(host.all.contains("cancel " + streamed + " 0"), host.all.toString());
     }
 }
--- a/src/test/java/petrelplank/routing/SilenceMonitorTest.java
+++ b/src/test/java/petrelplank/routing/SilenceMonitorTest.java
@@ -6,45 +6,12 @@
 import static petrelplank.routing.RouterFixture.MS;
 import static petrelplank.routing.RouterFixture.S;
 
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Retries, hedged requests and final answers. */
 class SilenceMonitorTest {
     private final RouterFixture host = new RouterFixture().usual();
 
-    @Test
-    void keyedWriteThatMayHaveRunIsNotSentAgainAfterItsWindow() {
-        String id = host.ask("note", 1, 0, 5 * S);
-        assertEquals("origin", host.last().server());
-        host.end(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 600 * MS);
-        assertEquals(2, host.attempts(id));
-        host.end(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 2500 * MS);
-        assertEquals(2, host.attempts(id));
-        assertEquals(List.of(id), host.failed);
-    }
-
-    @Test
-    void clientThatLeftHasItsAttemptCalledOffAndAStreamDoesNot() {
-        String left = host.ask(1);
-        host.router.clientDisconnected(host.now, left);
-        assertTrue(host.all.contains("cancel " + left + " 0"), host.all.toString());
-        String streamed = host.ask(2);
-        host.router.streamStarted(host.now, streamed, 0);
-        assertFalse(host.all.contains("cancel " + streamed + " 0"), host.all.toString());
-    }
-
-    /** A write late by its aim once set a timer in the past, over and over, until the event thread stood still. */
-    @Test
-    void lateWriteSetsNoTimerInThePast() {
-        host.ask("note", 5, 0, 3 * S);
-        for (int i = 0; i < 40; i++) {
-            host.pass(50 * MS);
-            long now = host.now;
-            assertTrue(host.timers.values().stream().allMatch(at -> at > now), host.timers.toString());
-        }
-    }
-
     @Test
     void answerThatNeverComesIsAskedForAgainFirstCutWhereNoSecondCopyMayRun() {
         host.fills(0, 100);
@@ -110,4 +77,23 @@
         host.pass(1500 * MS);
         assertEquals(1, host.attempts(id));
     }
+
+    /** A hub that fell silent was learned of by its fills' deadlines alone, seconds later. */
+    @Test
+    void silentHubIsPassedByOnceItsCachesHaveAnsweredMeanwhile() {
+        for (int i = 0; i < 400; i++) {
+            host.end(host.ask(i), AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+        }
+        int toNorth = 0;
+        for (int i = 1000; i < 1012; i++) {
+            host.ask(i);
+            toNorth += host.last().source().equals("p-north") ? 1 : 0;
+            for (int j = 0; j < 8; j++) {
+                host.pass(20 * MS);
+                host.end(host.ask(j), AttemptStatus.OK, CacheStatus.HIT, 30 * MS);
+            }
+        }
+        assertTrue(toNorth >= 3 && toNorth <= 9, "to the silent hub " + toNorth);
+        assertTrue(host.lines.stream().anyMatch(l -> l.startsWith("ejected: p-north")), host.lines.toString());
+    }
 }
