--- a/src/test/java/petrelplank/routing/AttemptPlannerTest.java
+++ b/src/test/java/petrelplank/routing/AttemptPlannerTest.java
@@ -6,20 +6,20 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What is done without a source. */
+/** Attempts where no source is left. */
 class AttemptPlannerTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void requestWithNoSourceLeftLooksOnceAndIsAnswered() {
+    void requestWithoutASourceIsLookedUpOnceAndRejected() {
         host.change(
                 new EndpointInfo("p-north", "north", "parent", 0, EndpointState.REMOVED, 10, 0),
                 new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0),
                 new EndpointInfo("origin", "north", "origin", 0, EndpointState.REMOVED, 10, 0));
-        String id = host.ask(1);
-        assertEquals(host.last().server(), host.last().source());
-        host.end(id, AttemptStatus.MISS, CacheStatus.NONE, MS);
+        String id = host.request(1);
+        assertEquals(host.lastPlan().server(), host.lastPlan().source());
+        host.endAttempt(id, AttemptStatus.MISS, CacheStatus.NONE, MS);
         assertEquals(1, host.attempts(id));
-        assertTrue(host.answered(id));
+        assertTrue(host.isTerminated(id));
     }
 }
--- a/src/test/java/petrelplank/routing/CacheSelectorTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -9,55 +9,59 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which cache is asked: rendezvous order, hot objects, reports of room. */
+/** Which cache is asked: rendezvous hashing, popular objects, caches at their limit. */
 class CacheSelectorTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void hotObjectIsWidened() {
+    void popularObjectIsServedByTwoOrThreeCaches() {
         Set<String> servers = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
-            host.ask(1);
-            servers.add(host.last().server());
+            host.request(1);
+            servers.add(host.lastPlan().server());
         }
         assertTrue(servers.size() >= 2 && servers.size() <= 3, servers.toString());
     }
 
-    /** Requests of a crowded cache were refused while its neighbours stood half empty. */
+    /** Guards against rejections at a cache that is at its limit while its neighbours have room. */
     @Test
-    void crowdedCachePassesRequestsOnToOneThatReportsRoomOnly() {
-        assertTrue(serversOfACrowdedCachesObjects(new double[] {1, 0.5, 0.5}).size() > 1);
+    void cacheAtItsLimitPassesRequestsOnlyToCachesThatReportRoom() {
+        assertTrue(serversOfTheObjectsOfACacheAtItsLimit(new double[] {1, 0.5, 0.5})
+                        .size()
+                > 1);
         assertEquals(
-                1, serversOfACrowdedCachesObjects(new double[] {30, 0.5, 0.5}).size());
+                1,
+                serversOfTheObjectsOfACacheAtItsLimit(new double[] {30, 0.5, 0.5})
+                        .size());
     }
 
-    private static Set<String> serversOfACrowdedCachesObjects(double[] report) {
+    private static Set<String> serversOfTheObjectsOfACacheAtItsLimit(double[] report) {
         RouterFixture told = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
                         RouterFixture.permissions(),
                         2,
                         List.of("concurrent", "x0", "x1")))
-                .usual();
+                .withUsualEndpoints();
         List<Integer> objects = new java.util.ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            String id = told.ask(i);
-            if (told.last().server().equals("a")) {
+            String id = told.request(i);
+            if (told.lastPlan().server().equals("a")) {
                 objects.add(i);
             }
-            told.end(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MS, report);
+            told.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MS, report);
         }
         int before = told.sent.size();
-        objects.forEach(told::ask);
+        objects.forEach(told::request);
         Set<String> servers = new TreeSet<>();
         told.sent
                 .subList(before, told.sent.size())
-                .forEach(s -> servers.add(s.order().server()));
+                .forEach(s -> servers.add(s.plan().server()));
         return servers;
     }
 
     @Test
-    void oneObjectGoesToOneCacheAndManyToAll() {
+    void oneObjectGoesToOneCacheAndManyObjectsToAllCaches() {
         Set<String> one = new TreeSet<>();
         Set<String> many = new TreeSet<>();
         host.fills(0, 100).forEach(o -> many.add(o.server()));
--- a/src/test/java/petrelplank/routing/CopyLocationsTest.java
+++ b/src/test/java/petrelplank/routing/CopyLocationsTest.java
@@ -8,20 +8,22 @@
 
 /** Which cache is known to hold an object. */
 class CopyLocationsTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void restartedCacheIsNoHolderOfWhatItHadBefore() {
-        String id = host.ask(1);
-        String holder = host.last().server();
-        host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+    void restartedCacheHoldsNoCopies() {
+        String id = host.request(1);
+        String holder = host.lastPlan().server();
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         host.now += MS;
         host.change(cache(holder, host.now));
         for (int i = 0; i < 20; i++) {
-            host.ask(1);
+            host.request(1);
             assertNotEquals(
                     holder,
-                    host.last().server().equals(holder) ? "" : host.last().source());
+                    host.lastPlan().server().equals(holder)
+                            ? ""
+                            : host.lastPlan().source());
         }
     }
 }
--- a/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
+++ b/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
@@ -10,23 +10,23 @@
 
 /** Which endpoints are offered while many of them fail. */
 class EligibleEndpointsTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
-    /** A branch that lost all its caches asked one dead machine after the other, and refused for seconds. */
+    /** Guards against trying one dead cache after the other, and rejections for seconds, where all caches are lost. */
     @Test
-    void branchWhoseCachesAreNotReachedAsksTheHubsStraightAndTriesTheCachesNowAndThen() {
+    void zoneWithUnreachableCachesUsesParentsDirectlyAndChecksItsCachesAtTimes() {
         Set<String> caches = Set.of("a", "b", "c", "d");
         int direct = 0;
         int tried = 0;
         for (int i = 0; i < 60; i++) {
-            String id = host.ask(i);
-            while (caches.contains(host.last().server()) && !host.answered(id)) {
+            String id = host.request(i);
+            while (caches.contains(host.lastPlan().server()) && !host.isTerminated(id)) {
                 tried++;
-                host.end(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
+                host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
             }
-            assertFalse(host.answered(id), id);
+            assertFalse(host.isTerminated(id), id);
             direct++;
-            host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
         }
         assertEquals(60, direct);
         assertTrue(tried >= 4 && tried <= 8, "tried " + tried);
--- a/src/test/java/petrelplank/routing/EndpointRegistryTest.java
+++ b/src/test/java/petrelplank/routing/EndpointRegistryTest.java
@@ -14,10 +14,10 @@
 
 /** Which endpoints the list offers. */
 class EndpointRegistryTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void drainingAndGoneServersGetNothingNewAndAreNoSource() {
+    void drainingAndRemovedEndpointsGetNoNewAttemptsAndAreNoSource() {
         host.fills(0, 50);
         host.change(
                 new EndpointInfo("a", "office", "box", 0, EndpointState.DRAINING, 5, 0),
@@ -29,11 +29,11 @@
     }
 
     @Test
-    void emptyRosterAnswersAtOnce() {
+    void emptyListRejectsAtOnce() {
         RouterFixture empty = new RouterFixture();
         empty.router.endpointsChanged(empty.now, true, List.of());
-        String id = empty.ask(1);
-        assertEquals(List.of(id), empty.refused);
+        String id = empty.request(1);
+        assertEquals(List.of(id), empty.rejected);
     }
 
     @Test
@@ -47,17 +47,17 @@
         }
     }
 
-    /** Lists with doubled and unknown ids, and a server that goes and comes back, lose nothing. */
+    /** Repeated and unknown ids, and an endpoint that is removed and returns, lose no other endpoint. */
     @Test
-    void oddListsAreTakenAsTheyStand() {
+    void listsWithRepeatedAndUnknownIdsAreAccepted() {
         host.change(
                 cache("a", 0),
                 cache("a", 0),
                 new EndpointInfo("nobody", "office", "box", 0, EndpointState.REMOVED, 5, 0));
         host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
-        String id = host.ask(1);
+        String id = host.request(1);
         host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0), cache("b", host.now));
-        host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         Set<String> servers = new TreeSet<>();
         host.now += 20 * S;
         host.fills(0, 200).forEach(o -> servers.add(o.server()));
--- a/src/test/java/petrelplank/routing/FailureAttributionTest.java
+++ b/src/test/java/petrelplank/routing/FailureAttributionTest.java
@@ -10,19 +10,19 @@
 
 /** Whose fault a failure is. */
 class FailureAttributionTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void brokenSourceIsNotBlamedOnTheEdgeCache() {
+    void unreachableSourceIsNotTheCachesFault() {
         for (int i = 0; i < 6; i++) {
-            host.end(host.ask(i), AttemptStatus.ERROR, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
+            host.endAttempt(host.request(i), AttemptStatus.ERROR, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
         }
         Set<String> servers = new TreeSet<>();
         for (int i = 100; i < 130; i++) {
-            host.ask(i);
-            servers.add(host.last().server());
+            host.request(i);
+            servers.add(host.lastPlan().server());
         }
         assertEquals(Set.of("a", "b", "c", "d"), servers);
-        assertFalse(host.lines.stream().anyMatch(l -> l.matches("ejected: [abcd],.*")), host.lines.toString());
+        assertFalse(host.logLines.stream().anyMatch(l -> l.matches("ejected: [abcd],.*")), host.logLines.toString());
     }
 }
--- a/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -7,12 +7,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** From where a miss is filled. */
+/** Which source a miss is filled from. */
 class FillSourceSelectorTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void missIsFilledFromTheNearestParentWhileAllAreGood() {
+    void missIsFilledFromTheNearestParentWhileAllServeWell() {
         long near = host.fills(0, 200).stream()
                 .filter(o -> o.source().equals("p-north"))
                 .count();
@@ -20,39 +20,39 @@
     }
 
     @Test
-    void parentThatGivesNothingIsLeftAfterAFewFailures() {
+    void failingParentIsAvoidedAfterAFewFailures() {
         for (int i = 0; i < 8; i++) {
-            String id = host.ask(i);
-            if (host.last().source().equals("p-north")) {
-                host.end(id, AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
+            String id = host.request(i);
+            if (host.lastPlan().source().equals("p-north")) {
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
             }
-            host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         }
         long bad = 0;
         for (int i = 100; i < 110; i++) {
-            host.ask(i);
-            bad += host.last().source().equals("p-north") ? 1 : 0;
+            host.request(i);
+            bad += host.lastPlan().source().equals("p-north") ? 1 : 0;
         }
         assertTrue(bad <= 1, "bad " + bad);
     }
 
     @Test
-    void originIsNamedOnlyWhenNoParentIsReady() {
+    void originIsTheSourceOnlyWhereNoParentIsReady() {
         host.fills(0, 100).forEach(o -> assertNotEquals("origin", o.source()));
         host.change(
                 new EndpointInfo("p-north", "north", "parent", 0, EndpointState.DRAINING, 10, 0),
                 new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
-        host.ask(1000);
-        assertEquals("origin", host.last().source());
+        host.request(1000);
+        assertEquals("origin", host.lastPlan().source());
     }
 
     @Test
-    void lostHubLeavesTheOriginAndIsNotOfferedAgainAndAgain() {
+    void unreachableOnlyParentLeavesTheOriginAsSource() {
         host.change(new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
-        host.end(host.ask(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
+        host.endAttempt(host.request(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
         for (int i = 100; i < 110; i++) {
-            host.ask(i);
-            assertEquals("origin", host.last().source());
+            host.request(i);
+            assertEquals("origin", host.lastPlan().source());
         }
     }
 }
--- a/src/test/java/petrelplank/routing/HedgingPolicyTest.java
+++ b/src/test/java/petrelplank/routing/HedgingPolicyTest.java
@@ -8,14 +8,14 @@
 
 /** When attempts without a response are checked. */
 class HedgingPolicyTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
-    /** A write late by its aim once set a timer in the past, over and over, until the event thread stood still. */
+    /** Guards against a write later than its objective that sets timers in the past and blocks the event thread. */
     @Test
     void lateWriteSetsNoTimerInThePast() {
-        host.ask("note", 5, 0, 3 * S);
+        host.request("note", 5, 0, 3 * S);
         for (int i = 0; i < 40; i++) {
-            host.pass(50 * MS);
+            host.advance(50 * MS);
             long now = host.now;
             assertTrue(host.timers.values().stream().allMatch(at -> at > now), host.timers.toString());
         }
--- a/src/test/java/petrelplank/routing/LoadReportsTest.java
+++ b/src/test/java/petrelplank/routing/LoadReportsTest.java
@@ -10,44 +10,44 @@
 
 /** What load reports tell of room. */
 class LoadReportsTest {
-    /** When other gateways stop, their clients come here, and limits that lag refused what the caches had room for. */
+    /** Guards against rejections by limits that lag when clients of stopped gateways come to this one. */
     @Test
-    void reportOfRoomCountsMoreThanALimitThatLags() {
+    void reportedRoomOverridesALimitThatLags() {
         assertTrue(sentAtOnceAfterAReportOf(2) >= 40);
         assertTrue(sentAtOnceAfterAReportOf(70) < 25);
     }
 
-    /** Sites that tell the share used, and neither requests in hand nor the link, refused what their caches fit. */
+    /** Guards against rejections where reports tell the share used, and neither requests in flight nor link use. */
     @Test
-    void shareUsedTellsOfRoomWhereRequestsInHandAreNotTold() {
+    void shareUsedTellsOfRoomWhereRequestsInFlightAreNotReported() {
         assertTrue(sentAtOnceAfterAReportOf(0.1, "load_share") >= 40);
         assertTrue(sentAtOnceAfterAReportOf(0.97, "load_share") < 25);
     }
 
-    /** Late fills at a cache that is full say nothing of the link: others may still fill. */
+    /** Late fills at a cache that is full tell nothing of the link: others may still fill. */
     @Test
-    void lateFillsAtAFullCacheLeaveTheLinksLimitAlone() {
-        assertEquals(0, looksAfterLateFills("load_share", 0.97));
-        assertTrue(looksAfterLateFills("load_share", 0.4) > 0);
+    void lateFillsAtAFullCacheDoNotShrinkTheLimitOfFills() {
+        assertEquals(0, lookupsAfterLateFills("load_share", 0.97));
+        assertTrue(lookupsAfterLateFills("load_share", 0.4) > 0);
     }
 
-    private static long looksAfterLateFills(String field, double used) {
+    private static long lookupsAfterLateFills(String field, double used) {
         RouterFixture told = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
                         RouterFixture.permissions(),
                         2,
                         List.of(field, "x0")))
-                .usual();
+                .withUsualEndpoints();
         for (int i = 0; i < 30; i++) {
-            told.end(told.ask(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {used, 0.5});
+            told.endAttempt(told.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {used, 0.5});
         }
         int before = told.sent.size();
         for (int i = 100; i < 106; i++) {
-            told.ask(i);
+            told.request(i);
         }
         return told.sent.subList(before, told.sent.size()).stream()
-                .filter(s -> s.order().server().equals(s.order().source()))
+                .filter(s -> s.plan().server().equals(s.plan().source()))
                 .count();
     }
 
@@ -64,10 +64,10 @@
                 List.of(field, "x0", "x1")));
         told.router.endpointsChanged(
                 told.now, true, List.of(new EndpointInfo("a", "office", "box", 0, EndpointState.UP, 60, 0)));
-        told.end(told.ask(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {inHand, 0.5, 0.5});
+        told.endAttempt(told.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {inHand, 0.5, 0.5});
         int before = told.sent.size();
         for (int i = 0; i < 50; i++) {
-            told.ask(i);
+            told.request(i);
         }
         return told.sent.size() - before;
     }
--- a/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
+++ b/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The origin's link is thin: where too many fills share it, each crawls though its first byte came soon, and the fills
- * of clients that have left run on. Nothing told of it, and goodput by way of the origin fell to a fiftieth.
+ * The origin's link is narrow: where too many fills share it, each is slow though its first byte came soon, and fills
+ * of disconnected clients go on. Without this detection, goodput from the origin fell to a fiftieth.
  */
 class OriginCallMonitorTest {
     private final RouterFixture host = new RouterFixture(RouterFixture.settings(
@@ -18,12 +18,12 @@
                     RouterFixture.permissions(),
                     2,
                     List.of("concurrent", "x0", "x1")))
-            .usual();
-    /** Use of the location's link in all reports. */
+            .withUsualEndpoints();
+    /** Use of the zone's link in all reports. */
     private double linkUse = 0.4;
 
     /** A fill ends after {@code latencyUs}, its first byte after {@code waitUs}. */
-    private void end(String id, AttemptStatus status, CacheStatus note, long latencyUs, long waitUs) {
+    private void endAttempt(String id, AttemptStatus status, CacheStatus cacheStatus, long latencyUs, long waitUs) {
         host.now += latencyUs;
         host.router.attemptEnded(
                 host.now,
@@ -33,83 +33,83 @@
                         status,
                         latencyUs,
                         status == AttemptStatus.OK,
-                        note,
+                        cacheStatus,
                         waitUs,
                         new double[] {1, 0.5, linkUse},
                         0));
     }
 
-    /** Of ten further misses, how many may not call the origin. */
-    private long spared() {
+    /** Of ten more misses, how many may not call the origin. */
+    private long withheldOfTen() {
         int before = host.sent.size();
         for (int i = 10_000; i < 10_010; i++) {
-            host.ask(i);
+            host.request(i);
         }
         return host.sent.subList(before, host.sent.size()).stream()
-                .filter(s -> s.order().onlyIfCached()
-                        || s.order().server().equals(s.order().source()))
+                .filter(s -> s.plan().onlyIfCached()
+                        || s.plan().server().equals(s.plan().source()))
                 .count();
     }
 
-    /** One fill in two by way of the origin, {@code crawlUs} to send; the others in {@code pacedUs}. */
-    private void fills(long crawlUs, long pacedUs) {
+    /** One fill in two comes from the origin, in {@code slowUs}; the others come in {@code usualUs}. */
+    private void fills(long slowUs, long usualUs) {
         for (int i = 0; i < 40; i++) {
-            String id = host.ask(i);
-            boolean way = i % 2 == 0 && !host.last().onlyIfCached();
-            end(
+            String id = host.request(i);
+            boolean fromOrigin = i % 2 == 0 && !host.lastPlan().onlyIfCached();
+            endAttempt(
                     id,
                     AttemptStatus.OK,
-                    way ? CacheStatus.FILLED_FROM_ORIGIN : CacheStatus.FILLED,
-                    (way ? crawlUs : pacedUs) + 10 * MS,
+                    fromOrigin ? CacheStatus.FILLED_FROM_ORIGIN : CacheStatus.FILLED,
+                    (fromOrigin ? slowUs : usualUs) + 10 * MS,
                     10 * MS);
         }
     }
 
     @Test
-    void fillsThatCrawlBehindAnEarlyFirstByteCutTheOriginsShare() {
+    void slowFillsBehindAnEarlyFirstByteCutTheOriginsShare() {
         fills(2 * S, 110 * MS);
-        assertThat(spared()).isGreaterThanOrEqualTo(4);
-        assertThat(host.lines).anyMatch(line -> line.startsWith("origin overloaded"));
-        assertThat(host.lines).as("no hub is blamed").noneMatch(line -> line.startsWith("ejected: p-"));
+        assertThat(withheldOfTen()).isGreaterThanOrEqualTo(4);
+        assertThat(host.logLines).anyMatch(line -> line.startsWith("origin overloaded"));
+        assertThat(host.logLines).as("no parent is ejected").noneMatch(line -> line.startsWith("ejected: p-"));
     }
 
     @Test
-    void fillsByWayOfTheOriginAtTheUsualPaceCutNothing() {
+    void fillsFromTheOriginAtTheUsualPaceCutNothing() {
         fills(110 * MS, 110 * MS);
-        assertThat(spared()).isZero();
+        assertThat(withheldOfTen()).isZero();
     }
 
-    /** Where the location's own link is reported as full, it is no wonder that fills take as long. */
+    /** Where the zone's own link is reported as full, that explains slow fills. */
     @Test
-    void aJamOfTheLocationsOwnLinkIsNotTheOrigins() {
+    void congestionOfTheZonesOwnLinkIsNotTheOriginsFault() {
         linkUse = 6;
         fills(900 * MS, 900 * MS);
-        assertThat(host.lines).noneMatch(line -> line.startsWith("origin overloaded"));
+        assertThat(host.logLines).noneMatch(line -> line.startsWith("origin overloaded"));
     }
 
-    /** Nothing came in all its time, while cache and hub answered others: what lies behind the hub is short. */
+    /** No response before the deadline, while cache and parent answered others: the origin is overloaded. */
     @Test
-    void fillsThatNeverEndWhileTheirCacheAndHubAnswerOthersCutTheOriginsShare() {
-        assertThat(sparedAfterTimeOuts(true)).isGreaterThanOrEqualTo(4);
+    void fillsThatTimeOutWhileCacheAndParentServeOthersCutTheOriginsShare() {
+        assertThat(withheldAfterTimeOuts(true)).isGreaterThanOrEqualTo(4);
     }
 
-    /** A cache or a hub that answers nobody is at fault itself. */
+    /** A cache or a parent that answers nobody is at fault itself. */
     @Test
-    void fillsThatNeverEndAtASilentCacheTellNothingOfTheOrigin() {
-        assertThat(sparedAfterTimeOuts(false)).isZero();
+    void fillsThatTimeOutAtASilentCacheAreNotTheOriginsFault() {
+        assertThat(withheldAfterTimeOuts(false)).isZero();
     }
 
-    private long sparedAfterTimeOuts(boolean othersAnswered) {
+    private long withheldAfterTimeOuts(boolean othersAnswered) {
         for (int i = 0; i < 30; i++) {
-            String stuck = host.ask(i);
-            String server = host.last().server();
-            String source = host.last().source();
+            String stuck = host.request(i);
+            String server = host.lastPlan().server();
+            String source = host.lastPlan().source();
             long fromUs = host.now;
             for (int k = 0; othersAnswered && k < 40; k++) {
-                String other = host.ask(1000 + 40 * i + k);
-                boolean same = host.last().server().equals(server)
-                        && host.last().source().equals(source);
-                end(other, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS, 10 * MS);
+                String other = host.request(1000 + 40 * i + k);
+                boolean same = host.lastPlan().server().equals(server)
+                        && host.lastPlan().source().equals(source);
+                endAttempt(other, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS, 10 * MS);
                 if (same) {
                     break;
                 }
@@ -120,6 +120,6 @@
                     new AttemptOutcome(
                             stuck, 0, AttemptStatus.TIMEOUT, host.now - fromUs, false, CacheStatus.NONE, 0, null, 0));
         }
-        return spared();
+        return withheldOfTen();
     }
 }
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -8,101 +8,101 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many misses may call an origin that is short, and what is done without a fill. */
+/** How many misses may call an overloaded origin. */
 class OriginLoadShedderTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void failingOriginIsSparedParentsAreAskedWhatTheyHoldAndWritesStayLongest() {
+    void failingOriginGetsFewerFillsAndAllWrites() {
         RouterFixture hits = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL, CacheStatusDetail.HITS, RouterFixture.permissions()))
-                .usual();
+                .withUsualEndpoints();
         for (int i = 100; i < 103; i++) {
-            hits.end(hits.ask(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
+            hits.endAttempt(hits.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
         }
         int held = 0;
         int writes = 0;
         for (int i = 1000; i < 1020; i++) {
-            hits.ask(i);
-            held += hits.last().onlyIfCached()
-                            || hits.last().source().equals(hits.last().server())
+            hits.request(i);
+            held += hits.lastPlan().onlyIfCached()
+                            || hits.lastPlan().source().equals(hits.lastPlan().server())
                     ? 1
                     : 0;
-            writes += hits.attempts(hits.ask("note", i, 0, 3 * S)) > 0 ? 1 : 0;
+            writes += hits.attempts(hits.request("note", i, 0, 3 * S)) > 0 ? 1 : 0;
         }
         assertTrue(held >= 10, "held " + held);
         assertEquals(20, writes);
         hits.now += 60 * S;
-        hits.ask(5000);
-        assertFalse(hits.last().onlyIfCached());
+        hits.request(5000);
+        assertFalse(hits.lastPlan().onlyIfCached());
     }
 
     /**
-     * A front of a large fleet makes few calls: a share that only time lifted slept for seconds after the origin was
-     * well.
+     * Guards against a share that stays low for seconds after the origin has recovered: one gateway of a large fleet
+     * makes few calls.
      */
     @Test
-    void goodCallsLiftTheOriginsShareFasterThanTime() {
+    void successfulCallsRaiseTheOriginsShareFasterThanTime() {
         for (int i = 0; i < 60; i++) {
-            String id = host.ask(i);
-            while (!host.answered(id)) {
-                host.end(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 2 * MS);
+            String id = host.request(i);
+            while (!host.isTerminated(id)) {
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 2 * MS);
             }
         }
-        assertTrue(heldOfTen(1000) >= 8);
+        assertTrue(onlyIfCachedOfTen(1000) >= 8);
         long from = host.now;
         for (int i = 100; i < 160; i++) {
-            String id = host.ask(i);
-            if (host.last().onlyIfCached()) {
-                host.end(id, AttemptStatus.MISS, CacheStatus.SOURCE_MISS, MS);
+            String id = host.request(i);
+            if (host.lastPlan().onlyIfCached()) {
+                host.endAttempt(id, AttemptStatus.MISS, CacheStatus.SOURCE_MISS, MS);
             }
-            if (!host.answered(id)) {
-                host.end(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MS);
+            if (!host.isTerminated(id)) {
+                host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MS);
             }
         }
         assertTrue(host.now - from < 3 * S, "took " + (host.now - from));
-        assertEquals(0, heldOfTen(2000));
+        assertEquals(0, onlyIfCachedOfTen(2000));
     }
 
     /**
-     * Once calls came late, a second's worth of others stood behind them, and all came late for as long as it lasted.
+     * Guards against a queue at the origin: once calls come late, those of a second wait behind them and are late too.
      */
     @Test
-    void waitOfMoreThanHalfAnAimIsTakenForAQueueAtTheOrigin() {
-        assertEquals(0, heldAfterWaitsOf(150 * MS));
-        assertTrue(heldAfterWaitsOf(350 * MS) >= 4);
+    void waitOfMoreThanHalfTheObjectiveIsTakenForAQueueAtTheOrigin() {
+        assertEquals(0, onlyIfCachedAfterWaitsOf(150 * MS));
+        assertTrue(onlyIfCachedAfterWaitsOf(350 * MS) >= 4);
     }
 
     @Test
-    void writesGoOnHoweverShortTheOriginIs() {
+    void writesContinueHoweverOverloadedTheOriginIs() {
         for (int i = 0; i < 200; i++) {
             host.now += 20 * MS;
-            String id = host.ask(i);
-            while (!host.answered(id)) {
-                host.end(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 5 * MS);
+            String id = host.request(i);
+            while (!host.isTerminated(id)) {
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 5 * MS);
             }
         }
         for (int i = 1000; i < 1020; i++) {
-            assertEquals(1, host.attempts(host.ask("note", i, 0, 3 * S)));
+            assertEquals(1, host.attempts(host.request("note", i, 0, 3 * S)));
         }
     }
 
-    private long heldOfTen(int from) {
+    private long onlyIfCachedOfTen(int from) {
         int before = host.sent.size();
         for (int i = from; i < from + 10; i++) {
-            host.ask(i);
+            host.request(i);
         }
         return host.sent.subList(before, host.sent.size()).stream()
-                .filter(s -> s.order().onlyIfCached()
-                        || s.order().server().equals(s.order().source()))
+                .filter(s -> s.plan().onlyIfCached()
+                        || s.plan().server().equals(s.plan().source()))
                 .count();
     }
 
-    private static long heldAfterWaitsOf(long waitUs) {
-        RouterFixture host = new RouterFixture().usual();
+    private static long onlyIfCachedAfterWaitsOf(long waitUs) {
+        RouterFixture host = new RouterFixture().withUsualEndpoints();
         for (int i = 0; i < 40; i++) {
-            String id = host.ask(i);
-            if (!host.last().onlyIfCached()) {
+            String id = host.request(i);
+            if (!host.lastPlan().onlyIfCached()) {
                 host.now += waitUs + 100 * MS;
                 host.router.attemptEnded(
                         host.now,
@@ -120,10 +120,10 @@
         }
         int before = host.sent.size();
         for (int i = 100; i < 110; i++) {
-            host.ask(i);
+            host.request(i);
         }
         return host.sent.subList(before, host.sent.size()).stream()
-                .filter(s -> s.order().onlyIfCached())
+                .filter(s -> s.plan().onlyIfCached())
                 .count();
     }
 }
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -11,83 +11,83 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which servers are offered: lists, ejection and return. */
+/** Ejection and recovery of endpoints. */
 class OutlierDetectorTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void deadCacheIsLeftAtOnceAndTriedAgainAfterAPause() {
-        String id = host.ask(1);
-        String dead = host.last().server();
-        host.end(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, MS);
+    void unreachableCacheIsEjectedAtOnceAndGetsAHealthCheckAfterAPause() {
+        String id = host.request(1);
+        String dead = host.lastPlan().server();
+        host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, MS);
         assertEquals(2, host.attempts(id));
-        assertNotEquals(dead, host.last().server());
-        host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+        assertNotEquals(dead, host.lastPlan().server());
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         for (int i = 100; i < 130; i++) {
-            host.ask(i);
-            assertNotEquals(dead, host.last().server());
+            host.request(i);
+            assertNotEquals(dead, host.lastPlan().server());
         }
         host.now += 2 * S;
         int trials = 0;
         for (int i = 200; i < 230; i++) {
-            host.ask(i);
-            trials += host.last().server().equals(dead) ? 1 : 0;
+            host.request(i);
+            trials += host.lastPlan().server().equals(dead) ? 1 : 0;
         }
         assertEquals(1, trials);
     }
 
-    /** One spoilt answer or reset ends all that is out on a connection, and is no sign of a sick cache. */
+    /** One bad response or reset ends all attempts on a connection, and is one failure of the cache. */
     @Test
     void attemptsResetTogetherAreOneFailure() {
         for (int i = 0; i < 10; i++) {
-            host.ask(1);
+            host.request(1);
         }
-        String cache = host.last().server();
+        String cache = host.lastPlan().server();
         host.now += 50 * MS;
         for (int i = 0; i < 10; i++) {
             host.router.attemptEnded(
                     host.now,
                     new AttemptOutcome("r" + i, 0, AttemptStatus.RESET, 50 * MS, false, CacheStatus.NONE, 0, null, 0));
         }
-        assertEquals(List.of(), host.lines);
+        assertEquals(List.of(), host.logLines);
         for (int i = 0; i < 2; i++) {
             host.now += 50 * MS;
-            String id = host.ask(1);
-            assertEquals(cache, host.last().server());
-            host.end(id, AttemptStatus.RESET, CacheStatus.NONE, 50 * MS);
+            String id = host.request(1);
+            assertEquals(cache, host.lastPlan().server());
+            host.endAttempt(id, AttemptStatus.RESET, CacheStatus.NONE, 50 * MS);
         }
-        assertEquals(1, host.lines.size(), host.lines.toString());
+        assertEquals(1, host.logLines.size(), host.logLines.toString());
     }
 
-    /** Bad clients ask for what no server can use, at full speed. */
+    /** Guards against bad clients whose requests fail at every endpoint. */
     @Test
-    void requestThatAllServersAnswerWithAnErrorIsGivenUpAndLeavesNoneOut() {
+    void requestThatAllEndpointsFailIsTerminatedAndEjectsNone() {
         for (int i = 0; i < 8; i++) {
-            String id = host.ask(i);
+            String id = host.request(i);
             for (int j = 0; j < 3; j++) {
-                host.end(id, AttemptStatus.ERROR, CacheStatus.NONE, MS);
+                host.endAttempt(id, AttemptStatus.ERROR, CacheStatus.NONE, MS);
             }
-            assertTrue(host.answered(id));
+            assertTrue(host.isTerminated(id));
             assertEquals(3, host.attempts(id));
         }
-        assertEquals(List.of(), host.lines);
+        assertEquals(List.of(), host.logLines);
         Set<String> servers = new TreeSet<>();
         host.fills(100, 200).forEach(o -> servers.add(o.server()));
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 
-    /** A full table of connections refuses new ones, while the cache answers on those it has. */
+    /** A cache whose connection table is full fails new connects, and answers on those it has. */
     @Test
-    void refusedConnectionIsNoProofAgainstACacheThatAnswers() {
+    void failedConnectDoesNotEjectACacheThatAnswersOthers() {
         for (int i = 0; i < 20; i++) {
-            host.end(host.ask(i), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
+            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
         }
-        String id = host.ask(7);
-        String full = host.last().server();
-        host.end(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
-        host.end(id, AttemptStatus.OK, CacheStatus.FILLED, 20 * MS);
-        host.end(host.ask(7), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
-        assertEquals(full, host.last().server());
-        assertEquals(List.of(), host.lines);
+        String id = host.request(7);
+        String full = host.lastPlan().server();
+        host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 20 * MS);
+        host.endAttempt(host.request(7), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
+        assertEquals(full, host.lastPlan().server());
+        assertEquals(List.of(), host.logLines);
     }
 }
--- a/src/test/java/petrelplank/routing/PlatformRulesTest.java
+++ b/src/test/java/petrelplank/routing/PlatformRulesTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks of settings. */
+/** Checks of values. */
 class PlatformRulesTest {
     @Test
-    void badSettingIsNamed() {
+    void badValueIsNamedInTheMessage() {
         IllegalArgumentException thrown = assertThrows(
                 IllegalArgumentException.class, () -> new PlatformRules(-1, 0.2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0));
         assertTrue(
--- a/src/test/java/petrelplank/routing/RecordingActions.java
+++ b/src/test/java/petrelplank/routing/RecordingActions.java
@@ -4,71 +4,71 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Writes down what a router does. */
+/** Records all actions of a router. */
 class RecordingActions implements Router.Actions {
-    record Sent(String request, AttemptPlan order) {}
+    record Sent(String request, AttemptPlan plan) {}
 
     final List<Sent> sent = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
+    final List<String> rejected = new ArrayList<>();
     final List<Long> retryAfter = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
-    final List<String> all = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
     final TreeMap<Long, Long> timers = new TreeMap<>();
 
     @Override
-    public void send(String request, AttemptPlan order) {
-        sent.add(new Sent(request, order));
-        all.add("send " + request + " " + order);
+    public void send(String request, AttemptPlan plan) {
+        sent.add(new Sent(request, plan));
+        actions.add("send " + request + " " + plan);
     }
 
     @Override
     public void reject(String request, long retryAfterUs) {
-        refused.add(request);
+        rejected.add(request);
         retryAfter.add(retryAfterUs);
-        all.add("refuse " + request);
+        actions.add("reject " + request);
     }
 
     @Override
     public void fail(String request) {
         failed.add(request);
-        all.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        all.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
     public void healthCheck(String server) {
-        all.add("probe " + server);
+        actions.add("health check " + server);
     }
 
     @Override
     public void gossip(int gateway, byte[] data) {
-        all.add("tell " + gateway);
+        actions.add("gossip " + gateway);
     }
 
     @Override
     public void setTimer(long token, long atUs) {
-        all.add("timer " + token + " " + atUs);
+        actions.add("timer " + token + " " + atUs);
         timers.put(token, atUs);
     }
 
     @Override
     public void watchEndpoints() {
-        all.add("subscribe");
+        actions.add("watch");
     }
 
     @Override
     public void fetchEndpoints() {
-        all.add("fetch");
+        actions.add("fetch");
     }
 
     @Override
     public void log(String line) {
-        lines.add(line);
-        all.add("log " + line);
+        logLines.add(line);
+        actions.add("log " + line);
     }
 }
--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -9,22 +9,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The module as a whole: its size, odd input, and the same actions for the same events. */
+/** The router as a whole: unusual input, disconnected clients, and the same actions for the same events. */
 class RequestRouterTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void clockJumpOfMinutesKeepsDeciding() {
+    void clockJumpOfMinutesIsSurvived() {
         host.fills(0, 50);
-        String id = host.ask(1);
+        String id = host.request(1);
         host.now += 600 * S;
-        host.end(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, MS);
-        assertTrue(host.answered(id));
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, MS);
+        assertTrue(host.isTerminated(id));
         assertEquals(50, host.fills(100, 150).size());
     }
 
     @Test
-    void settingsWithoutParentsSiblingsSizesNotesOrWeightsStillDecide() {
+    void minimalSettingsAreRouted() {
         RouterFixture bare = new RouterFixture(new RouterSettings(
                 0,
                 1,
@@ -52,52 +52,52 @@
                 List.of(
                         new EndpointInfo("a", "z", "box", 0, EndpointState.UP, 0, 0),
                         new EndpointInfo("a", "z", "box", 0, EndpointState.UP, 0, 0)));
-        String id = bare.ask(1);
-        assertEquals("a", bare.last().server());
-        bare.end(id, AttemptStatus.OK, CacheStatus.NONE, 100 * MS);
-        assertFalse(bare.answered(id));
+        String id = bare.request(1);
+        assertEquals("a", bare.lastPlan().server());
+        bare.endAttempt(id, AttemptStatus.OK, CacheStatus.NONE, 100 * MS);
+        assertFalse(bare.isTerminated(id));
     }
 
     @Test
     void lateEventsAreIgnored() {
-        String id = host.ask(1);
-        host.end(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
-        int before = host.all.size();
-        host.end(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
+        String id = host.request(1);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
+        int before = host.actions.size();
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
         host.router.clientDisconnected(host.now, id);
         host.router.timerFired(host.now, 99);
-        assertEquals(before, host.all.size());
+        assertEquals(before, host.actions.size());
     }
 
     @Test
     void sameEventsGiveSameActions() {
-        RouterFixture other = new RouterFixture().usual();
+        RouterFixture other = new RouterFixture().withUsualEndpoints();
         host.fills(0, 300);
         other.fills(0, 300);
-        assertEquals(host.all, other.all);
+        assertEquals(host.actions, other.actions);
     }
 
     @Test
-    void strayMessagesReportsAndProbesChangeNothing() {
-        RouterFixture plain = new RouterFixture().usual();
+    void strayGossipReportsAndHealthChecksChangeNothing() {
+        RouterFixture plain = new RouterFixture().withUsualEndpoints();
         host.router.gossipReceived(host.now, 77, new byte[] {1, 2});
         host.router.gossipReceived(host.now, -1, new byte[300]);
         host.router.healthChecked(host.now, "nobody", AttemptStatus.OK, 5, new double[] {Double.NaN, 1e9});
-        String id = host.ask(1);
-        plain.ask(1);
+        String id = host.request(1);
+        plain.request(1);
         host.router.attemptEnded(
                 host.now,
                 new AttemptOutcome(id, 5, AttemptStatus.OK, 1, false, CacheStatus.HIT, 0, new double[] {-1}, 0));
-        assertEquals(plain.all, host.all);
+        assertEquals(plain.actions, host.actions);
     }
 
     @Test
-    void clientThatLeftHasItsAttemptCalledOffAndAStreamDoesNot() {
-        String left = host.ask(1);
+    void disconnectedClientsAttemptIsCancelledAndAStartedStreamIsNot() {
+        String left = host.request(1);
         host.router.clientDisconnected(host.now, left);
-        assertTrue(host.all.contains("cancel " + left + " 0"), host.all.toString());
-        String streamed = host.ask(2);
+        assertTrue(host.actions.contains("cancel " + left + " 0"), host.actions.toString());
+        String streamed = host.request(2);
         host.router.streamStarted(host.now, streamed, 0);
-        assertFalse(host.all.contains("cancel " + streamed + " 0"), host.all.toString());
+        assertFalse(host.actions.contains("cancel " + streamed + " 0"), host.actions.toString());
     }
 }
--- a/src/test/java/petrelplank/routing/RetryPolicyTest.java
+++ b/src/test/java/petrelplank/routing/RetryPolicyTest.java
@@ -9,15 +9,15 @@
 
 /** Retries and idempotency. */
 class RetryPolicyTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void keyedWriteThatMayHaveRunIsNotSentAgainAfterItsWindow() {
-        String id = host.ask("note", 1, 0, 5 * S);
-        assertEquals("origin", host.last().server());
-        host.end(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 600 * MS);
+    void writeWithAKeyIsNotRetriedAfterItsWindow() {
+        String id = host.request("note", 1, 0, 5 * S);
+        assertEquals("origin", host.lastPlan().server());
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 600 * MS);
         assertEquals(2, host.attempts(id));
-        host.end(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 2500 * MS);
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 2500 * MS);
         assertEquals(2, host.attempts(id));
         assertEquals(List.of(id), host.failed);
     }
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A host that writes down what the router does, with short ways to script events. */
+/** A router with a host that records its actions, a clock, and short ways to script events. */
 final class RouterFixture extends RecordingActions {
     static final long MS = 1000;
     static final long S = 1000 * MS;
@@ -57,7 +57,7 @@
     Router router;
     long now = 100 * S;
     private int ids;
-    /** Counted for whom, from now on. */
+    /** The tenant of all further requests. */
     String tenant;
 
     static RoutingPermissions permissions() {
@@ -68,19 +68,19 @@
         return new PlatformRules(2 * S, 0.2, 16 * S, 2.5, 2 * S, 0.07, 20 * S, 2, 0, 0, S / 2, 6 * S, 10 * S);
     }
 
-    static RouterSettings settings(WeightMeaning weights, CacheStatusDetail notes, RoutingPermissions allowed) {
-        return settings(weights, notes, allowed, 2);
+    static RouterSettings settings(WeightMeaning weights, CacheStatusDetail detail, RoutingPermissions permissions) {
+        return settings(weights, detail, permissions, 2);
     }
 
     static RouterSettings settings(
-            WeightMeaning weights, CacheStatusDetail notes, RoutingPermissions allowed, int gateways) {
-        return settings(weights, notes, allowed, gateways, List.of());
+            WeightMeaning weights, CacheStatusDetail detail, RoutingPermissions permissions, int gateways) {
+        return settings(weights, detail, permissions, gateways, List.of());
     }
 
     static RouterSettings settings(
             WeightMeaning weights,
-            CacheStatusDetail notes,
-            RoutingPermissions allowed,
+            CacheStatusDetail detail,
+            RoutingPermissions permissions,
             int gateways,
             List<String> report) {
         return new RouterSettings(
@@ -95,12 +95,12 @@
                 "origin",
                 8000,
                 weights,
-                notes,
+                detail,
                 report,
                 false,
                 400 * MS,
                 List.of(VIDEO, FILE, NOTE),
-                allowed,
+                permissions,
                 rules(),
                 List.of(),
                 0);
@@ -114,8 +114,8 @@
         router = new RequestRouter(settings, 7, this);
     }
 
-    /** A usual roster: four caches, a parent at each of two hubs, an origin, a cache elsewhere. */
-    RouterFixture usual() {
+    /** Lists the usual endpoints: four caches, a parent at each of two hubs, an origin, a cache elsewhere. */
+    RouterFixture withUsualEndpoints() {
         router.endpointsChanged(
                 now,
                 true,
@@ -143,15 +143,15 @@
         router.endpointsChanged(now, false, List.of(members));
     }
 
-    String ask(long object) {
-        return ask("video", object, 0, 4 * S);
+    String request(long object) {
+        return request("video", object, 0, 4 * S);
     }
 
-    String ask(String type, long object, int group, long waitUs) {
-        return ask(type, object, group, waitUs, 800);
+    String request(String type, long object, int group, long waitUs) {
+        return request(type, object, group, waitUs, 800);
     }
 
-    String ask(String type, long object, int group, long waitUs, double sizeKb) {
+    String request(String type, long object, int group, long waitUs, double sizeKb) {
         String id = "r" + ids++;
         router.requestReceived(
                 now,
@@ -160,23 +160,29 @@
         return id;
     }
 
-    AttemptPlan last() {
-        return sent.get(sent.size() - 1).order();
+    AttemptPlan lastPlan() {
+        return sent.get(sent.size() - 1).plan();
     }
 
     int attempts(String request) {
         return (int) sent.stream().filter(s -> s.request().equals(request)).count();
     }
 
-    void end(String request, AttemptStatus status, CacheStatus note, long latencyUs) {
-        end(request, status, note, latencyUs, null);
+    void endAttempt(String request, AttemptStatus status, CacheStatus cacheStatus, long latencyUs) {
+        endAttempt(request, status, cacheStatus, latencyUs, null);
     }
 
-    void end(String request, AttemptStatus status, CacheStatus note, long latencyUs, double[] load) {
-        end(request, status, note, latencyUs, load, 0);
+    void endAttempt(String request, AttemptStatus status, CacheStatus cacheStatus, long latencyUs, double[] load) {
+        endAttempt(request, status, cacheStatus, latencyUs, load, 0);
     }
 
-    void end(String request, AttemptStatus status, CacheStatus note, long latencyUs, double[] load, double sizeKb) {
+    void endAttempt(
+            String request,
+            AttemptStatus status,
+            CacheStatus cacheStatus,
+            long latencyUs,
+            double[] load,
+            double sizeKb) {
         now += latencyUs;
         router.attemptEnded(
                 now,
@@ -186,42 +192,42 @@
                         status,
                         latencyUs,
                         status == AttemptStatus.OK,
-                        note,
-                        note == CacheStatus.FILLED ? 10 * MS : 0,
+                        cacheStatus,
+                        cacheStatus == CacheStatus.FILLED ? 10 * MS : 0,
                         load,
                         sizeKb));
     }
 
-    /** Asks for many objects, each answered after a fill in good time. */
+    /** Requests many objects, each answered in time after a fill. */
     List<AttemptPlan> fills(int from, int to) {
         List<AttemptPlan> orders = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            String id = ask(i);
+            String id = request(i);
             if (attempts(id) > 0) {
-                orders.add(last());
-                end(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+                orders.add(lastPlan());
+                endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
             }
         }
         return orders;
     }
 
-    /** Lets time pass and fires the timers that fall due in it, in order. */
-    void pass(long us) {
-        long end = now + us;
+    /** Lets time pass, and fires the timers that are due in it in order. */
+    void advance(long durationUs) {
+        long endUs = now + durationUs;
         while (!timers.isEmpty()) {
             var next =
                     timers.entrySet().stream().min(Map.Entry.comparingByValue()).get();
-            if (next.getValue() > end) {
+            if (next.getValue() > endUs) {
                 break;
             }
             now = Math.max(now, next.getValue());
             timers.remove(next.getKey());
             router.timerFired(now, next.getKey());
         }
-        now = end;
+        now = endUs;
     }
 
-    boolean answered(String request) {
-        return refused.contains(request) || failed.contains(request);
+    boolean isTerminated(String request) {
+        return rejected.contains(request) || failed.contains(request);
     }
 }
--- a/src/test/java/petrelplank/routing/RoutingPackageTest.java
+++ b/src/test/java/petrelplank/routing/RoutingPackageTest.java
@@ -14,7 +14,7 @@
     private static final int MAX_LINES = 250;
     private static final int MAX_COLUMNS = 120;
 
-    /** Each concern stays short enough to be read as a whole. */
+    /** Each concern stays short enough to be read at once. */
     @Test
     void everyFileOfThePackageIsShort() throws IOException {
         List<Path> files = sourceFiles();
--- a/src/test/java/petrelplank/routing/SilenceMonitorTest.java
+++ b/src/test/java/petrelplank/routing/SilenceMonitorTest.java
@@ -8,57 +8,57 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Retries, hedged requests and final answers. */
+/** Hedged requests, and retries after a silence. */
 class SilenceMonitorTest {
-    private final RouterFixture host = new RouterFixture().usual();
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void answerThatNeverComesIsAskedForAgainFirstCutWhereNoSecondCopyMayRun() {
+    void silentAttemptIsCancelledAndRetriedWhereHedgingIsNotAllowed() {
         host.fills(0, 100);
-        String id = host.ask(1000);
-        host.pass(500 * MS);
+        String id = host.request(1000);
+        host.advance(500 * MS);
         assertEquals(2, host.attempts(id));
-        assertTrue(host.all.contains("cancel " + id + " 0"));
+        assertTrue(host.actions.contains("cancel " + id + " 0"));
         host.router.attemptEnded(
                 host.now,
                 new AttemptOutcome(id, 0, AttemptStatus.CANCELLED, 500 * MS, false, CacheStatus.NONE, 0, null, 0));
-        host.end(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
-        host.pass(4 * S);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
+        host.advance(4 * S);
         assertEquals(2, host.attempts(id));
-        assertFalse(host.answered(id));
+        assertFalse(host.isTerminated(id));
     }
 
     @Test
-    void answerThatNeverComesIsAskedForTwiceWhereSecondCopiesAreAllowedAndTheLoserIsCalledOff() {
+    void silentAttemptIsHedgedWhereAllowedAndTheLoserIsCancelled() {
         RouterFixture two = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL,
                         CacheStatusDetail.ALL,
                         new RoutingPermissions(
                                 8, true, true, false, false, true, S, true, true, SiblingFillPolicy.ANY)))
-                .usual();
+                .withUsualEndpoints();
         two.fills(0, 100);
-        String id = two.ask(1000);
-        two.pass(500 * MS);
+        String id = two.request(1000);
+        two.advance(500 * MS);
         assertEquals(2, two.attempts(id));
-        assertFalse(two.all.contains("cancel " + id + " 0"));
-        two.end(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
-        assertTrue(two.all.contains("cancel " + id + " 0"));
+        assertFalse(two.actions.contains("cancel " + id + " 0"));
+        two.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
+        assertTrue(two.actions.contains("cancel " + id + " 0"));
     }
 
     @Test
-    void keyedWriteIsNotSentASecondTimeForSilence() {
+    void writeWithAKeyIsNotHedged() {
         host.fills(0, 100);
-        String id = host.ask("note", 1, 0, 3 * S);
-        host.pass(2900 * MS);
+        String id = host.request("note", 1, 0, 3 * S);
+        host.advance(2900 * MS);
         assertEquals(1, host.attempts(id));
     }
 
     @Test
-    void lateAnswersInAJamAreWaitedForAndNotDoubled() {
+    void lateResponsesUnderOverloadAreNotHedged() {
         for (int i = 0; i < 200; i++) {
-            String id = host.ask(i);
+            String id = host.request(i);
             if (host.attempts(id) > 0) {
-                host.pass(1900 * MS);
+                host.advance(1900 * MS);
                 host.router.attemptEnded(
                         host.now,
                         new AttemptOutcome(
@@ -73,27 +73,27 @@
                                 0));
             }
         }
-        String id = host.ask(1000);
-        host.pass(1500 * MS);
+        String id = host.request(1000);
+        host.advance(1500 * MS);
         assertEquals(1, host.attempts(id));
     }
 
-    /** A hub that fell silent was learned of by its fills' deadlines alone, seconds later. */
+    /** Guards against learning of a silent parent by the deadlines of its fills alone, seconds later. */
     @Test
-    void silentHubIsPassedByOnceItsCachesHaveAnsweredMeanwhile() {
+    void silentParentIsAvoidedOnceItsCachesHaveAnsweredOthers() {
         for (int i = 0; i < 400; i++) {
-            host.end(host.ask(i), AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         }
         int toNorth = 0;
         for (int i = 1000; i < 1012; i++) {
-            host.ask(i);
-            toNorth += host.last().source().equals("p-north") ? 1 : 0;
+            host.request(i);
+            toNorth += host.lastPlan().source().equals("p-north") ? 1 : 0;
             for (int j = 0; j < 8; j++) {
-                host.pass(20 * MS);
-                host.end(host.ask(j), AttemptStatus.OK, CacheStatus.HIT, 30 * MS);
+                host.advance(20 * MS);
+                host.endAttempt(host.request(j), AttemptStatus.OK, CacheStatus.HIT, 30 * MS);
             }
         }
         assertTrue(toNorth >= 3 && toNorth <= 9, "to the silent hub " + toNorth);
-        assertTrue(host.lines.stream().anyMatch(l -> l.startsWith("ejected: p-north")), host.lines.toString());
+        assertTrue(host.logLines.stream().anyMatch(l -> l.startsWith("ejected: p-north")), host.logLines.toString());
     }
 }
--- a/src/test/java/petrelplank/routing/SlowStartFleetTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartFleetTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cold cache under the sum of what all gateways of its zone send, in simulated time. What it is sent is counted at
+ * A cache in slow start under the sum of what all gateways of its zone send, in simulated time. It is counted at
  * the cache, in any window of the rule's length, against what the settings allow it by the window's end.
  */
 class SlowStartFleetTest {
@@ -64,7 +64,7 @@
         worst = Math.max(worst, window.size() - most - 2 * Math.sqrt(most) - 2);
     }
 
-    /** All gateways ask for far more than the cache bears; a share of them starts anew, several times. */
+    /** All gateways request far more than the cache has capacity for; a share of them restarts, several times. */
     @ParameterizedTest
     @CsvSource({"2, 0.7", "20, 0.7", "30, 0.7", "100, 0.7", "30, 0.1", "100, 0.1"})
     void sumOfAllGatewaysStaysWithinTheBudget(int gateways, double restarted) {
@@ -85,18 +85,18 @@
             for (int i = 0; i < ASKED_EACH_STEP; i++) {
                 // Some gateways get several times the mean.
                 int at = (int) (gateways * random.nextDouble() * random.nextDouble());
-                ask(fleet.get(at), now, object++);
+                request(fleet.get(at), now, object++);
             }
         }
         assertThat(worst).as("over the budget and chance").isNegative();
-        assertThat(sent).as("sent to the cold cache at all").isGreaterThan(gateways);
+        assertThat(sent).as("sent to the cache in slow start at all").isGreaterThan(gateways);
     }
 
-    private void ask(RouterFixture host, long now, long object) {
+    private void request(RouterFixture host, long now, long object) {
         host.now = now;
         int before = host.sent.size();
-        String id = host.ask(object);
-        if (host.sent.size() > before && host.last().server().equals(COLD)) {
+        String id = host.request(object);
+        if (host.sent.size() > before && host.lastPlan().server().equals(COLD)) {
             audit(now);
         }
         if (host.attempts(id) > 0) {
