--- a/src/main/java/petrelplank/routing/AttemptPlanner.java
+++ b/src/main/java/petrelplank/routing/AttemptPlanner.java
@@ -37,8 +37,8 @@
         if (request.originAccess.isSampled()) {
             return OriginAccess.GRANTED;
         }
-        boolean spared = originShedder.isShedding(now) && !request.isWrite();
-        return spared ? OriginAccess.WITHHELD : OriginAccess.UNRESTRICTED;
+        boolean withheld = originShedder.isShedding(now) && !request.isWrite();
+        return withheld ? OriginAccess.WITHHELD : OriginAccess.UNRESTRICTED;
     }
 
     /** A write runs at the origin: straight where that is allowed, else by way of a cache. */
--- a/src/main/java/petrelplank/routing/CacheSelector.java
+++ b/src/main/java/petrelplank/routing/CacheSelector.java
@@ -65,7 +65,7 @@
         return caches;
     }
 
-    /** Others' objects go to a cache only where it is known to have room for them. */
+    /** Whether a cache may take objects of those at their limit: it is known to have room. */
     private static boolean tellsOfRoom(Endpoint cache) {
         return !(cache.reportedLoad.inFlight < 0 || cache.reportedLoad.inFlight > cache.weight);
     }
--- a/src/main/java/petrelplank/routing/CacheStatus.java
+++ b/src/main/java/petrelplank/routing/CacheStatus.java
@@ -2,7 +2,7 @@
 
 /** What a response tells of a copy or a fill. */
 public enum CacheStatus {
-    /** Nothing is told. */
+    /** The response tells nothing. */
     NONE,
     /** Served from a copy in the cache. */
     HIT,
--- a/src/main/java/petrelplank/routing/ConcurrencyLimit.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimit.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Whether one more attempt of the request fits. The sampling key rounds a limit that is no whole number; a
-     * deviation more is let out where many gateways share it, lest chance sheds.
+     * Whether one more attempt of the request fits. The sampling key rounds a fractional limit; where many gateways
+     * share it, one standard deviation more is allowed, so that chance alone rejects nothing.
      */
     boolean hasRoom(RequestState request) {
         double others = 1 - 1 / gateways;
--- a/src/main/java/petrelplank/routing/EligibleEndpoints.java
+++ b/src/main/java/petrelplank/routing/EligibleEndpoints.java
@@ -12,13 +12,13 @@
     private final EndpointRegistry endpoints;
     private final OutlierDetector outliers;
     private final boolean directToParents;
-    private final boolean originFailuresTold;
+    private final boolean originFailuresReported;
 
     EligibleEndpoints(RouterSettings settings, EndpointRegistry endpoints, OutlierDetector outliers) {
         this.endpoints = endpoints;
         this.outliers = outliers;
         this.directToParents = settings.permissions().directToParents();
-        this.originFailuresTold = settings.cacheStatusDetail() == CacheStatusDetail.ALL;
+        this.originFailuresReported = settings.cacheStatusDetail() == CacheStatusDetail.ALL;
     }
 
     /** The caches that may take the request, in a list of its own. */
@@ -33,7 +33,7 @@
     /** The parents that may fill a miss of the request, in a list of its own. */
     List<Endpoint> parents(RequestState request, long now) {
         List<Endpoint> up = up(endpoints.parents(), request);
-        return originFailuresTold ? ready(up, now) : readyUnlessMostFail(up, now);
+        return originFailuresReported ? ready(up, now) : readyUnlessMostFail(up, now);
     }
 
     /** Whether the origin may take a call of the request. */
--- a/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
@@ -49,8 +49,8 @@
     private void recordConnectFailure(AttemptState attempt, long now) {
         Endpoint endpoint = attempt.endpoint;
         // Guards a good cache whose table of connections is full: it answers on those it has.
-        boolean silent = now - endpoint.lastResponseUs > connectTimeoutUs;
-        Evidence evidence = silent ? Evidence.CONCLUSIVE : Evidence.INCONCLUSIVE;
+        boolean unresponsive = now - endpoint.lastResponseUs > connectTimeoutUs;
+        Evidence evidence = unresponsive ? Evidence.CONCLUSIVE : Evidence.INCONCLUSIVE;
         outliers.recordFailure(endpoint, now, evidence, attempt.healthCheck);
         endpoint.ejection.unreachable = true;
     }
--- a/src/main/java/petrelplank/routing/EndpointRegistry.java
+++ b/src/main/java/petrelplank/routing/EndpointRegistry.java
@@ -69,7 +69,8 @@
         }
         endpoint.state = info.state();
         endpoint.weight = settings.weightMeaning() != WeightMeaning.NONE && info.weight() > 0 ? info.weight() : 1;
-        // Guards against a limit that stays low after an overload has ended: where reports tell, what fits is known.
+        // Guards against a limit that stays low after an overload has ended: where reports tell requests in flight, its
+        // capacity is known.
         endpoint.limit.setKnownCapacity(loadReports.tellInFlight() ? ReportedLoad.OVERLOAD * endpoint.weight : 0);
         endpoint.hubDistance = hubDistance(info.zone());
         endpoint.role = role(info);
@@ -99,7 +100,7 @@
         return info.zone().equals(settings.zone()) ? Role.EDGE : Role.OTHER;
     }
 
-    /** Steps along the ring of hubs from this gateway's hub; 0 where hubs are not told. */
+    /** Steps along the ring of hubs from this gateway's hub; 0 where hubs are not known. */
     private int hubDistance(String zone) {
         int ownIndex = settings.zones().indexOf(settings.zone());
         int zoneIndex = settings.zones().indexOf(zone);
--- a/src/main/java/petrelplank/routing/FailureAttribution.java
+++ b/src/main/java/petrelplank/routing/FailureAttribution.java
@@ -5,13 +5,13 @@
     /** A rejection slower than this multiple of the quickest response may have come from the source. */
     private static final double SLOW_REJECTION = 4;
 
-    /** Whether cache statuses tell failures of sources and of the origin. */
-    private final boolean failuresTold;
+    /** Whether cache statuses report failures of sources and of the origin. */
+    private final boolean failuresReported;
 
     private double quickestResponseUs = Double.MAX_VALUE;
 
     FailureAttribution(CacheStatusDetail detail) {
-        this.failuresTold = detail == CacheStatusDetail.ALL;
+        this.failuresReported = detail == CacheStatusDetail.ALL;
     }
 
     /** An endpoint answered in so much time beside the transfer. */
@@ -19,7 +19,7 @@
         quickestResponseUs = Math.min(quickestResponseUs, Math.max(1, responseUs));
     }
 
-    /** Whether the source failed; where that is not told, a rejection too fast to have asked it is the cache's. */
+    /** Whether the source failed; without a status of it, a rejection too quick to have involved it is the cache's. */
     boolean isSourceAtFault(AttemptOutcome outcome) {
         return switch (outcome.cacheStatus()) {
             case SOURCE_REJECTED, SOURCE_UNREACHABLE, ORIGIN_FAILED -> true;
@@ -30,14 +30,14 @@
 
     private boolean isSlowRejection(AttemptOutcome outcome) {
         return outcome.status() == AttemptStatus.REJECTED
-                && !failuresTold
+                && !failuresReported
                 && outcome.latencyUs() > SLOW_REJECTION * quickestResponseUs;
     }
 
     /** Whether the origin may have rejected a call, by way of a source or not. */
     boolean mayBeOriginRejection(AttemptOutcome outcome) {
-        boolean untold = !failuresTold
+        boolean unknown = !failuresReported
                 && (outcome.status() == AttemptStatus.REJECTED || outcome.status() == AttemptStatus.ERROR);
-        return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || untold);
+        return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || unknown);
     }
 }
--- a/src/main/java/petrelplank/routing/FillOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/FillOutcomeRecorder.java
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Not where sizes are not told, nor for fills by way of the origin, whose link may be the slow one. */
+    /** Unknown where sizes are, and for fills by way of the origin, whose link may be the slow one. */
     private static boolean isPaceKnown(RequestState request, AttemptOutcome outcome) {
         return !(request.request.sizeKb() + outcome.sizeKb() <= 0)
                 && outcome.cacheStatus() != CacheStatus.FILLED_FROM_ORIGIN;
--- a/src/main/java/petrelplank/routing/HedgingPolicy.java
+++ b/src/main/java/petrelplank/routing/HedgingPolicy.java
@@ -5,7 +5,7 @@
 import petrelplank.routing.Endpoint.Role;
 
 /**
- * When an attempt without a response is checked, and how long silence has a usual cause: an estimate of response times
+ * When an attempt without a response is checked, and when it counts as unresponsive: an estimate of response times
  * and of their deviation, as parts of the latency objective.
  */
 final class HedgingPolicy {
@@ -13,7 +13,7 @@
     private static final double SMOOTHING = 0.05;
 
     private static final double INITIAL_DELAY = 0.25;
-    /** Mean deviations beyond transfer time and mean delay after which silence is not explained. */
+    /** Mean deviations beyond transfer time and mean delay after which an attempt is unresponsive. */
     private static final double DEVIATIONS = 6;
 
     private final RoutingPermissions permissions;
@@ -39,7 +39,9 @@
         }
     }
 
-    /** How long silence has a usual cause; longer for what would come late anyway, or was silent before. */
+    /**
+     * The time after which an attempt is unresponsive; longer for one that would be late anyway, and after the first.
+     */
     double hedgeDelayUs(RequestState request) {
         double objectiveUs = request.latencyObjectiveUs();
         double allowanceUs = DEVIATIONS * Math.max(SMOOTHING, delayDeviation) * objectiveUs;
@@ -57,7 +59,7 @@
         return explained ? Timeliness.EXPIRED : Timeliness.FAILED;
     }
 
-    /** Whether one more attempt may be made while one in flight is silent. */
+    /** Whether one more attempt may be made while one is in flight without a response. */
     boolean mayHedge(RequestState request) {
         return (permissions.hedging() || permissions.cancel())
                 && request.serviceClass.idempotency() == Idempotency.IDEMPOTENT
--- a/src/main/java/petrelplank/routing/InFlightAttempts.java
+++ b/src/main/java/petrelplank/routing/InFlightAttempts.java
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Takes an attempt that stays silent off the limits: a lost response is no load. */
+    /** Takes an unresponsive attempt off the limits: a lost response is no load. */
     void markUnresponsive(RequestState request, AttemptState attempt) {
         request.unresponsiveAttempt = attempt;
         limiter.release(attempt);
--- a/src/main/java/petrelplank/routing/OriginAccess.java
+++ b/src/main/java/petrelplank/routing/OriginAccess.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Whether a request may call the origin while the {@link OriginLoadShedder} spares it. */
+/** Whether a request may call the origin while the {@link OriginLoadShedder} limits calls. */
 enum OriginAccess {
     /** Calls are not limited. */
     UNRESTRICTED,
--- a/src/main/java/petrelplank/routing/OriginCallMonitor.java
+++ b/src/main/java/petrelplank/routing/OriginCallMonitor.java
@@ -2,7 +2,7 @@
 
 import petrelplank.routing.Endpoint.Role;
 
-/** Tells from attempts whether they called the origin, and reports to the {@link OriginLoadShedder} how calls went. */
+/** Judges from attempts whether they called the origin, and reports to the {@link OriginLoadShedder} how calls went. */
 final class OriginCallMonitor {
     /** Part of the latency objective: calls that wait longer tell of a queue at the origin. */
     private static final double QUEUEING_WAIT = 0.5;
@@ -11,8 +11,8 @@
     private final OriginLoadShedder shedder;
     private final FailureAttribution attribution;
     private final ZoneLink zoneLink;
-    /** Whether cache statuses tell fills by way of the origin, and waits for the source. */
-    private final boolean originFillsTold;
+    /** Whether cache statuses report fills by way of the origin, and waits for the source. */
+    private final boolean originFillsReported;
 
     OriginCallMonitor(
             CacheStatusDetail detail,
@@ -24,7 +24,7 @@
         this.shedder = shedder;
         this.attribution = attribution;
         this.zoneLink = zoneLink;
-        this.originFillsTold = detail == CacheStatusDetail.ALL;
+        this.originFillsReported = detail == CacheStatusDetail.ALL;
     }
 
     /** An attempt has no response yet: its lateness is held against the origin once. */
@@ -40,9 +40,9 @@
     /** Takes in an outcome; whether it came late or failed behind the origin, and so tells nothing of own limits. */
     boolean recordOutcome(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness, long now) {
-        boolean crawling = isCrawling(request, attempt, outcome, timeliness);
-        boolean called = crawling || hasCalled(request, attempt, outcome, timeliness);
-        boolean failed = request.isWrite() || timeliness == Timeliness.FAILED || crawling;
+        boolean linkCongested = isOriginLinkCongested(request, attempt, outcome, timeliness);
+        boolean called = linkCongested || hasCalled(request, attempt, outcome, timeliness);
+        boolean failed = request.isWrite() || timeliness == Timeliness.FAILED || linkCongested;
         boolean originAtFault = called && timeliness != Timeliness.IN_TIME && (failed || isLinkFree(outcome, now));
         sampleAfterMiss(request, attempt, outcome, now);
         if (called && !request.latenessCounted && mayCount(request, now)) {
@@ -53,27 +53,30 @@
         return originAtFault;
     }
 
-    /** While the origin is spared, only calls of those that may make them tell of it. */
+    /** While calls are limited, only those of requests that may make them tell of the origin. */
     private boolean mayCount(RequestState request, long now) {
         return request.originAccess.isSampled() || request.isWrite() || !shedder.isShedding(now);
     }
 
-    /** Whether an attempt calls the origin as far as one knows; where statuses tell, fills wait for the status. */
+    /** Whether an attempt calls the origin as far as one knows; where statuses report it, fills wait for the status. */
     private boolean mayCall(RequestState request, AttemptState attempt) {
-        boolean mayFillThere = attempt.source == endpoints.origin() || !originFillsTold;
+        boolean mayFillThere = attempt.source == endpoints.origin() || !originFillsReported;
         return request.isWrite() || attempt.isFill() && mayFillThere;
     }
 
     private boolean hasCalled(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
         CacheStatus cacheStatus = outcome.cacheStatus();
-        boolean told = cacheStatus == CacheStatus.FILLED_FROM_ORIGIN || cacheStatus == CacheStatus.ORIGIN_FAILED;
+        boolean reported = cacheStatus == CacheStatus.FILLED_FROM_ORIGIN || cacheStatus == CacheStatus.ORIGIN_FAILED;
         boolean likely = mayCall(request, attempt) && !cacheStatus.isCopy();
-        return told || likely && (timeliness != Timeliness.FAILED || attribution.mayBeOriginRejection(outcome));
+        return reported || likely && (timeliness != Timeliness.FAILED || attribution.mayBeOriginRejection(outcome));
     }
 
-    /** Guards the origin's link: a first byte comes soon, then little, or nothing while others are answered. */
-    private boolean isCrawling(
+    /**
+     * Guards the origin's link: under congestion a first byte comes soon, then little, or nothing while others are
+     * served.
+     */
+    private boolean isOriginLinkCongested(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
         if (outcome.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN) {
             double usual = Math.max(attempt.source.fillSlowness, zoneLink.reportedUse());
@@ -97,9 +100,9 @@
         }
     }
 
-    /** Whether a late fill was late behind its source: told, or the link is known to have room. */
+    /** Whether a late fill was late behind its source: by its reported wait, or since the zone's link has room. */
     private boolean isLinkFree(AttemptOutcome outcome, long now) {
-        return originFillsTold ? 2 * outcome.sourceWaitUs() > outcome.latencyUs() : zoneLink.isLittleUsed(now);
+        return originFillsReported ? 2 * outcome.sourceWaitUs() > outcome.latencyUs() : zoneLink.isLittleUsed(now);
     }
 
     /** Whether the call was answered so soon that no queue has formed at the origin. */
--- a/src/main/java/petrelplank/routing/OriginLoadShedder.java
+++ b/src/main/java/petrelplank/routing/OriginLoadShedder.java
@@ -1,7 +1,7 @@
 package petrelplank.routing;
 
 /**
- * Guards the origin when it is slow or rejects calls: while calls go badly, or wait so long that those behind them
+ * Protects the origin when it is slow or rejects calls: while calls go badly, or wait so long that those behind them
  * will, the share of misses that may call it is cut; it doubles with time and with each call served well. The rest
  * takes what parents hold; writes go on.
  */
--- a/src/main/java/petrelplank/routing/PlatformRules.java
+++ b/src/main/java/petrelplank/routing/PlatformRules.java
@@ -12,7 +12,7 @@
  * @param parentSlowStartUs as {@code slowStartUs}, for parents
  * @param parentOverloadMultiple as {@code overloadMultiple}, for parents
  * @param originOverloadMultiple overload at which the origin stops serving for a while; 0 for none
- * @param originOverloadUs how long the origin bears that
+ * @param originOverloadUs how long the origin withstands that
  * @param purgeGraceUs time in which a purge has to take effect
  * @param purgeDoneUs after this no older copy is left anywhere
  * @param pollIntervalUs where the endpoint list has to be polled: the longest interval
--- a/src/main/java/petrelplank/routing/RequestRouter.java
+++ b/src/main/java/petrelplank/routing/RequestRouter.java
@@ -29,14 +29,14 @@
     private final AttemptPlanner planner;
     private final InFlightAttempts attempts;
     private final AttemptSender sender;
-    private final SilenceMonitor silence;
+    private final UnresponsiveAttemptDetector unresponsiveAttempts;
     private final OutcomeRecorder outcomes;
     private final Map<String, RequestState> requests = new HashMap<>();
 
     /**
      * A router for one gateway.
      *
-     * @param settings what it is told at its start
+     * @param settings its settings
      * @param seed for all random numbers
      * @param actions what the host does for it
      */
@@ -55,7 +55,7 @@
         this.planner = components.planner;
         this.attempts = components.attempts;
         this.sender = components.sender;
-        this.silence = components.silence;
+        this.unresponsiveAttempts = components.unresponsiveAttempts;
         this.outcomes = components.outcomes;
         if (settings.watchEndpoints()) {
             actions.watchEndpoints();
@@ -79,7 +79,7 @@
     public void timerFired(long now, long token) {
         RequestState request = hedging.takeDue(token);
         if (request != null) {
-            if (silence.check(request, now)) {
+            if (unresponsiveAttempts.check(request, now)) {
                 attempt(request, now);
             }
         } else if (token == WATCH_TIMER && settings.watchEndpoints()) {
--- a/src/main/java/petrelplank/routing/RequestState.java
+++ b/src/main/java/petrelplank/routing/RequestState.java
@@ -13,9 +13,9 @@
     final int classIndex;
     /** The object's part, hashed. */
     final long key;
-    /** Transfer time at a client's pace: told, or the class's mean until a response tells it. */
+    /** Transfer time at a client's pace: from the size, or the class's mean until a response tells the size. */
     double transferUs;
-    /** Drawn once, evenly from 0 to 1: what is shed or spared by share goes by it. */
+    /** Drawn once, evenly from 0 to 1: rejections and calls of the origin by share go by it. */
     final double samplingKey;
     /** Part of the limits that it may use. */
     double limitShare = 1;
@@ -37,11 +37,11 @@
     boolean cacheLookupDone;
     /** A cache was passed by since it is at its limit. */
     boolean cacheAtLimit;
-    /** The attempt whose silence was not explained; it holds no place under the limits. */
+    /** The attempt that counts as unresponsive; it holds no place under the limits. */
     AttemptState unresponsiveAttempt;
-    /** A second attempt was made after a silence. */
+    /** A further attempt was made since one was unresponsive. */
     boolean hedged;
-    /** Its attempt's lateness was held against the origin already. */
+    /** Its attempt's lateness has counted as a failed call of the origin. */
     boolean latenessCounted;
     /** An attempt may have run at the server. */
     boolean mayHaveExecuted;
--- a/src/main/java/petrelplank/routing/RouterComponents.java
+++ b/src/main/java/petrelplank/routing/RouterComponents.java
@@ -17,7 +17,7 @@
     final AttemptPlanner planner;
     final InFlightAttempts attempts;
     final AttemptSender sender;
-    final SilenceMonitor silence;
+    final UnresponsiveAttemptDetector unresponsiveAttempts;
     final OutcomeRecorder outcomes;
 
     RouterComponents(RouterSettings settings, long seed, Router.Actions actions) {
@@ -49,7 +49,8 @@
                 new AttemptPlanner(permissions.directToParents(), endpoints, caches, sources, shedder, limiter, copies);
         attempts = new InFlightAttempts(permissions, actions, limiter, slowStart, transferTimes, windowUs);
         sender = new AttemptSender(permissions, actions, attempts, hedging, purges, popularity);
-        silence = new SilenceMonitor(hedging, retryBudget, attempts, originCalls, outliers, sources);
+        unresponsiveAttempts =
+                new UnresponsiveAttemptDetector(hedging, retryBudget, attempts, originCalls, outliers, sources);
         FillOutcomeRecorder fillOutcomes = new FillOutcomeRecorder(
                 detail, sources, new SlowSourceDetector(endpoints), outliers, attribution, zoneLink);
         EndpointOutcomeRecorder endpointOutcomes =
--- a/src/main/java/petrelplank/routing/RouterSettings.java
+++ b/src/main/java/petrelplank/routing/RouterSettings.java
@@ -50,7 +50,7 @@
     /**
      * How many gateways share what belongs to the own zone.
      *
-     * @return those of the zone; all of them where the zone's are not told, or told as none
+     * @return those of the zone; all gateways where the zone's are unknown or 0
      */
     public int zoneGatewayCount() {
         int at = zones.indexOf(zone);
--- a/src/main/java/petrelplank/routing/TransferTimeEstimator.java
+++ b/src/main/java/petrelplank/routing/TransferTimeEstimator.java
@@ -36,7 +36,7 @@
         return transferUs;
     }
 
-    /** Learns where the request told no size: from the response's size, or from hits at caches with room. */
+    /** Learns where the request's size is unknown: from the response's size, or from hits at caches with room. */
     void recordOutcome(RequestState request, Endpoint endpoint, AttemptOutcome outcome) {
         boolean unhindered = endpoint.hasReportedRoom() && outcome.cacheStatus() == CacheStatus.HIT;
         boolean informative = outcome.sizeKb() > 0 || unhindered;
--- a/src/main/java/petrelplank/routing/SilenceMonitor.java
+++ b/src/main/java/petrelplank/routing/UnresponsiveAttemptDetector.java
@@ -3,11 +3,11 @@
 import petrelplank.routing.OutlierDetector.Evidence;
 
 /**
- * Hedged requests: after a silence that size and usual delay don't explain, a second attempt goes out where two may run
- * together, else the first is cancelled. The cache is passed by unless it answered others since, then the source. Under
- * the retry budget; under overload the usual delay rises, and hedging stops by itself.
+ * Hedged requests: once neither size nor usual delay explain a missing response, a second attempt goes out where two
+ * may run together, else the first is cancelled. The cache is passed by unless it answered others since, then the
+ * source. Under the retry budget; under overload the usual delay rises, and hedging stops by itself.
  */
-final class SilenceMonitor {
+final class UnresponsiveAttemptDetector {
     private static final double HEDGE_COST = 1;
 
     private final HedgingPolicy hedging;
@@ -17,7 +17,7 @@
     private final OutlierDetector outliers;
     private final FillSourceSelector sources;
 
-    SilenceMonitor(
+    UnresponsiveAttemptDetector(
             HedgingPolicy hedging,
             RetryBudget retryBudget,
             InFlightAttempts attempts,
@@ -51,11 +51,11 @@
         }
         retryBudget.spend(HEDGE_COST);
         request.hedged = true;
-        excludeSilentEndpoint(request, attempt, now);
+        excludeUnresponsiveEndpoint(request, attempt, now);
         return true;
     }
 
-    private void excludeSilentEndpoint(RequestState request, AttemptState attempt, long now) {
+    private void excludeUnresponsiveEndpoint(RequestState request, AttemptState attempt, long now) {
         if (attempt.endpoint.lastResponseUs < attempt.sentUs) {
             outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
             request.excluded.add(attempt.endpoint);
--- a/src/main/java/petrelplank/routing/ZoneLink.java
+++ b/src/main/java/petrelplank/routing/ZoneLink.java
@@ -12,7 +12,7 @@
     private final double zoneGateways;
     /** Transfers at full pace that fit into it; 0 where that is not known. */
     private final double capacity;
-    /** Transfers over those that fit at full pace, as last reported. */
+    /** Transfers over those that fit at full pace, as last reported; below 0 where that is unknown. */
     private double reportedUse = UNKNOWN;
 
     ZoneLink(RouterSettings settings, double windowUs) {
@@ -23,7 +23,7 @@
         this.capacity = known ? settings.zoneLinkKbPerSecond().get(zone) / settings.flowKbPerSecond() : 0;
     }
 
-    /** A response told the link's use; below 0 where it did not. */
+    /** A response reported the link's use; below 0 where it did not. */
     void report(double use) {
         reportedUse = use;
     }
--- a/src/test/java/petrelplank/routing/SilenceMonitorTest.java
+++ b/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Hedged requests, and retries after a silence. */
-class SilenceMonitorTest {
+class UnresponsiveAttemptDetectorTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
