--- /dev/null
+++ b/src/test/java/petrelplank/routing/RetryBudgetTest.java
@@ -0,0 +1,33 @@
+package petrelplank.routing;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+
+/** Retries that requests earn. */
+class RetryBudgetTest {
+    private final RetryBudget budget = new RetryBudget();
+
+    @Test
+    void budgetStartsFullAndIsEarnedBackByRequests() {
+        for (int i = 0; i < 20; i++) {
+            assertThat(budget.canAfford(1)).isTrue();
+            budget.spend(1);
+        }
+        assertThat(budget.canAfford(1)).isFalse();
+        assertThat(budget.canAfford(0)).isTrue();
+        for (int i = 0; i < 6; i++) {
+            budget.earn();
+        }
+        assertThat(budget.canAfford(1)).isTrue();
+    }
+
+    @Test
+    void budgetIsBounded() {
+        for (int i = 0; i < 1000; i++) {
+            budget.earn();
+        }
+        assertThat(budget.canAfford(20)).isTrue();
+        assertThat(budget.canAfford(20.1)).isFalse();
+    }
+}
