--- /dev/null
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -0,0 +1,58 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static petrelplank.routing.RouterFixture.MS;
+
+import org.junit.jupiter.api.Test;
+
+/** Which source a miss is filled from. */
+class FillSourceSelectorTest {
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
+
+    @Test
+    void missIsFilledFromTheNearestParentWhileAllServeWell() {
+        long near = host.fills(0, 200).stream()
+                .filter(o -> o.source().equals("p-north"))
+                .count();
+        assertTrue(near > 180, "near " + near);
+    }
+
+    @Test
+    void failingParentIsAvoidedAfterAFewFailures() {
+        for (int i = 0; i < 8; i++) {
+            String id = host.request(i);
+            if (host.lastPlan().source().equals("p-north")) {
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
+            }
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+        }
+        long bad = 0;
+        for (int i = 100; i < 110; i++) {
+            host.request(i);
+            bad += host.lastPlan().source().equals("p-north") ? 1 : 0;
+        }
+        assertTrue(bad <= 1, "bad " + bad);
+    }
+
+    @Test
+    void originIsTheSourceOnlyWhereNoParentIsReady() {
+        host.fills(0, 100).forEach(o -> assertNotEquals("origin", o.source()));
+        host.change(
+                new EndpointInfo("p-north", "north", "parent", 0, EndpointState.DRAINING, 10, 0),
+                new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
+        host.request(1000);
+        assertEquals("origin", host.lastPlan().source());
+    }
+
+    @Test
+    void unreachableOnlyParentLeavesTheOriginAsSource() {
+        host.change(new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
+        host.endAttempt(host.request(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
+        for (int i = 100; i < 110; i++) {
+            host.request(i);
+            assertEquals("origin", host.lastPlan().source());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
@@ -0,0 +1,125 @@
+package petrelplank.routing;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The origin's link is narrow: where too many fills share it, each is slow though its first byte came soon, and fills
+ * of disconnected clients go on. Without this detection, goodput from the origin fell to a fiftieth.
+ */
+class OriginCallMonitorTest {
+    private final RouterFixture host = new RouterFixture(RouterFixture.settings(
+                    WeightMeaning.ROUGH,
+                    CacheStatusDetail.ALL,
+                    RouterFixture.permissions(),
+                    2,
+                    List.of("concurrent", "x0", "x1")))
+            .withUsualEndpoints();
+    /** Use of the zone's link in all reports. */
+    private double linkUse = 0.4;
+
+    /** A fill ends after {@code latencyUs}, its first byte after {@code waitUs}. */
+    private void endAttempt(String id, AttemptStatus status, CacheStatus cacheStatus, long latencyUs, long waitUs) {
+        host.now += latencyUs;
+        host.router.attemptEnded(
+                host.now,
+                new AttemptOutcome(
+                        id,
+                        host.attempts(id) - 1,
+                        status,
+                        latencyUs,
+                        status == AttemptStatus.OK,
+                        cacheStatus,
+                        waitUs,
+                        new double[] {1, 0.5, linkUse},
+                        0));
+    }
+
+    /** Of ten more misses, how many may not call the origin. */
+    private long withheldOfTen() {
+        int before = host.sent.size();
+        for (int i = 10_000; i < 10_010; i++) {
+            host.request(i);
+        }
+        return host.sent.subList(before, host.sent.size()).stream()
+                .filter(s -> s.plan().onlyIfCached()
+                        || s.plan().server().equals(s.plan().source()))
+                .count();
+    }
+
+    /** One fill in two comes from the origin, in {@code slowUs}; the others come in {@code usualUs}. */
+    private void fills(long slowUs, long usualUs) {
+        for (int i = 0; i < 40; i++) {
+            String id = host.request(i);
+            boolean fromOrigin = i % 2 == 0 && !host.lastPlan().onlyIfCached();
+            endAttempt(
+                    id,
+                    AttemptStatus.OK,
+                    fromOrigin ? CacheStatus.FILLED_FROM_ORIGIN : CacheStatus.FILLED,
+                    (fromOrigin ? slowUs : usualUs) + 10 * MS,
+                    10 * MS);
+        }
+    }
+
+    @Test
+    void slowFillsBehindAnEarlyFirstByteCutTheOriginsShare() {
+        fills(2 * S, 110 * MS);
+        assertThat(withheldOfTen()).isGreaterThanOrEqualTo(4);
+        assertThat(host.logLines).anyMatch(line -> line.startsWith("origin overloaded"));
+        assertThat(host.logLines).as("no parent is ejected").noneMatch(line -> line.startsWith("ejected: p-"));
+    }
+
+    @Test
+    void fillsFromTheOriginAtTheUsualPaceCutNothing() {
+        fills(110 * MS, 110 * MS);
+        assertThat(withheldOfTen()).isZero();
+    }
+
+    /** Where the zone's own link is reported as full, that explains slow fills. */
+    @Test
+    void congestionOfTheZonesOwnLinkIsNotTheOriginsFault() {
+        linkUse = 6;
+        fills(900 * MS, 900 * MS);
+        assertThat(host.logLines).noneMatch(line -> line.startsWith("origin overloaded"));
+    }
+
+    /** No response before the deadline, while cache and parent answered others: the origin is overloaded. */
+    @Test
+    void fillsThatTimeOutWhileCacheAndParentServeOthersCutTheOriginsShare() {
+        assertThat(withheldAfterTimeOuts(true)).isGreaterThanOrEqualTo(4);
+    }
+
+    /** A cache or a parent that answers nobody is at fault itself. */
+    @Test
+    void fillsThatTimeOutAtASilentCacheAreNotTheOriginsFault() {
+        assertThat(withheldAfterTimeOuts(false)).isZero();
+    }
+
+    private long withheldAfterTimeOuts(boolean othersAnswered) {
+        for (int i = 0; i < 30; i++) {
+            String stuck = host.request(i);
+            String server = host.lastPlan().server();
+            String source = host.lastPlan().source();
+            long fromUs = host.now;
+            for (int k = 0; othersAnswered && k < 40; k++) {
+                String other = host.request(1000 + 40 * i + k);
+                boolean same = host.lastPlan().server().equals(server)
+                        && host.lastPlan().source().equals(source);
+                endAttempt(other, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS, 10 * MS);
+                if (same) {
+                    break;
+                }
+            }
+            host.now = Math.max(host.now, fromUs + 3900 * MS);
+            host.router.attemptEnded(
+                    host.now,
+                    new AttemptOutcome(
+                            stuck, 0, AttemptStatus.TIMEOUT, host.now - fromUs, false, CacheStatus.NONE, 0, null, 0));
+        }
+        return withheldOfTen();
+    }
+}
--- /dev/null
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -0,0 +1,129 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+
+import org.junit.jupiter.api.Test;
+
+/** How many misses may call an overloaded origin. */
+class OriginLoadShedderTest {
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
+
+    @Test
+    void failingOriginGetsFewerFillsAndAllWrites() {
+        RouterFixture hits = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.NOMINAL, CacheStatusDetail.HITS, RouterFixture.permissions()))
+                .withUsualEndpoints();
+        for (int i = 100; i < 103; i++) {
+            hits.endAttempt(hits.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
+        }
+        int held = 0;
+        int writes = 0;
+        for (int i = 1000; i < 1020; i++) {
+            hits.request(i);
+            held += hits.lastPlan().onlyIfCached()
+                            || hits.lastPlan().source().equals(hits.lastPlan().server())
+                    ? 1
+                    : 0;
+            writes += hits.attempts(hits.request("note", i, 0, 3 * S)) > 0 ? 1 : 0;
+        }
+        assertTrue(held >= 10, "held " + held);
+        assertEquals(20, writes);
+        hits.now += 60 * S;
+        hits.request(5000);
+        assertFalse(hits.lastPlan().onlyIfCached());
+    }
+
+    /**
+     * Guards against a share that stays low for seconds after the origin has recovered: one gateway of a large fleet
+     * makes few calls.
+     */
+    @Test
+    void successfulCallsRaiseTheOriginsShareFasterThanTime() {
+        for (int i = 0; i < 60; i++) {
+            String id = host.request(i);
+            while (!host.isTerminated(id)) {
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 2 * MS);
+            }
+        }
+        assertTrue(onlyIfCachedOfTen(1000) >= 8);
+        long from = host.now;
+        for (int i = 100; i < 160; i++) {
+            String id = host.request(i);
+            if (host.lastPlan().onlyIfCached()) {
+                host.endAttempt(id, AttemptStatus.MISS, CacheStatus.SOURCE_MISS, MS);
+            }
+            if (!host.isTerminated(id)) {
+                host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MS);
+            }
+        }
+        assertTrue(host.now - from < 3 * S, "took " + (host.now - from));
+        assertEquals(0, onlyIfCachedOfTen(2000));
+    }
+
+    /**
+     * Guards against a queue at the origin: once calls come late, those of a second wait behind them and are late too.
+     */
+    @Test
+    void waitOfMoreThanHalfTheObjectiveIsTakenForAQueueAtTheOrigin() {
+        assertEquals(0, onlyIfCachedAfterWaitsOf(150 * MS));
+        assertTrue(onlyIfCachedAfterWaitsOf(350 * MS) >= 4);
+    }
+
+    @Test
+    void writesContinueHoweverOverloadedTheOriginIs() {
+        for (int i = 0; i < 200; i++) {
+            host.now += 20 * MS;
+            String id = host.request(i);
+            while (!host.isTerminated(id)) {
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 5 * MS);
+            }
+        }
+        for (int i = 1000; i < 1020; i++) {
+            assertEquals(1, host.attempts(host.request("note", i, 0, 3 * S)));
+        }
+    }
+
+    private long onlyIfCachedOfTen(int from) {
+        int before = host.sent.size();
+        for (int i = from; i < from + 10; i++) {
+            host.request(i);
+        }
+        return host.sent.subList(before, host.sent.size()).stream()
+                .filter(s -> s.plan().onlyIfCached()
+                        || s.plan().server().equals(s.plan().source()))
+                .count();
+    }
+
+    private static long onlyIfCachedAfterWaitsOf(long waitUs) {
+        RouterFixture host = new RouterFixture().withUsualEndpoints();
+        for (int i = 0; i < 40; i++) {
+            String id = host.request(i);
+            if (!host.lastPlan().onlyIfCached()) {
+                host.now += waitUs + 100 * MS;
+                host.router.attemptEnded(
+                        host.now,
+                        new AttemptOutcome(
+                                id,
+                                0,
+                                AttemptStatus.OK,
+                                waitUs + 100 * MS,
+                                true,
+                                CacheStatus.FILLED_FROM_ORIGIN,
+                                waitUs,
+                                null,
+                                0));
+            }
+        }
+        int before = host.sent.size();
+        for (int i = 100; i < 110; i++) {
+            host.request(i);
+        }
+        return host.sent.subList(before, host.sent.size()).stream()
+                .filter(s -> s.plan().onlyIfCached())
+                .count();
+    }
+}
--- /dev/null
+++ b/src/test/java/petrelplank/routing/RetryPolicyTest.java
@@ -0,0 +1,24 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Retries and idempotency. */
+class RetryPolicyTest {
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
+
+    @Test
+    void writeWithAKeyIsNotRetriedAfterItsWindow() {
+        String id = host.request("note", 1, 0, 5 * S);
+        assertEquals("origin", host.lastPlan().server());
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 600 * MS);
+        assertEquals(2, host.attempts(id));
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 2500 * MS);
+        assertEquals(2, host.attempts(id));
+        assertEquals(List.of(id), host.failed);
+    }
+}
--- /dev/null
+++ b/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
@@ -0,0 +1,99 @@
+package petrelplank.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.S;
+
+import org.junit.jupiter.api.Test;
+
+/** Hedged requests, and retries after a silence. */
+class UnresponsiveAttemptDetectorTest {
+    private final RouterFixture host = new RouterFixture().withUsualEndpoints();
+
+    @Test
+    void silentAttemptIsCancelledAndRetriedWhereHedgingIsNotAllowed() {
+        host.fills(0, 100);
+        String id = host.request(1000);
+        host.advance(500 * MS);
+        assertEquals(2, host.attempts(id));
+        assertTrue(host.actions.contains("cancel " + id + " 0"));
+        host.router.attemptEnded(
+                host.now,
+                new AttemptOutcome(id, 0, AttemptStatus.CANCELLED, 500 * MS, false, CacheStatus.NONE, 0, null, 0));
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
+        host.advance(4 * S);
+        assertEquals(2, host.attempts(id));
+        assertFalse(host.isTerminated(id));
+    }
+
+    @Test
+    void silentAttemptIsHedgedWhereAllowedAndTheLoserIsCancelled() {
+        RouterFixture two = new RouterFixture(RouterFixture.settings(
+                        WeightMeaning.NOMINAL,
+                        CacheStatusDetail.ALL,
+                        new RoutingPermissions(
+                                8, true, true, false, false, true, S, true, true, SiblingFillPolicy.ANY)))
+                .withUsualEndpoints();
+        two.fills(0, 100);
+        String id = two.request(1000);
+        two.advance(500 * MS);
+        assertEquals(2, two.attempts(id));
+        assertFalse(two.actions.contains("cancel " + id + " 0"));
+        two.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
+        assertTrue(two.actions.contains("cancel " + id + " 0"));
+    }
+
+    @Test
+    void writeWithAKeyIsNotHedged() {
+        host.fills(0, 100);
+        String id = host.request("note", 1, 0, 3 * S);
+        host.advance(2900 * MS);
+        assertEquals(1, host.attempts(id));
+    }
+
+    @Test
+    void lateResponsesUnderOverloadAreNotHedged() {
+        for (int i = 0; i < 200; i++) {
+            String id = host.request(i);
+            if (host.attempts(id) > 0) {
+                host.advance(1900 * MS);
+                host.router.attemptEnded(
+                        host.now,
+                        new AttemptOutcome(
+                                id,
+                                host.attempts(id) - 1,
+                                AttemptStatus.OK,
+                                1900 * MS,
+                                true,
+                                CacheStatus.HIT,
+                                0,
+                                null,
+                                0));
+            }
+        }
+        String id = host.request(1000);
+        host.advance(1500 * MS);
+        assertEquals(1, host.attempts(id));
+    }
+
+    /** Guards against learning of a silent parent by the deadlines of its fills alone, seconds later. */
+    @Test
+    void silentParentIsAvoidedOnceItsCachesHaveAnsweredOthers() {
+        for (int i = 0; i < 400; i++) {
+            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+        }
+        int toNorth = 0;
+        for (int i = 1000; i < 1012; i++) {
+            host.request(i);
+            toNorth += host.lastPlan().source().equals("p-north") ? 1 : 0;
+            for (int j = 0; j < 8; j++) {
+                host.advance(20 * MS);
+                host.endAttempt(host.request(j), AttemptStatus.OK, CacheStatus.HIT, 30 * MS);
+            }
+        }
+        assertTrue(toNorth >= 3 && toNorth <= 9, "to the silent hub " + toNorth);
+        assertTrue(host.logLines.stream().anyMatch(l -> l.startsWith("ejected: p-north")), host.logLines.toString());
+    }
+}
