--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -29,7 +29,7 @@
     private final EventScheduler clock;
     private final long offsetUs;
     private final Network network;
-    private final GroundTruth truth;
+    private final GroundTruthRecorder truth;
     private final EventLoop loop;
     private final EdgeProxy front;
     private final EventSink sink;
@@ -47,7 +47,7 @@
             long seed,
             long offsetUs,
             Network network,
-            GroundTruth truth,
+            GroundTruthRecorder truth,
             EventSink sink) {
         this.clock = clock;
         this.name = name;
--- a/src/main/java/petrelplank/emulator/GroundTruth.java
+++ b/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
@@ -21,7 +21,7 @@
  * What happened, as the emulator saw it at the clients' and the servers' ends of the sockets. It knows nothing of
  * records and shares no code with the report, whose figures are held against it.
  */
-final class GroundTruth {
+final class GroundTruthRecorder {
     /** Sums of requests. */
     private static final class Sums {
         private long asked;
--- a/src/main/java/petrelplank/emulator/OriginServer.java
+++ b/src/main/java/petrelplank/emulator/OriginServer.java
@@ -29,7 +29,7 @@
     private final int workers;
     private final double usualUs;
     private final double perUs;
-    private final GroundTruth truth;
+    private final GroundTruthRecorder truth;
     private final ArrayDeque<Call> queue = new ArrayDeque<>();
     private int busy;
     private double slower = 1;
@@ -40,7 +40,7 @@
     private long others;
     private long overloadedSinceUs = -1;
 
-    OriginServer(EventScheduler clock, Scenario s, UniformRandomProvider random, GroundTruth truth) {
+    OriginServer(EventScheduler clock, Scenario s, UniformRandomProvider random, GroundTruthRecorder truth) {
         this.clock = clock;
         this.times = ZigguratSampler.Exponential.of(random);
         this.usualUs = s.centralUs();
--- a/src/main/java/petrelplank/emulator/Simulation.java
+++ b/src/main/java/petrelplank/emulator/Simulation.java
@@ -58,7 +58,7 @@
     private final long seed;
     private final BiFunction<String, Long, EventSink> sinks;
     private final EventScheduler clock = new EventScheduler();
-    private final GroundTruth truth = new GroundTruth();
+    private final GroundTruthRecorder truth = new GroundTruthRecorder();
     private final UniformRandomProvider random;
     private final UniformRandomProvider ways;
     private final Catalogue catalogue;
--- a/src/test/java/petrelplank/analysis/FleetDays.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidents.java
@@ -1,4 +1,4 @@
-package petrelplank.analysis;
+package petrelplank.emulator;
 
 import java.io.IOException;
 import java.util.List;
@@ -7,19 +7,16 @@
 import java.util.TreeMap;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import petrelplank.emulator.BundledScenarios;
-import petrelplank.emulator.Scenario;
-import petrelplank.emulator.Simulation;
 
 /**
  * The incidents of a fleet of many fronts, in simulated time: what was earned, by the number of fronts. Run as a
  * program it prints the curve of {@code docs/fleet.md}, for the numbers of fronts of each branch that it is given.
  */
-final class FleetDays {
+final class FleetIncidents {
     /** Kept, since the platform forgets loggers that nobody holds. */
     private static final Logger FRONTS = Logger.getLogger("petrelplank.proxy");
 
-    private FleetDays() {}
+    private FleetIncidents() {}
 
     /**
      * What one day came to.
--- a/src/test/java/petrelplank/analysis/FleetDaysTest.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidentsTest.java
@@ -1,4 +1,4 @@
-package petrelplank.analysis;
+package petrelplank.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Incidents at 15 fronts and 60 cache nodes; the bounds lie between what this program and the one before earned. */
-class FleetDaysTest {
+class FleetIncidentsTest {
     private static void holds(String name, int frontsPerBranch, double least) throws IOException {
-        FleetDays.Day day = FleetDays.play(name, frontsPerBranch, 1);
+        FleetIncidents.Day day = FleetIncidents.play(name, frontsPerBranch, 1);
         assertEquals(0, day.unanswered() + day.late() + day.twice(), name);
         assertTrue(day.earned() >= least, name + " earned " + day.earned());
     }
