--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -99,7 +99,7 @@
 
     private EventSink sink(String proxy, long incarnation) {
         return recordDirectory == null
-                ? null
+                ? EventSink.NONE
                 : new DirectSink(RecordSettings.in(recordDirectory.toPath()), proxy, incarnation);
     }
 }
--- a/src/main/java/petrelplank/emulator/CacheFleet.java
+++ b/src/main/java/petrelplank/emulator/CacheFleet.java
@@ -71,7 +71,7 @@
             if (!item.serviceClass().write()) {
                 CacheStorage.Copy copy = new CacheStorage.Copy(
                         catalogue.transferBytes(item),
-                        clock.now() - random.nextInt(MAX_COPY_AGE_US),
+                        clock.nowUs() - random.nextInt(MAX_COPY_AGE_US),
                         catalogue.group(item.object()));
                 long place = Hash.mix(item.object() + i % PLACES_PER_OBJECT);
                 CacheNode node = all.get((int) Long.remainderUnsigned(place, all.size()));
--- a/src/main/java/petrelplank/emulator/CacheNode.java
+++ b/src/main/java/petrelplank/emulator/CacheNode.java
@@ -90,14 +90,14 @@
 
     /** Starts empty and with a part of its capacity only. */
     void startCold() {
-        startedUs = clock.now();
+        startedUs = clock.nowUs();
         storage.clear();
         warmUp();
     }
 
     private void warmUp() {
         double share =
-                Math.min(1, COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * (clock.now() - startedUs) / WARM_UP_US);
+                Math.min(1, COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * (clock.nowUs() - startedUs) / WARM_UP_US);
         link.setCapacityShare(share);
         if (share < 1) {
             clock.after(WARM_UP_STEP_US, this::warmUp);
@@ -135,7 +135,7 @@
             return;
         }
         CacheStorage.Copy copy = storage.get(request.object());
-        if (copy != null && request.allows(copy, clock.now())) {
+        if (copy != null && request.allows(copy, clock.nowUs())) {
             send(request, CacheReply.ok(CacheStatus.HIT, copy.createdUs()), onEnd);
         } else if (source == null) {
             onEnd.accept(CacheReply.withoutCopy(AttemptStatus.MISS, CacheStatus.NONE));
@@ -160,7 +160,7 @@
     private void serveFill(
             CacheRequest request, FillSource origin, boolean onlyIfCached, Consumer<CacheReply> onReply) {
         CacheStorage.Copy copy = storage.get(request.object());
-        if (copy != null && request.allows(copy, clock.now())) {
+        if (copy != null && request.allows(copy, clock.nowUs())) {
             send(request, CacheReply.ok(CacheStatus.FILLED, copy.createdUs()), onReply);
         } else if (onlyIfCached) {
             onReply.accept(CacheReply.withoutCopy(AttemptStatus.MISS, CacheStatus.SOURCE_MISS));
@@ -200,14 +200,14 @@
             onReply.accept(CacheReply.withoutCopy(AttemptStatus.MISS, CacheStatus.NONE));
             return;
         }
-        long startUs = clock.now();
+        long startUs = clock.nowUs();
         source.fetch(
                 request,
                 false,
                 reply -> onReply.accept(new CacheReply(
                         reply.isOk() ? AttemptStatus.OK : AttemptStatus.REJECTED,
                         reply.cacheStatus(),
-                        clock.now() - startUs,
+                        clock.nowUs() - startUs,
                         reply.createdUs())));
     }
 }
--- a/src/main/java/petrelplank/emulator/ClientLoad.java
+++ b/src/main/java/petrelplank/emulator/ClientLoad.java
@@ -54,13 +54,13 @@
         requests++;
         ClientRequest request = request(hex(Hash.mix(seed ^ requests << REQUEST_ID_SHIFT)), item);
         long bytes = catalogue.transferBytes(item);
-        long sentUs = clock.now();
+        long sentUs = clock.nowUs();
         openRequests.opened(request.id(), item);
         truth.requested(proxy, item.serviceClass());
         proxy.handle(request, response -> {
             openRequests.closed(request.id());
             long servedBytes = response.kind() == ClientResponse.Kind.SERVED ? bytes : 0;
-            truth.responded(proxy, item.serviceClass(), servedBytes, response.kind(), clock.now() - sentUs);
+            truth.responded(proxy, item.serviceClass(), servedBytes, response.kind(), clock.nowUs() - sentUs);
         });
     }
 
--- a/src/main/java/petrelplank/emulator/DiscoveryService.java
+++ b/src/main/java/petrelplank/emulator/DiscoveryService.java
@@ -82,7 +82,7 @@
     private void publish(DiscoveryEvent event) {
         events.add(event);
         for (EmulatedProxy proxy : subscribers.values()) {
-            long heldUs = Math.max(0, heldUntilUs - clock.now());
+            long heldUs = Math.max(0, heldUntilUs - clock.nowUs());
             clock.after(
                     heldUs + MIN_DELIVERY_US + random.nextInt(DELIVERY_SPREAD_US),
                     () -> deliverUpTo(proxy, event.index()));
--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -41,7 +41,7 @@
     /**
      * Starts the proxy.
      *
-     * @param sink takes its records; null where none are kept
+     * @param sink takes its records; {@link EventSink#NONE} where none are kept
      */
     EmulatedProxy(
             EventScheduler clock,
@@ -74,7 +74,7 @@
 
     /** The proxy's own clock. */
     long clockUs() {
-        return clock.now() + identity.clockOffsetUs();
+        return clock.nowUs() + identity.clockOffsetUs();
     }
 
     boolean isAlive() {
@@ -101,7 +101,7 @@
     void onResponse(Attempt attempt, UpstreamResponse response) {
         Long sentUs = alive ? sentUsByAttempt.remove(attempt) : null;
         if (sentUs != null) {
-            truth.ended(this, attempt, response, clock.now() - sentUs);
+            truth.attemptEnded(this, attempt, response, clock.nowUs() - sentUs);
             loop.post(() -> forwarder.ended(attempt, response));
             runLoop();
         }
@@ -110,9 +110,7 @@
     /** Ends it at once: its open requests are lost. */
     void kill() {
         alive = false;
-        if (sink != null) {
-            sink.close();
-        }
+        sink.close();
     }
 
     /** Shuts it down in order. */
@@ -148,15 +146,15 @@
 
     @Override
     public void send(Attempt attempt) {
-        sentUsByAttempt.put(attempt, clock.now());
-        truth.sent(this, attempt);
+        sentUsByAttempt.put(attempt, clock.nowUs());
+        truth.attemptSent(this, attempt);
         transport.send(this, attempt);
     }
 
     @Override
     public void abort(Attempt attempt) {
         if (sentUsByAttempt.remove(attempt) != null) {
-            truth.aborted(attempt.server());
+            truth.attemptAborted(attempt.server());
         }
     }
 
--- a/src/main/java/petrelplank/emulator/EventScheduler.java
+++ b/src/main/java/petrelplank/emulator/EventScheduler.java
@@ -19,7 +19,7 @@
     private long nowUs = START_US;
     private long tasksRun;
 
-    long now() {
+    long nowUs() {
         return nowUs;
     }
 
--- a/src/main/java/petrelplank/emulator/FaultInjector.java
+++ b/src/main/java/petrelplank/emulator/FaultInjector.java
@@ -9,35 +9,21 @@
 final class FaultInjector {
     private static final int HOT_OBJECT_SEED_OFFSET = 77;
 
+    private final SimulatedFleet fleet;
     private final EventScheduler clock;
-    private final Scenario scenario;
-    private final long hotObject;
     private final CacheFaults cacheFaults;
-    private final ProxyFleet proxies;
-    private final DiscoveryService discovery;
-    private final PurgeService purges;
-    private final OriginServer origin;
-    private final Catalogue catalogue;
-    private final GroundTruthRecorder truth;
 
     FaultInjector(SimulatedFleet fleet) {
+        this.fleet = fleet;
         this.clock = fleet.clock();
-        this.scenario = fleet.scenario();
-        this.hotObject = Hash.mix(fleet.seed() + HOT_OBJECT_SEED_OFFSET);
         this.cacheFaults = new CacheFaults(clock, fleet.caches(), fleet.discovery());
-        this.proxies = fleet.proxies();
-        this.discovery = fleet.discovery();
-        this.purges = fleet.purges();
-        this.origin = fleet.origin();
-        this.catalogue = fleet.catalogue();
-        this.truth = fleet.truth();
     }
 
     void scheduleAll() {
-        for (Fault fault : scenario.faults()) {
+        for (Fault fault : fleet.scenario().faults()) {
             schedule(fault);
             if (isNoted(fault.kind())) {
-                truth.injected(fault);
+                fleet.truth().faultInjected(fault);
             }
         }
     }
@@ -55,27 +41,44 @@
             case REPLACE -> cacheFaults.replace(fault);
             case CROWDED_LINK -> cacheFaults.crowdLinks(fault);
             case RESTART -> restartProxies(fault);
-            case PURGE -> clock.at(fault.startUnixUs(), () -> purges.purgeGroups(fault.share()));
-            case HOT_OBJECT ->
-                during(fault, () -> catalogue.startHotObject(hotObject, fault.share()), catalogue::endHotObject);
-            case SLOW_ORIGIN -> during(fault, () -> origin.setSlowdown(fault.share()), () -> origin.setSlowdown(1));
-            case OUTSIDE_LOAD -> {
-                double callsPerSecond = fault.share() * scenario.capacity().originPerSecond();
-                during(fault, () -> origin.startOutsideLoad(callsPerSecond), origin::endOutsideLoad);
-            }
-            case LATE_DISCOVERY -> clock.at(fault.startUnixUs(), () -> discovery.holdUntil(fault.endUnixUs()));
+            case PURGE -> clock.at(fault.startUnixUs(), () -> fleet.purges().purgeGroups(fault.share()));
+            case HOT_OBJECT -> addHotObject(fault);
+            case SLOW_ORIGIN -> slowOrigin(fault);
+            case OUTSIDE_LOAD -> loadOrigin(fault);
+            case LATE_DISCOVERY ->
+                clock.at(fault.startUnixUs(), () -> fleet.discovery().holdUntil(fault.endUnixUs()));
             default -> throw new IllegalStateException(fault.kind().toString());
         }
     }
 
-    private void during(Fault fault, Runnable onStart, Runnable onEnd) {
-        clock.at(fault.startUnixUs(), onStart);
-        clock.at(fault.endUnixUs(), onEnd);
-    }
-
     private void restartProxies(Fault fault) {
         for (String name : fault.servers()) {
-            during(fault, () -> proxies.kill(name), () -> proxies.restart(name));
+            during(
+                    fault,
+                    () -> fleet.proxies().kill(name),
+                    () -> fleet.proxies().restart(name));
         }
     }
+
+    private void addHotObject(Fault fault) {
+        long object = Hash.mix(fleet.seed() + HOT_OBJECT_SEED_OFFSET);
+        Catalogue catalogue = fleet.catalogue();
+        during(fault, () -> catalogue.startHotObject(object, fault.share()), catalogue::endHotObject);
+    }
+
+    private void slowOrigin(Fault fault) {
+        OriginServer origin = fleet.origin();
+        during(fault, () -> origin.setSlowdown(fault.share()), () -> origin.setSlowdown(1));
+    }
+
+    private void loadOrigin(Fault fault) {
+        OriginServer origin = fleet.origin();
+        double callsPerSecond = fault.share() * fleet.scenario().capacity().originPerSecond();
+        during(fault, () -> origin.startOutsideLoad(callsPerSecond), origin::endOutsideLoad);
+    }
+
+    private void during(Fault fault, Runnable onStart, Runnable onEnd) {
+        clock.at(fault.startUnixUs(), onStart);
+        clock.at(fault.endUnixUs(), onEnd);
+    }
 }
--- a/src/main/java/petrelplank/emulator/FillTable.java
+++ b/src/main/java/petrelplank/emulator/FillTable.java
@@ -53,7 +53,7 @@
         }
         Fill fill = new Fill();
         fills.put(request.object(), fill);
-        long startUs = clock.now();
+        long startUs = clock.nowUs();
         Consumer<CacheReply> onSourceReply = reply -> end(fill, request, reply, startUs, onReply);
         clock.after(
                 TIMEOUT_US,
@@ -85,7 +85,7 @@
         fill.ended = true;
         fills.remove(request.object(), fill);
         CacheReply filled =
-                new CacheReply(reply.status(), reply.cacheStatus(), clock.now() - startUs, reply.createdUs());
+                new CacheReply(reply.status(), reply.cacheStatus(), clock.nowUs() - startUs, reply.createdUs());
         if (filled.isOk()) {
             storage.put(request.object(), new CacheStorage.Copy(request.bytes(), filled.createdUs(), request.group()));
             sender.send(request, filled, onReply);
--- a/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
+++ b/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
@@ -69,20 +69,20 @@
         this.catalogue = catalogue;
     }
 
-    void started(EmulatedProxy proxy) {
+    void proxyStarted(EmulatedProxy proxy) {
         proxyRuns.put(proxy, new ProxyRun(proxy.name(), proxy.clockUs()));
         notifications.started(proxy);
     }
 
-    void finished(EmulatedProxy proxy) {
-        ended(proxy, GroundTruth.Incarnation.End.FINISHED);
+    void proxyFinished(EmulatedProxy proxy) {
+        proxyEnded(proxy, GroundTruth.Incarnation.End.FINISHED);
     }
 
-    void killed(EmulatedProxy proxy) {
-        ended(proxy, GroundTruth.Incarnation.End.KILLED);
+    void proxyKilled(EmulatedProxy proxy) {
+        proxyEnded(proxy, GroundTruth.Incarnation.End.KILLED);
     }
 
-    private void ended(EmulatedProxy proxy, GroundTruth.Incarnation.End end) {
+    private void proxyEnded(EmulatedProxy proxy, GroundTruth.Incarnation.End end) {
         ProxyRun run = proxyRuns.get(proxy);
         run.end = end;
         run.endedUs = proxy.clockUs();
@@ -117,18 +117,18 @@
         return servers.computeIfAbsent(server, id -> new AttemptCounters());
     }
 
-    void sent(EmulatedProxy proxy, Attempt attempt) {
+    void attemptSent(EmulatedProxy proxy, Attempt attempt) {
         attemptCounters(attempt.server()).sent();
         lateSends += notifications.isLateFor(proxy, attempt.server()) ? 1 : 0;
         String source = attempt.request().source();
         lateSends += source != null && notifications.isLateFor(proxy, source) ? 1 : 0;
     }
 
-    void aborted(String server) {
+    void attemptAborted(String server) {
         attemptCounters(server).aborted();
     }
 
-    void ended(EmulatedProxy proxy, Attempt attempt, UpstreamResponse response, long tookUs) {
+    void attemptEnded(EmulatedProxy proxy, Attempt attempt, UpstreamResponse response, long tookUs) {
         boolean successful = response.status() == AttemptStatus.OK;
         if (successful && response.bornMs() > 0) {
             long object = Long.parseUnsignedLong(attempt.request().object(), 16);
@@ -156,11 +156,11 @@
     }
 
     /** A write ran at the origin. */
-    void wrote(String requestId) {
+    void writeExecuted(String requestId) {
         writes.merge(requestId, 1, Integer::sum);
     }
 
-    void injected(Fault fault) {
+    void faultInjected(Fault fault) {
         // A purge takes no time, whatever a scenario says.
         long endUs = fault.kind() == FaultKind.PURGE ? fault.startUnixUs() : fault.endUnixUs();
         faults.add(new GroundTruth.FaultPeriod(fault.kind().label(), fault.servers(), fault.startUnixUs(), endUs));
--- a/src/main/java/petrelplank/emulator/Link.java
+++ b/src/main/java/petrelplank/emulator/Link.java
@@ -42,7 +42,7 @@
         this.clock = clock;
         this.bytesPerUs = bytesPerUs;
         this.transferBytesPerUs = transferBytesPerUs;
-        this.progressAtUs = clock.now();
+        this.progressAtUs = clock.nowUs();
     }
 
     /** Transfers under way over those that fit at top speed. */
@@ -75,8 +75,8 @@
     }
 
     private void advance() {
-        progressBytes += currentBytesPerUs() * (clock.now() - progressAtUs);
-        progressAtUs = clock.now();
+        progressBytes += currentBytesPerUs() * (clock.nowUs() - progressAtUs);
+        progressAtUs = clock.nowUs();
         if (transfers.isEmpty()) {
             progressBytes = 0;
         }
--- a/src/main/java/petrelplank/emulator/Network.java
+++ b/src/main/java/petrelplank/emulator/Network.java
@@ -111,7 +111,7 @@
     private void callOrigin(CacheRequest request, Consumer<CacheReply> onReply) {
         origin.call(succeeded -> {
             if (succeeded && request.write()) {
-                truth.wrote(request.requestId());
+                truth.writeExecuted(request.requestId());
             }
             clock.after(delayUs(ORIGIN_ONE_WAY_US), () -> onReply.accept(originReply(succeeded)));
         });
@@ -119,7 +119,7 @@
 
     private CacheReply originReply(boolean succeeded) {
         return succeeded
-                ? CacheReply.ok(CacheStatus.FILLED_FROM_ORIGIN, clock.now())
+                ? CacheReply.ok(CacheStatus.FILLED_FROM_ORIGIN, clock.nowUs())
                 : CacheReply.withoutCopy(AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED);
     }
 
--- a/src/main/java/petrelplank/emulator/OriginServer.java
+++ b/src/main/java/petrelplank/emulator/OriginServer.java
@@ -60,7 +60,7 @@
     void startOutsideLoad(double callsPerSecond) {
         long number = ++outsideLoadNumber;
         if (callsPerSecond > 0) {
-            outsideLoadSinceUs = clock.now();
+            outsideLoadSinceUs = clock.nowUs();
             callFromOutside(number, (long) (1e6 / callsPerSecond));
         }
     }
@@ -82,7 +82,7 @@
     }
 
     private boolean isStopped() {
-        return clock.now() < stoppedUntilUs;
+        return clock.nowUs() < stoppedUntilUs;
     }
 
     private void checkLoad() {
@@ -91,23 +91,23 @@
         if (load <= OVERLOAD_MULTIPLE || isStopped()) {
             overloadedSinceUs = NEVER;
         } else if (overloadedSinceUs == NEVER) {
-            overloadedSinceUs = clock.now();
-        } else if (clock.now() - overloadedSinceUs >= OVERLOAD_US) {
+            overloadedSinceUs = clock.nowUs();
+        } else if (clock.nowUs() - overloadedSinceUs >= OVERLOAD_US) {
             stop();
         }
         clock.after(LOAD_INTERVAL_US, this::checkLoad);
     }
 
     private void stop() {
-        stoppedUntilUs = clock.now() + STOPPED_US;
+        stoppedUntilUs = clock.nowUs() + STOPPED_US;
         overloadedSinceUs = NEVER;
         incarnation++;
         busyWorkers = 0;
         if (outsideLoadSinceUs != NEVER) {
-            truth.outsideLoadStoppedOrigin(outsideLoadSinceUs, clock.now());
+            truth.outsideLoadStoppedOrigin(outsideLoadSinceUs, clock.nowUs());
             outsideLoadSinceUs = NEVER;
         }
-        truth.originStopped(clock.now(), stoppedUntilUs);
+        truth.originStopped(clock.nowUs(), stoppedUntilUs);
         while (!queue.isEmpty()) {
             fail(queue.poll());
         }
--- a/src/main/java/petrelplank/emulator/PoissonProcess.java
+++ b/src/main/java/petrelplank/emulator/PoissonProcess.java
@@ -37,7 +37,7 @@
     }
 
     private void run() {
-        if (clock.now() < endUs) {
+        if (clock.nowUs() < endUs) {
             task.run();
             clock.after(Math.max(minimumGapUs, (long) gaps.sample()), this::run);
         }
--- a/src/main/java/petrelplank/emulator/ProxyFleet.java
+++ b/src/main/java/petrelplank/emulator/ProxyFleet.java
@@ -54,7 +54,7 @@
                 truth,
                 sinks.create(name, incarnation));
         proxies.put(name, proxy);
-        truth.started(proxy);
+        truth.proxyStarted(proxy);
         discovery.subscribe(proxy);
     }
 
@@ -70,7 +70,7 @@
     void kill(String name) {
         EmulatedProxy proxy = proxies.get(name);
         proxy.kill();
-        truth.killed(proxy);
+        truth.proxyKilled(proxy);
     }
 
     /** Starts a proxy again, under its old name and in its old zone. */
@@ -81,7 +81,7 @@
     void finishAll() {
         for (EmulatedProxy proxy : alive()) {
             proxy.finish();
-            truth.finished(proxy);
+            truth.proxyFinished(proxy);
         }
     }
 }
--- a/src/main/java/petrelplank/emulator/PurgeService.java
+++ b/src/main/java/petrelplank/emulator/PurgeService.java
@@ -44,7 +44,7 @@
 
     private void purge(PurgeTarget target) {
         // Events of the discovery service tell the time in milliseconds.
-        long unixMs = clock.now() / MS;
+        long unixMs = clock.nowUs() / MS;
         discovery.publishPurge(target, unixMs);
         for (CacheNode node : caches.nodes()) {
             clock.after(
--- a/src/main/java/petrelplank/emulator/SinkFactory.java
+++ b/src/main/java/petrelplank/emulator/SinkFactory.java
@@ -10,7 +10,7 @@
      *
      * @param proxy the proxy's name
      * @param incarnation the run's random number
-     * @return the sink; null where no records are kept, which spares the proxy making them
+     * @return the sink; {@link EventSink#NONE} where no records are kept
      */
     EventSink create(String proxy, long incarnation);
 }
--- a/src/main/java/petrelplank/record/EventSink.java
+++ b/src/main/java/petrelplank/record/EventSink.java
@@ -2,6 +2,12 @@
 
 /** Takes events, from the event thread; never waits. */
 public interface EventSink {
+    /** Takes nothing: records are off, and nobody needs to make an event for it. */
+    EventSink NONE = new EventSink() {
+        @Override
+        public void record(long unixUs, Event event) {}
+    };
+
     /**
      * Writes an event down.
      *
--- a/src/test/java/petrelplank/emulator/FleetIncidents.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidents.java
@@ -7,6 +7,7 @@
 import java.util.Locale;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import petrelplank.record.EventSink;
 
 /**
  * Plays the incidents of a fleet of many proxies, and measures what was earned by the number of proxies. Run as a
@@ -34,7 +35,7 @@
     static Result play(String scenarioName, int proxiesPerZone, long seed) throws IOException {
         PROXY_LOGGER.setLevel(Level.OFF);
         Scenario scenario = Scenario.of(scenarioName).withProxiesPerZone(proxiesPerZone);
-        GroundTruth truth = new Simulation(scenario, seed, (proxy, incarnation) -> null).run();
+        GroundTruth truth = new Simulation(scenario, seed, (proxy, incarnation) -> EventSink.NONE).run();
         double worstSecond = truth.seconds().values().stream()
                 .filter(second ->
                         MIN_REQUESTS_DIVISOR * second.asked() >= truth.total().asked())
