--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -25,13 +25,15 @@
     private static final String RECORD_FILE_SUFFIX = ".records.avro";
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    @Argument(metaVar = "SCENARIO", usage = "a bundled scenario's name or a YAML file; silent-hub where none is named")
+    @Argument(
+            metaVar = "SCENARIO",
+            usage = "a bundled scenario's name or a YAML file; silent-parent where none is named")
     private String scenarioName = Scenario.FIRST;
 
     @Option(name = "--seed", metaVar = "N", usage = "for all random numbers; the same seed gives the same bytes")
     private long seed = 1;
 
-    @Option(name = "--records", metaVar = "DIR", usage = "where the fronts' records go; none are written without it")
+    @Option(name = "--records", metaVar = "DIR", usage = "where the proxies' records go; none are written without it")
     private File recordDirectory;
 
     @Option(name = "--truth", metaVar = "FILE", usage = "what happened, as the emulator saw it, as JSON")
--- a/src/main/java/petrelplank/emulator/BundledScenarios.java
+++ b/src/main/java/petrelplank/emulator/BundledScenarios.java
@@ -1,6 +1,7 @@
 package petrelplank.emulator;
 
 import java.util.List;
+import java.util.Map;
 import java.util.stream.Stream;
 import petrelplank.yaml.Section;
 import petrelplank.yaml.Yaml;
@@ -16,19 +17,28 @@
             "purge",
             "restart",
             "silent-cache",
-            "silent-hub",
-            "slow-stock",
-            "stock-over");
+            "silent-parent",
+            "slow-origin",
+            "stopped-origin");
     private static final List<String> FLEET_INCIDENTS = List.of("fleet-join", "fleet-list", "fleet-zone");
 
+    /** Names that scenarios had in earlier versions; they go on working. */
+    private static final Map<String, String> ALIASES =
+            Map.of("silent-hub", "silent-parent", "slow-stock", "slow-origin", "stock-over", "stopped-origin");
+
     private BundledScenarios() {}
 
-    static boolean contains(String name) {
+    static boolean contains(String nameOrAlias) {
+        String name = canonicalName(nameOrAlias);
         return INCIDENTS.contains(name) || FLEET_INCIDENTS.contains(name);
     }
 
-    static Section read(String name) {
-        return Yaml.resource(FOLDER + name + ".yaml");
+    static Section read(String nameOrAlias) {
+        return Yaml.resource(FOLDER + canonicalName(nameOrAlias) + ".yaml");
+    }
+
+    private static String canonicalName(String nameOrAlias) {
+        return ALIASES.getOrDefault(nameOrAlias, nameOrAlias);
     }
 
     /**
--- a/src/main/java/petrelplank/emulator/Scenario.java
+++ b/src/main/java/petrelplank/emulator/Scenario.java
@@ -29,7 +29,7 @@
         long clockSpreadUs,
         List<Fault> faults) {
     /** The scenario played where none is named. */
-    public static final String FIRST = "silent-hub";
+    public static final String FIRST = "silent-parent";
 
     /** When the last request is sent, in Unix time. */
     long endUnixUs() {
--- a/src/test/java/petrelplank/emulator/ScenarioParserTest.java
+++ b/src/test/java/petrelplank/emulator/ScenarioParserTest.java
@@ -66,6 +66,13 @@
                 fault + "purge\n    at: 11s\n", "5:9: troubles[0].at: should be from 0.0 to 10000.0 ms, found 11000.0");
     }
 
+    @Test
+    void earlierNamesOfBundledScenariosStillWork() throws IOException {
+        assertEquals(Scenario.of("silent-parent"), Scenario.of("silent-hub"));
+        assertEquals(Scenario.of("slow-origin"), Scenario.of("slow-stock"));
+        assertEquals(Scenario.of("stopped-origin"), Scenario.of("stock-over"));
+    }
+
     @Test
     void allBundledScenariosAreValid() throws IOException {
         for (String name : BundledScenarios.all()) {
