--- a/src/main/java/petrelplank/emulator/ProxySettings.java
+++ b/src/main/java/petrelplank/emulator/ProxySettings.java
@@ -8,6 +8,7 @@
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.RoutingPermissions;
 import petrelplank.routing.SiblingFillPolicy;
+import petrelplank.routing.Tenant;
 import petrelplank.routing.WeightMeaning;
 
 /** The settings that the platform would give to a proxy of the emulated fleet. */
@@ -26,6 +27,10 @@
     private static final long OVERLOAD_US = 1_500_000;
     private static final long PURGE_DONE_US = 6_000_000;
     private static final long POLL_INTERVAL_US = 10_000_000;
+    /** The emulated fleet has no tenants, so that no request is over a quota. */
+    private static final List<Tenant> NO_TENANTS = List.of();
+
+    private static final double OVER_QUOTA_WEIGHT_FACTOR = 0;
 
     private ProxySettings() {}
 
@@ -101,6 +106,8 @@
                 CONNECT_TIMEOUT_US,
                 TrafficClasses.ALL,
                 permissions(),
-                rules());
+                rules(),
+                NO_TENANTS,
+                OVER_QUOTA_WEIGHT_FACTOR);
     }
 }
