--- /dev/null
+++ b/src/main/java/petrelplank/emulator/FaultInjector.java
@@ -0,0 +1,84 @@
+package petrelplank.emulator;
+
+import petrelplank.routing.Hash;
+
+/**
+ * Schedules the faults of a scenario, and notes them in the ground truth: all but the planned changes of the fleet,
+ * and outside load, which the origin notes where it stops under it.
+ */
+final class FaultInjector {
+    private static final int HOT_OBJECT_SEED_OFFSET = 77;
+
+    private final SimulatedFleet fleet;
+    private final EventScheduler clock;
+    private final CacheFaults cacheFaults;
+
+    FaultInjector(SimulatedFleet fleet) {
+        this.fleet = fleet;
+        this.clock = fleet.clock();
+        this.cacheFaults = new CacheFaults(clock, fleet.caches(), fleet.discovery());
+    }
+
+    void scheduleAll() {
+        for (Fault fault : fleet.scenario().faults()) {
+            schedule(fault);
+            if (isNoted(fault.kind())) {
+                fleet.truth().faultInjected(fault);
+            }
+        }
+    }
+
+    private static boolean isNoted(FaultKind kind) {
+        return kind != FaultKind.DRAIN && kind != FaultKind.REPLACE && kind != FaultKind.OUTSIDE_LOAD;
+    }
+
+    private void schedule(Fault fault) {
+        switch (fault.kind()) {
+            case SILENT -> cacheFaults.silence(fault);
+            case FAST_FAILURES -> cacheFaults.failFast(fault);
+            case LOST -> cacheFaults.lose(fault);
+            case DRAIN -> cacheFaults.drain(fault);
+            case REPLACE -> cacheFaults.replace(fault);
+            case CROWDED_LINK -> cacheFaults.crowdLinks(fault);
+            case RESTART -> restartProxies(fault);
+            case PURGE -> clock.at(fault.startUnixUs(), () -> fleet.purges().purgeGroups(fault.share()));
+            case HOT_OBJECT -> addHotObject(fault);
+            case SLOW_ORIGIN -> slowOrigin(fault);
+            case OUTSIDE_LOAD -> loadOrigin(fault);
+            case LATE_DISCOVERY ->
+                clock.at(fault.startUnixUs(), () -> fleet.discovery().holdUntil(fault.endUnixUs()));
+            default -> throw new IllegalStateException(fault.kind().toString());
+        }
+    }
+
+    private void restartProxies(Fault fault) {
+        for (String name : fault.servers()) {
+            during(
+                    fault,
+                    () -> fleet.proxies().kill(name),
+                    () -> fleet.proxies().restart(name));
+        }
+    }
+
+    private void addHotObject(Fault fault) {
+        long object = Hash.mix(fleet.seed() + HOT_OBJECT_SEED_OFFSET);
+        Catalogue catalogue = fleet.catalogue();
+        during(fault, () -> catalogue.startHotObject(object, fault.share()), catalogue::endHotObject);
+    }
+
+    private void slowOrigin(Fault fault) {
+        OriginServer origin = fleet.origin();
+        during(fault, () -> origin.setSlowdown(fault.share()), () -> origin.setSlowdown(1));
+    }
+
+    private void loadOrigin(Fault fault) {
+        OriginServer origin = fleet.origin();
+        double callsPerSecond = fault.share() * fleet.scenario().capacity().originPerSecond();
+        during(fault, () -> origin.startOutsideLoad(callsPerSecond), origin::endOutsideLoad);
+    }
+
+    private void during(Fault fault, Runnable onStart, Runnable onEnd) {
+        clock.at(fault.startUnixUs(), onStart);
+        clock.at(fault.endUnixUs(), onEnd);
+    }
+}
--- /dev/null
+++ b/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
@@ -0,0 +1,206 @@
+package petrelplank.emulator;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Function;
+import petrelplank.proxy.Attempt;
+import petrelplank.proxy.ClientResponse;
+import petrelplank.proxy.DiscoveryEvent;
+import petrelplank.proxy.UpstreamResponse;
+import petrelplank.routing.AttemptStatus;
+import petrelplank.routing.CacheStatus;
+import petrelplank.routing.ServiceClass;
+
+/**
+ * Writes the {@link GroundTruth} down while the emulation runs. It knows nothing of records and shares no code with
+ * the analysis, whose figures tests compare with it.
+ */
+final class GroundTruthRecorder {
+    private static final long SECOND_US = 1_000_000;
+
+    /** Counts of the origin's calls in a second. */
+    private static final class OriginCounters {
+        private long calls;
+        private long failed;
+
+        private GroundTruth.OriginCalls totals() {
+            return new GroundTruth.OriginCalls(calls, failed);
+        }
+    }
+
+    /** A run of a proxy; {@code end} is null while it is under way. */
+    private static final class ProxyRun {
+        private final String proxy;
+        private final long startedUs;
+        private long openRequests;
+        private GroundTruth.Incarnation.End end;
+        private long endedUs;
+
+        ProxyRun(String proxy, long startedUs) {
+            this.proxy = proxy;
+            this.startedUs = startedUs;
+        }
+
+        private GroundTruth.Incarnation totals() {
+            return new GroundTruth.Incarnation(proxy, startedUs, end, endedUs);
+        }
+    }
+
+    private final Catalogue catalogue;
+    private final RequestCounters total = new RequestCounters();
+    private final Map<Long, RequestCounters> seconds = new TreeMap<>();
+    private final Map<String, RequestCounters> classes = new TreeMap<>();
+    private final Map<String, RequestCounters> zones = new TreeMap<>();
+    private final Map<String, AttemptCounters> servers = new TreeMap<>();
+    private final Map<Long, OriginCounters> origin = new TreeMap<>();
+    private final NotificationLog notifications = new NotificationLog();
+    private final Map<EmulatedProxy, ProxyRun> proxyRuns = new LinkedHashMap<>();
+    private final List<GroundTruth.FaultPeriod> faults = new ArrayList<>();
+    private final Map<String, Integer> writes = new HashMap<>();
+    private long lateSends;
+    private long stalePurgedCopies;
+    private long unanswered;
+
+    GroundTruthRecorder(Catalogue catalogue) {
+        this.catalogue = catalogue;
+    }
+
+    void proxyStarted(EmulatedProxy proxy) {
+        proxyRuns.put(proxy, new ProxyRun(proxy.name(), proxy.clockUs()));
+        notifications.started(proxy);
+    }
+
+    void proxyFinished(EmulatedProxy proxy) {
+        proxyEnded(proxy, GroundTruth.Incarnation.End.FINISHED);
+    }
+
+    void proxyKilled(EmulatedProxy proxy) {
+        proxyEnded(proxy, GroundTruth.Incarnation.End.KILLED);
+    }
+
+    private void proxyEnded(EmulatedProxy proxy, GroundTruth.Incarnation.End end) {
+        ProxyRun run = proxyRuns.get(proxy);
+        run.end = end;
+        run.endedUs = proxy.clockUs();
+        unanswered += run.openRequests;
+    }
+
+    private List<RequestCounters> requestCounters(EmulatedProxy proxy, ServiceClass serviceClass) {
+        return List.of(
+                total,
+                seconds.computeIfAbsent(proxy.clockUs() / SECOND_US, second -> new RequestCounters()),
+                classes.computeIfAbsent(serviceClass.name(), name -> new RequestCounters()),
+                zones.computeIfAbsent(proxy.zone(), zone -> new RequestCounters()));
+    }
+
+    void requested(EmulatedProxy proxy, ServiceClass serviceClass) {
+        proxyRuns.get(proxy).openRequests++;
+        requestCounters(proxy, serviceClass).forEach(counters -> counters.requested(serviceClass));
+    }
+
+    /** A client took the final response, {@code bytes} of the object with it. */
+    void responded(EmulatedProxy proxy, ServiceClass serviceClass, long bytes, ClientResponse.Kind kind, long tookUs) {
+        proxyRuns.get(proxy).openRequests--;
+        boolean successful = kind == ClientResponse.Kind.SERVED || kind == ClientResponse.Kind.NOT_MODIFIED;
+        double transferUs = bytes / (TrafficClasses.FLOW_KB_PER_SECOND * TrafficClasses.KIB) * 1e6;
+        double objectiveUs = serviceClass.latencyObjectiveUs() + serviceClass.objectiveSizeFactor() * transferUs;
+        boolean inTime = successful && tookUs <= Math.min(serviceClass.deadlineUs(), objectiveUs);
+        double earned = successful ? serviceClass.priorityWeight() * (inTime ? 1 : serviceClass.lateWeightFactor()) : 0;
+        requestCounters(proxy, serviceClass).forEach(counters -> counters.responded(kind, inTime, earned));
+    }
+
+    private AttemptCounters attemptCounters(String server) {
+        return servers.computeIfAbsent(server, id -> new AttemptCounters());
+    }
+
+    void attemptSent(EmulatedProxy proxy, Attempt attempt) {
+        attemptCounters(attempt.server()).sent();
+        lateSends += notifications.isLateFor(proxy, attempt.server()) ? 1 : 0;
+        String source = attempt.request().source();
+        lateSends += source != null && notifications.isLateFor(proxy, source) ? 1 : 0;
+    }
+
+    void attemptAborted(String server) {
+        attemptCounters(server).aborted();
+    }
+
+    void attemptEnded(EmulatedProxy proxy, Attempt attempt, UpstreamResponse response, long tookUs) {
+        boolean successful = response.status() == AttemptStatus.OK;
+        if (successful && response.bornMs() > 0) {
+            long object = Long.parseUnsignedLong(attempt.request().object(), 16);
+            long sentUs = proxy.clockUs() - tookUs;
+            boolean purged = notifications.isPurged(proxy, object, catalogue.group(object), response.bornMs(), sentUs);
+            stalePurgedCopies += purged ? 1 : 0;
+        }
+        attemptCounters(attempt.server()).ended(response.status(), tookUs);
+        if (reachedOrigin(attempt, response)) {
+            OriginCounters counters =
+                    origin.computeIfAbsent(proxy.clockUs() / SECOND_US, second -> new OriginCounters());
+            counters.calls++;
+            counters.failed += successful ? 0 : 1;
+        }
+    }
+
+    private static boolean reachedOrigin(Attempt attempt, UpstreamResponse response) {
+        return response.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN
+                || response.cacheStatus() == CacheStatus.ORIGIN_FAILED
+                || attempt.server().equals(ServerNames.ORIGIN);
+    }
+
+    void notified(EmulatedProxy proxy, DiscoveryEvent event) {
+        notifications.notified(proxy, event);
+    }
+
+    /** A write ran at the origin. */
+    void writeExecuted(String requestId) {
+        writes.merge(requestId, 1, Integer::sum);
+    }
+
+    void faultInjected(Fault fault) {
+        // A purge takes no time, whatever a scenario says.
+        long endUs = fault.kind() == FaultKind.PURGE ? fault.startUnixUs() : fault.endUnixUs();
+        faults.add(new GroundTruth.FaultPeriod(fault.kind().label(), fault.servers(), fault.startUnixUs(), endUs));
+    }
+
+    /** Load from outside is a fault of the fleet only where the origin stops under it. */
+    void outsideLoadStoppedOrigin(long fromUs, long toUs) {
+        faults.add(
+                new GroundTruth.FaultPeriod(FaultKind.OUTSIDE_LOAD.label(), List.of(ServerNames.ORIGIN), fromUs, toUs));
+    }
+
+    void originStopped(long fromUs, long toUs) {
+        faults.add(new GroundTruth.FaultPeriod(
+                GroundTruth.FaultPeriod.ORIGIN_STOPPED, List.of(ServerNames.ORIGIN), fromUs, toUs));
+    }
+
+    /** All that was written down. */
+    GroundTruth truth(String scenario, long seed) {
+        return new GroundTruth(
+                total.totals(),
+                totals(seconds, RequestCounters::totals),
+                totals(classes, RequestCounters::totals),
+                totals(zones, RequestCounters::totals),
+                totals(servers, AttemptCounters::totals),
+                totals(origin, OriginCounters::totals),
+                notifications.purges(),
+                notifications.drains(),
+                proxyRuns.values().stream().map(ProxyRun::totals).toList(),
+                unanswered,
+                lateSends,
+                stalePurgedCopies,
+                List.copyOf(faults),
+                writes.values().stream().filter(times -> times > 1).count(),
+                scenario,
+                seed);
+    }
+
+    private static <K, C, T> Map<K, T> totals(Map<K, C> counters, Function<C, T> toTotals) {
+        Map<K, T> totals = new LinkedHashMap<>();
+        counters.forEach((key, one) -> totals.put(key, toTotals.apply(one)));
+        return totals;
+    }
+}
--- /dev/null
+++ b/src/test/java/petrelplank/emulator/FleetIncidents.java
@@ -0,0 +1,87 @@
+package petrelplank.emulator;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Locale;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+import petrelplank.record.EventSink;
+
+/**
+ * Plays the incidents of a fleet of many proxies, and measures what was earned by the number of proxies. Run as a
+ * program it prints the curve of {@code docs/fleet.md}, for the numbers of proxies in each zone that it is given.
+ */
+final class FleetIncidents {
+    /** Held, since the platform forgets the level of a logger that nobody holds. */
+    private static final Logger PROXY_LOGGER = Logger.getLogger("petrelplank.proxy");
+
+    /** Seconds with fewer than one request in so many don't count as the worst second. */
+    private static final int MIN_REQUESTS_DIVISOR = 100;
+
+    private FleetIncidents() {}
+
+    /**
+     * What one run came to.
+     *
+     * @param earned priority weight earned over that of all requests
+     * @param worstSecond the same of the worst second with 1 in 100 of the requests or more
+     * @param violations requests without a response, sends to servers that drain, copies from before a purge, and
+     *     writes that ran more than once
+     */
+    record Result(double earned, double worstSecond, long violations) {}
+
+    static Result play(String scenarioName, int proxiesPerZone, long seed) throws IOException {
+        PROXY_LOGGER.setLevel(Level.OFF);
+        Scenario scenario = Scenario.of(scenarioName).withProxiesPerZone(proxiesPerZone);
+        GroundTruth truth = new Simulation(scenario, seed, (proxy, incarnation) -> EventSink.NONE).run();
+        double worstSecond = truth.seconds().values().stream()
+                .filter(second ->
+                        MIN_REQUESTS_DIVISOR * second.asked() >= truth.total().asked())
+                .mapToDouble(FleetIncidents::earned)
+                .min()
+                .orElse(1);
+        return new Result(
+                earned(truth.total()),
+                Math.min(1, worstSecond),
+                truth.unanswered() + truth.lateSends() + truth.stalePurgedCopies() + truth.repeatedWrites());
+    }
+
+    private static double earned(GroundTruth.Requests requests) {
+        return requests.weightEarned() / requests.weightAsked();
+    }
+
+    /**
+     * Prints the curve.
+     *
+     * @param args seeds, then numbers of proxies in each zone
+     * @throws IOException where a scenario can't be read
+     */
+    public static void main(String[] args) throws IOException {
+        int seeds = Integer.parseInt(args[0]);
+        for (String scenario : BundledScenarios.fleetIncidents()) {
+            for (String proxiesPerZone : List.of(args).subList(1, args.length)) {
+                print(scenario, Integer.parseInt(proxiesPerZone), seeds);
+            }
+        }
+    }
+
+    private static void print(String scenario, int proxiesPerZone, int seeds) throws IOException {
+        List<Result> results = new ArrayList<>();
+        for (int seed = 1; seed <= seeds; seed++) {
+            results.add(play(scenario, proxiesPerZone, seed));
+        }
+        results.sort(Comparator.comparingDouble(Result::earned));
+        System.out.printf(
+                Locale.ROOT,
+                "%-12s %4d proxies: earned %.4f to %.4f, median %.4f, worst second %.3f, violations %d%n",
+                scenario,
+                3 * proxiesPerZone,
+                results.get(0).earned(),
+                results.get(seeds - 1).earned(),
+                results.get(seeds / 2).earned(),
+                results.stream().mapToDouble(Result::worstSecond).min().orElse(0),
+                results.stream().mapToLong(Result::violations).sum());
+    }
+}
