--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -18,8 +18,8 @@
 import petrelplank.analysis.IncidentTimeline;
 import petrelplank.analysis.RecordAggregator;
 import petrelplank.record.RecordReader;
-import petrelplank.report.Page;
-import petrelplank.report.Summary;
+import petrelplank.report.HtmlReport;
+import petrelplank.report.TextSummary;
 
 /** {@code report}: the course of an incident from the records of fronts. */
 public final class ReportCommand extends BaseCommand implements Command {
@@ -74,9 +74,9 @@
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(json, tree);
         }
         if (out != null) {
-            Files.writeString(out.toPath(), Page.of(course, findings, reader.troubles()));
+            Files.writeString(out.toPath(), HtmlReport.of(course, findings, reader.troubles()));
         }
-        System.out.print(Summary.of(course, findings));
+        System.out.print(TextSummary.of(course, findings));
         return reader.troubles().isEmpty() ? 0 : IN_PART;
     }
 }
--- a/src/main/java/petrelplank/report/Page.java
+++ b/src/main/java/petrelplank/report/HtmlReport.java
@@ -22,7 +22,7 @@
 import petrelplank.routing.EndpointState;
 
 /** The report as one HTML page that needs nothing else. */
-public final class Page {
+public final class HtmlReport {
     private static final double S = 1e6;
     private static final int MOST_ROWS = 60;
     private static final Map<String, String> WHY = Map.of(
@@ -44,12 +44,12 @@
     private final IncidentTimeline course;
     private final List<Finding> findings;
     private final List<String> troubles;
-    private final Html html = new Html();
+    private final HtmlWriter html = new HtmlWriter();
     private final long fromS;
     private final long toS;
     private final List<Long> incomplete;
 
-    private Page(IncidentTimeline course, List<Finding> findings, List<String> troubles) {
+    private HtmlReport(IncidentTimeline course, List<Finding> findings, List<String> troubles) {
         this.course = course;
         this.findings = findings;
         this.troubles = troubles;
@@ -67,13 +67,13 @@
      * @return HTML
      */
     public static String of(IncidentTimeline course, List<Finding> findings, List<String> troubles) {
-        Page page = new Page(course, findings, troubles);
+        HtmlReport page = new HtmlReport(course, findings, troubles);
         page.write();
         return page.html.toString();
     }
 
     private static String style() {
-        try (InputStream in = Page.class.getResourceAsStream("/petrelplank/report/page.css")) {
+        try (InputStream in = HtmlReport.class.getResourceAsStream("/petrelplank/report/page.css")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -116,13 +116,13 @@
     }
 
     private void card(String name, String value) {
-        html.raw("<div><dt>" + Html.text(name) + "</dt><dd>" + Html.text(value) + "</dd></div>");
+        html.raw("<div><dt>" + HtmlWriter.text(name) + "</dt><dd>" + HtmlWriter.text(value) + "</dd></div>");
     }
 
     private void cards() {
         RequestTotals all = course.total();
         html.raw("<dl class=\"cards\">");
-        card("Worth earned", Summary.share(all.service()));
+        card("Worth earned", TextSummary.share(all.service()));
         card("Requests", String.format(Locale.ROOT, "%,d", all.asked()));
         card("In time", String.format(Locale.ROOT, "%,d", all.inTime()));
         card("Refused", String.format(Locale.ROOT, "%,d", all.count(Event.ResponseKind.REJECTED)));
@@ -156,8 +156,8 @@
         } else {
             html.raw("<ol>");
             for (Finding f : findings) {
-                html.raw("<li><h3>" + Html.text(name(f)) + (f.servers().isEmpty() ? "" : ": ") + links(f.servers())
-                        + "</h3>");
+                html.raw("<li><h3>" + HtmlWriter.text(name(f)) + (f.servers().isEmpty() ? "" : ": ")
+                        + links(f.servers()) + "</h3>");
                 html.tag(
                         "p",
                         Diagnosis.clock(f.fromUs()) + " to " + Diagnosis.clock(f.toUs())
@@ -180,13 +180,13 @@
     }
 
     private static String name(Finding f) {
-        String words = Summary.kind(f);
+        String words = TextSummary.kind(f);
         return Character.toUpperCase(words.charAt(0)) + words.substring(1);
     }
 
     private String links(List<String> ids) {
         List<String> all = new ArrayList<>();
-        ids.forEach(id -> all.add("<a href=\"#" + Html.id(id) + "\">" + Html.text(id) + "</a>"));
+        ids.forEach(id -> all.add("<a href=\"#" + HtmlWriter.id(id) + "\">" + HtmlWriter.text(id) + "</a>"));
         return String.join(", ", all);
     }
 
@@ -200,7 +200,7 @@
     }
 
     private void figure(String caption, String svg) {
-        html.raw("<figure><figcaption>" + Html.text(caption) + "</figcaption>" + svg + "</figure>");
+        html.raw("<figure><figcaption>" + HtmlWriter.text(caption) + "</figcaption>" + svg + "</figure>");
     }
 
     private void course() {
@@ -208,23 +208,23 @@
         timeline();
         figure(
                 "Worth asked and earned, a second",
-                Chart.steps(
+                SvgDrawing.steps(
                         "Worth asked and earned in each second",
                         "worth",
                         List.of(
-                                new Chart.Line("asked", perSecond(course.seconds(), RequestTotals::worthAsked)),
-                                new Chart.Line("earned", perSecond(course.seconds(), RequestTotals::worthEarned))),
+                                new SvgDrawing.Line("asked", perSecond(course.seconds(), RequestTotals::worthAsked)),
+                                new SvgDrawing.Line("earned", perSecond(course.seconds(), RequestTotals::worthEarned))),
                         fromS,
                         toS));
         figure(
                 "Final answers that were not served, a second",
-                Chart.steps(
+                SvgDrawing.steps(
                         "Refused and failed in each second",
                         "requests",
                         List.of(
-                                new Chart.Line("refused", perSecond(course.seconds(), s ->
+                                new SvgDrawing.Line("refused", perSecond(course.seconds(), s ->
                                         (double) s.count(Event.ResponseKind.REJECTED))),
-                                new Chart.Line("failed", perSecond(course.seconds(), s ->
+                                new SvgDrawing.Line("failed", perSecond(course.seconds(), s ->
                                         (double) s.count(Event.ResponseKind.FAILED)))),
                         fromS,
                         toS));
@@ -239,20 +239,20 @@
         incomplete.forEach(failed::remove);
         figure(
                 "Calls of the central stock that answers told of, a second",
-                Chart.steps(
+                SvgDrawing.steps(
                         "Calls of the central stock",
                         "calls",
-                        List.of(new Chart.Line("calls", calls), new Chart.Line("failed", failed)),
+                        List.of(new SvgDrawing.Line("calls", calls), new SvgDrawing.Line("failed", failed)),
                         fromS,
                         toS));
         figure(
                 "Requests open at all fronts, and how late their event threads were at most",
-                Chart.steps(
+                SvgDrawing.steps(
                         "Open requests and lateness",
                         "requests; ms",
                         List.of(
-                                new Chart.Line("open", known(course.open(), 1)),
-                                new Chart.Line("ms late", known(course.lateUs(), 1000))),
+                                new SvgDrawing.Line("open", known(course.open(), 1)),
+                                new SvgDrawing.Line("ms late", known(course.lateUs(), 1000))),
                         fromS,
                         toS));
         why();
@@ -279,16 +279,16 @@
 
     private void timeline() {
         List<String> rows = new ArrayList<>();
-        List<Chart.Bar> bars = new ArrayList<>();
+        List<SvgDrawing.Bar> bars = new ArrayList<>();
         for (Finding f : findings) {
             if (rows.size() < MOST_ROWS) {
-                bars.add(new Chart.Bar(rows.size(), f.fromUs() / S - fromS, f.toUs() / S - fromS, 1));
+                bars.add(new SvgDrawing.Bar(rows.size(), f.fromUs() / S - fromS, f.toUs() / S - fromS, 1));
                 rows.add(name(f) + (f.servers().size() == 1 ? " " + f.servers().get(0) : ""));
             }
         }
         course.drainsToldUs().forEach((id, times) -> {
             if (rows.size() < MOST_ROWS) {
-                bars.add(new Chart.Bar(
+                bars.add(new SvgDrawing.Bar(
                         rows.size(),
                         times.stream().mapToLong(t -> t).min().orElse(0) / S - fromS,
                         toS + 1.0 - fromS,
@@ -298,7 +298,7 @@
         });
         Map<Long, List<Long>> purges = course.purgesToldUs();
         if (!purges.isEmpty()) {
-            purges.forEach((i, times) -> bars.add(new Chart.Bar(
+            purges.forEach((i, times) -> bars.add(new SvgDrawing.Bar(
                     rows.size(),
                     times.stream().mapToLong(t -> t).min().orElse(0) / S - fromS,
                     times.stream().mapToLong(t -> t).max().orElse(0) / S - fromS,
@@ -312,12 +312,13 @@
                     rows.add(f);
                     return rows.size() - 1;
                 });
-                bars.add(new Chart.Bar(row, life.firstUs() / S - fromS, life.lastUs() / S - fromS, 0));
+                bars.add(new SvgDrawing.Bar(row, life.firstUs() / S - fromS, life.lastUs() / S - fromS, 0));
             }
         }
         figure(
                 "Findings, drains, purges and lives of fronts",
-                Chart.timeline("Findings, drains, purges and lives of " + "fronts over time", rows, bars, toS - fromS));
+                SvgDrawing.timeline(
+                        "Findings, drains, purges and lives of " + "fronts over time", rows, bars, toS - fromS));
         if (rows.size() >= MOST_ROWS) {
             html.tag("p", "Only the first " + MOST_ROWS + " rows are drawn.");
         }
@@ -349,7 +350,7 @@
                     ", ",
                     findings.stream()
                             .filter(f -> f.servers().contains(id))
-                            .map(Summary::kind)
+                            .map(TextSummary::kind)
                             .distinct()
                             .toList());
             if (p == null) {
@@ -400,7 +401,8 @@
                         (long) s.told().getOrDefault(EndpointState.REMOVED, 0),
                         String.join(", ", s.outAt()),
                         String.join(
-                                ", ", s.troubles().stream().map(Summary::kind).toList())));
+                                ", ",
+                                s.troubles().stream().map(TextSummary::kind).toList())));
         html.end();
     }
 
@@ -434,7 +436,7 @@
                 s.inTime(),
                 s.worthAsked(),
                 s.worthEarned(),
-                Summary.share(s.service())));
+                TextSummary.share(s.service())));
         html.end();
     }
 
@@ -443,15 +445,16 @@
         sums("By class", "Class", course.classes());
         sums("By branch", "Branch", course.branches());
         course.branchSeconds().forEach((branch, seconds) -> {
-            html.raw("<details id=\"" + Html.id(branch) + "\"><summary>" + Html.text(branch) + "</summary>");
+            html.raw(
+                    "<details id=\"" + HtmlWriter.id(branch) + "\"><summary>" + HtmlWriter.text(branch) + "</summary>");
             figure(
                     "Worth asked and earned at " + branch,
-                    Chart.steps(
+                    SvgDrawing.steps(
                             "Worth at " + branch,
                             "worth",
                             List.of(
-                                    new Chart.Line("asked", perSecond(seconds, RequestTotals::worthAsked)),
-                                    new Chart.Line("earned", perSecond(seconds, RequestTotals::worthEarned))),
+                                    new SvgDrawing.Line("asked", perSecond(seconds, RequestTotals::worthAsked)),
+                                    new SvgDrawing.Line("earned", perSecond(seconds, RequestTotals::worthEarned))),
                             fromS,
                             toS));
             html.raw("</details>");
@@ -490,7 +493,7 @@
     private void servers() {
         html.raw("<section id=\"servers\">").tag("h2", "Servers");
         course.peers().forEach((id, p) -> {
-            html.raw("<details id=\"" + Html.id(id) + "\"><summary>" + Html.text(id) + "</summary>");
+            html.raw("<details id=\"" + HtmlWriter.id(id) + "\"><summary>" + HtmlWriter.text(id) + "</summary>");
             Map<Long, Double> sent = new TreeMap<>();
             Map<Long, Double> good = new TreeMap<>();
             Map<Long, Double> other = new TreeMap<>();
@@ -502,13 +505,13 @@
             }
             figure(
                     "Attempts a second at " + id,
-                    Chart.steps(
+                    SvgDrawing.steps(
                             "Attempts at " + id,
                             "attempts",
                             List.of(
-                                    new Chart.Line("sent", sent),
-                                    new Chart.Line("served", good),
-                                    new Chart.Line("other answers", other)),
+                                    new SvgDrawing.Line("sent", sent),
+                                    new SvgDrawing.Line("served", good),
+                                    new SvgDrawing.Line("other answers", other)),
                             fromS,
                             toS));
             html.raw("</details>");
--- a/src/main/java/petrelplank/report/Html.java
+++ b/src/main/java/petrelplank/report/HtmlWriter.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Writes HTML: what comes from records is always escaped. */
-final class Html {
+final class HtmlWriter {
     private final StringBuilder out = new StringBuilder();
 
     static String text(Object value) {
@@ -20,18 +20,18 @@
     }
 
     /** Raw markup of the program's own. */
-    Html raw(String markup) {
+    HtmlWriter raw(String markup) {
         out.append(markup).append('\n');
         return this;
     }
 
     /** An element with text in it. */
-    Html tag(String name, Object content) {
+    HtmlWriter tag(String name, Object content) {
         return raw("<" + name + ">" + text(content) + "</" + name.split(" ")[0] + ">");
     }
 
     /** A table's head; every column but the first holds figures. */
-    Html head(String caption, String... columns) {
+    HtmlWriter head(String caption, String... columns) {
         raw("<div class=\"wide\" tabindex=\"0\" role=\"region\" aria-label=\"" + text(caption) + "\"><table><caption>"
                 + text(caption) + "</caption><thead><tr>");
         for (String column : columns) {
@@ -41,7 +41,7 @@
     }
 
     /** A row; the first cell may link to a section. */
-    Html row(String link, Object... cells) {
+    HtmlWriter row(String link, Object... cells) {
         raw("<tr>");
         for (int i = 0; i < cells.length; i++) {
             Object c = cells[i] instanceof Double d ? figure(d) : cells[i];
@@ -54,7 +54,7 @@
         return raw("</tr>");
     }
 
-    Html end() {
+    HtmlWriter end() {
         return raw("</tbody></table></div>");
     }
 
--- a/src/main/java/petrelplank/report/Chart.java
+++ b/src/main/java/petrelplank/report/SvgDrawing.java
@@ -27,7 +27,7 @@
  * Charts as SVG, drawn by JFreeChart. Colours are drawn as placeholders and replaced by the page's own, so that one
  * drawing reads in light, dark and print.
  */
-final class Chart {
+final class SvgDrawing {
     private static final int WIDTH = 900;
     private static final Color INK = new Color(1, 2, 3);
     private static final Color GRID = new Color(4, 5, 6);
@@ -55,7 +55,7 @@
      */
     record Bar(int row, double fromS, double toS, int colour) {}
 
-    private Chart() {}
+    private SvgDrawing() {}
 
     /**
      * Steps over seconds.
@@ -168,9 +168,9 @@
         }
         SVGGraphics2D g = new SVGGraphics2D(WIDTH, height);
         // Names of parts must differ between the drawings of a page, and be the same each time.
-        g.setDefsKeyPrefix(Html.id(title));
-        g.setGeomDoubleConverter(Chart::tenths);
-        g.setTransformDoubleConverter(Chart::tenths);
+        g.setDefsKeyPrefix(HtmlWriter.id(title));
+        g.setGeomDoubleConverter(SvgDrawing::tenths);
+        g.setTransformDoubleConverter(SvgDrawing::tenths);
         chart.draw(g, new Rectangle2D.Double(0, 0, WIDTH, height));
         String svg = g.getSVGElement(null, true, null, null, null);
         svg = svg.replace("rgb(1,2,3)", "var(--ink)").replace("rgb(4,5,6)", "var(--grid)");
@@ -180,7 +180,7 @@
         return svg.replaceFirst(
                         "<svg ",
                         "<svg viewBox=\"0 0 " + WIDTH + " " + height + "\" role=\"img\" aria-label=\""
-                                + Html.text(title) + "\" ")
+                                + HtmlWriter.text(title) + "\" ")
                 .replaceFirst(" width=\"" + WIDTH + "\"", "")
                 .replaceFirst(" height=\"" + height + "\"", "");
     }
--- a/src/main/java/petrelplank/report/Summary.java
+++ b/src/main/java/petrelplank/report/TextSummary.java
@@ -9,8 +9,8 @@
 import petrelplank.record.Event;
 
 /** The report in a terminal: some lines of text. */
-public final class Summary {
-    private Summary() {}
+public final class TextSummary {
+    private TextSummary() {}
 
     /**
      * Writes the summary.
--- a/src/test/java/petrelplank/analysis/FoldTest.java
+++ b/src/test/java/petrelplank/analysis/RecordAggregatorTest.java
@@ -17,7 +17,7 @@
 import petrelplank.routing.EndpointState;
 import petrelplank.yaml.Yaml;
 
-class FoldTest {
+class RecordAggregatorTest {
     private static Map<String, Object> figures(List<Entry> entries) {
         IncidentTimeline course = Emulated.course(entries);
         Map<String, Object> tree = course.tree();
--- a/src/test/java/petrelplank/analysis/Volume.java
+++ b/src/test/java/petrelplank/analysis/RecordVolume.java
@@ -8,8 +8,8 @@
 import petrelplank.yaml.Yaml;
 
 /** Writes records of a chosen size for long measurements; see docs/measurements.md. */
-final class Volume {
-    private Volume() {}
+final class RecordVolume {
+    private RecordVolume() {}
 
     /** Arguments: directory, requests a second, seconds. */
     public static void main(String[] args) {
