--- a/src/main/java/petrelplank/analysis/EndpointStatistics.java
+++ b/src/main/java/petrelplank/analysis/EndpointStatistics.java
@@ -1,91 +1,112 @@
 package petrelplank.analysis;
 
 import java.util.EnumMap;
-import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
+import petrelplank.analysis.Observation.Outcome;
 import petrelplank.record.Event;
-import petrelplank.record.StoredNames;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 
-/** What all fronts together saw of one server. */
+/** What all proxies together saw of one endpoint. */
 public final class EndpointStatistics {
-    /** It answered, whatever it said. */
-    static final int ALIVE = 0;
-    /** It was asked and did not answer. */
-    static final int UNANSWERED = 1;
-    /** It answered with an error. */
-    static final int ERROR = 2;
-
-    private static final long SHORT_US = 150_000;
-
-    final String id;
-    long sent;
-    long withdrawn;
-    private long fills;
-    private long fillsFailed;
-    final Map<AttemptStatus, Long> ends = new EnumMap<>(AttemptStatus.class);
-    final Histogram answeredUs = new Histogram(3);
-    /** When asked, when known, kind: as a server and as a source. */
-    final LongTable seen = new LongTable(3);
-    /** When called, when known, 1 for well: calls of the central stock that its answers told of. */
-    final LongTable calls = new LongTable(3);
-    /** When asked, when answered, 1 for well: answers as a server. */
-    final LongTable answers = new LongTable(3);
-    /** Attempts sent and answers by second. */
-    final Map<Long, long[]> seconds = new TreeMap<>();
+    /** An attempt abandoned sooner than this says nothing of the endpoint. */
+    private static final long MIN_UNANSWERED_US = 150_000;
 
-    EndpointStatistics(String id) {
-        this.id = id;
-    }
+    private static final int HISTOGRAM_DIGITS = 3;
+    private static final double MILLISECOND_US = 1000.0;
 
-    private long[] second(long unixUs) {
-        return seconds.computeIfAbsent(unixUs / 1_000_000, s -> new long[3]);
+    private long sent;
+    private long abandoned;
+    private long fills;
+    private long failedFills;
+    private final Map<AttemptStatus, Long> countByStatus = new EnumMap<>(AttemptStatus.class);
+    private final Histogram responseTimeUs = new Histogram(HISTOGRAM_DIGITS);
+    /** Rows of {@link Observation}: as the endpoint asked and as the source of a fill. */
+    private final LongTable observations = new LongTable(3);
+    /** Rows of {@link OriginCall}: calls of the origin that its responses reported. */
+    private final LongTable reportedOriginCalls = new LongTable(3);
+    /** Rows of {@link OriginCall}: its own responses, for the case that it is the origin. */
+    private final LongTable responses = new LongTable(3);
+
+    private final Map<Long, AttemptCounts> countsBySecond = new TreeMap<>();
+
+    EndpointStatistics() {}
+
+    private AttemptCounts countsAt(long unixUs) {
+        return countsBySecond.computeIfAbsent(UnixTime.second(unixUs), second -> new AttemptCounts());
     }
 
-    void sent(long unixUs) {
+    void attemptSent(long unixUs) {
         sent++;
-        second(unixUs)[0]++;
+        countsAt(unixUs).addSent();
     }
 
-    void ended(Event.AttemptEnded e, long unixUs) {
-        long from = unixUs - e.latencyUs();
-        boolean given = e.status() == AttemptStatus.TIMEOUT || e.status() == AttemptStatus.CANCELLED;
-        if (given) {
-            withdrawn++;
-            if (e.latencyUs() > SHORT_US) {
-                seen.add(from, unixUs, UNANSWERED);
-            }
+    void attemptEnded(Event.AttemptEnded event, long unixUs) {
+        if (event.status() == AttemptStatus.TIMEOUT || event.status() == AttemptStatus.CANCELLED) {
+            attemptAbandoned(event, unixUs);
             return;
         }
-        ends.merge(e.status(), 1L, Long::sum);
-        answeredUs.recordValue(Math.max(0, e.latencyUs()));
-        second(unixUs)[e.status() == AttemptStatus.OK ? 1 : 2]++;
-        answers.add(from, unixUs, e.status() == AttemptStatus.OK ? 1 : 0);
-        boolean away = e.status() == AttemptStatus.CONNECT_FAILED || e.status() == AttemptStatus.RESET;
-        seen.add(from, unixUs, away ? UNANSWERED : e.status() == AttemptStatus.ERROR ? ERROR : ALIVE);
-        if (e.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN || e.cacheStatus() == CacheStatus.ORIGIN_FAILED) {
-            calls.add(unixUs - Math.max(0, e.sourceWaitUs()), unixUs, e.status() == AttemptStatus.OK ? 1 : 0);
+        boolean succeeded = event.status() == AttemptStatus.OK;
+        long sentUs = unixUs - event.latencyUs();
+        countByStatus.merge(event.status(), 1L, Long::sum);
+        responseTimeUs.recordValue(Math.max(0, event.latencyUs()));
+        countsAt(unixUs).addResponse(succeeded);
+        OriginCall.addTo(responses, sentUs, unixUs, succeeded);
+        Observation.addTo(observations, sentUs, unixUs, outcome(event.status()));
+        if (event.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN || event.cacheStatus() == CacheStatus.ORIGIN_FAILED) {
+            OriginCall.addTo(reportedOriginCalls, unixUs - Math.max(0, event.sourceWaitUs()), unixUs, succeeded);
         }
     }
 
-    /** It was the source of a fill, of which the answer tells something. */
-    void filled(Event.AttemptEnded e, long unixUs) {
-        fills += e.cacheStatus() == CacheStatus.FILLED || e.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN ? 1 : 0;
-        fillsFailed +=
-                e.cacheStatus() == CacheStatus.SOURCE_UNREACHABLE || e.cacheStatus() == CacheStatus.SOURCE_REJECTED
-                        ? 1
-                        : 0;
-        switch (e.cacheStatus()) {
+    private void attemptAbandoned(Event.AttemptEnded event, long unixUs) {
+        abandoned++;
+        if (event.latencyUs() > MIN_UNANSWERED_US) {
+            Observation.addTo(observations, unixUs - event.latencyUs(), unixUs, Outcome.UNANSWERED);
+        }
+    }
+
+    private static Outcome outcome(AttemptStatus status) {
+        return switch (status) {
+            case CONNECT_FAILED, RESET -> Outcome.UNANSWERED;
+            case ERROR -> Outcome.ERROR;
+            default -> Outcome.ANSWERED;
+        };
+    }
+
+    /** The endpoint was the source of a fill, and the response of the filled endpoint tells how that went. */
+    void fillEnded(Event.AttemptEnded event, long unixUs) {
+        switch (event.cacheStatus()) {
+            case FILLED, FILLED_FROM_ORIGIN -> fills++;
+            case SOURCE_UNREACHABLE, SOURCE_REJECTED -> failedFills++;
+            default -> {}
+        }
+        switch (event.cacheStatus()) {
             case FILLED, FILLED_FROM_ORIGIN, SOURCE_MISS, ORIGIN_FAILED, SOURCE_REJECTED ->
-                seen.add(unixUs - e.latencyUs(), unixUs, ALIVE);
-            case SOURCE_UNREACHABLE -> seen.add(unixUs - Math.max(e.sourceWaitUs(), 0), unixUs, UNANSWERED);
+                Observation.addTo(observations, unixUs - event.latencyUs(), unixUs, Outcome.ANSWERED);
+            case SOURCE_UNREACHABLE ->
+                Observation.addTo(observations, unixUs - Math.max(event.sourceWaitUs(), 0), unixUs, Outcome.UNANSWERED);
             default -> {}
         }
     }
 
+    /** All observations, by the time of asking. */
+    List<Observation> observations() {
+        return observations.sorted().stream().map(Observation::ofRow).toList();
+    }
+
+    /** Calls of the origin that this endpoint's responses reported, by start. */
+    List<OriginCall> reportedOriginCalls() {
+        return reportedOriginCalls.sorted().stream().map(OriginCall::ofRow).toList();
+    }
+
+    /** The endpoint's own responses as calls of the origin, by start. */
+    List<OriginCall> responsesAsOriginCalls() {
+        return responses.sorted().stream().map(OriginCall::ofRow).toList();
+    }
+
     /**
      * Attempts sent.
      *
@@ -96,7 +117,7 @@
     }
 
     /**
-     * Misses of other servers that were filled by way of it.
+     * Misses of other endpoints that were filled by way of this one.
      *
      * @return the count
      */
@@ -105,12 +126,12 @@
     }
 
     /**
-     * Fills by way of it that failed, since it refused or did not answer.
+     * Fills by way of this endpoint that failed, since it rejected them or did not answer.
      *
      * @return the count
      */
-    public long fillsFailed() {
-        return fillsFailed;
+    public long failedFills() {
+        return failedFills;
     }
 
     /**
@@ -120,53 +141,34 @@
      * @return the count
      */
     public long ended(AttemptStatus status) {
-        return ends.getOrDefault(status, 0L);
+        return countByStatus.getOrDefault(status, 0L);
     }
 
     /**
-     * Attempts that the front gave up.
+     * Attempts that the proxy timed out or cancelled.
      *
      * @return the count
      */
-    public long withdrawn() {
-        return withdrawn;
+    public long abandoned() {
+        return abandoned;
     }
 
     /**
-     * How long answers took.
+     * A percentile of the response time.
      *
      * @param percentile from 0 to 100
      * @return milliseconds, to three digits
      */
-    public double answeredMs(double percentile) {
-        return answeredUs.getValueAtPercentile(percentile) / 1000.0;
+    public double responseTimeMs(double percentile) {
+        return responseTimeUs.getValueAtPercentile(percentile) / MILLISECOND_US;
     }
 
     /**
-     * Sent, answered well and answered otherwise, by Unix second.
+     * Attempts by Unix second.
      *
-     * @return in order
+     * @return in order of time
      */
-    public Map<Long, long[]> seconds() {
-        return seconds;
-    }
-
-    Map<String, Object> tree() {
-        Map<String, Object> t = new LinkedHashMap<>();
-        t.put("sent", sent);
-        t.put("withdrawn", withdrawn);
-        for (AttemptStatus s : new AttemptStatus[] {
-            AttemptStatus.OK,
-            AttemptStatus.ERROR,
-            AttemptStatus.REJECTED,
-            AttemptStatus.MISS,
-            AttemptStatus.RESET,
-            AttemptStatus.CONNECT_FAILED
-        }) {
-            t.put(StoredNames.jsonKey(StoredNames.of(s)), ended(s));
-        }
-        t.put("p50Ms", answeredMs(50));
-        t.put("p99Ms", answeredMs(99));
-        return t;
+    public Map<Long, AttemptCounts> countsBySecond() {
+        return countsBySecond;
     }
 }
--- a/src/main/java/petrelplank/analysis/Incarnation.java
+++ b/src/main/java/petrelplank/analysis/Incarnation.java
@@ -1,177 +1,283 @@
 package petrelplank.analysis;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import petrelplank.record.Event;
-import petrelplank.routing.EndpointState;
+import petrelplank.record.StoredNames;
+import petrelplank.routing.AttemptStatus;
 
-/** One life of a front: what its entries say, each counted once. */
+/** One incarnation of a proxy, from its start to its end: what its entries say, each counted once. */
 public final class Incarnation {
-    private static final int FIELDS = 4;
-    private static final int PAGE = 4096;
+    /** Fields of a load report that are kept; those behind them are not. */
+    private static final int LOAD_FIELDS = 4;
+
+    private static final double MICRO = 1e6;
 
     /**
-     * Numbers that are missing, and between which times.
+     * Entry numbers that are missing, and between which times.
      *
      * @param first the first missing number
      * @param last the last missing number
      * @param fromS Unix second of the entry before
      * @param toS Unix second of the entry behind
      */
-    public record Gap(long first, long last, long fromS, long toS) {}
-
-    /** A state of a server, as told. */
-    record Told(long index, long atUs, EndpointState state) {}
-
-    final String front;
-    final long id;
-    Event.ProxyStarted started;
-    long startedUs;
-    boolean finished;
-    boolean draining;
-    long firstUs = Long.MAX_VALUE;
-    long lastUs = Long.MIN_VALUE;
-    /** The Unix second of each number, by pages; 0 where it has not come. A number that is spoilt takes one page. */
-    private final TreeMap<Integer, int[]> secondsOf = new TreeMap<>();
-
-    long lost;
+    public record Gap(long first, long last, long fromS, long toS) {
+        /**
+         * How many entries are missing.
+         *
+         * @return the count
+         */
+        public long size() {
+            return last - first + 1;
+        }
+    }
+
+    private final String proxy;
+    private final long id;
+    private Event.ProxyStarted started;
+    private long startedUs;
+    private boolean stopped;
+    private long firstUs = Long.MAX_VALUE;
+    private long lastUs = Long.MIN_VALUE;
+    private long lostEvents;
+    private final EntryNumbers numbers = new EntryNumbers();
     /** By second and class. */
-    final Map<Long, Map<String, RequestTotals>> sums = new TreeMap<>();
+    private final Map<Long, Map<String, RequestTotals>> totals = new TreeMap<>();
 
-    final Map<Long, long[]> openAt = new TreeMap<>();
+    private final Map<Long, Event.Heartbeat> heartbeats = new TreeMap<>();
     /** By second, the most that load reports said of each field, in millionths. */
-    final Map<Long, long[]> loads = new TreeMap<>();
-    /** Taken less answered or left, by request; what is even is not held. */
-    final Map<Long, Integer> owed = new HashMap<>();
-
-    final Map<String, List<Told>> told = new TreeMap<>();
-    final Map<Long, Event.Purged> purges = new TreeMap<>();
-    final Map<Long, Long> purgeToldUs = new TreeMap<>();
-    /** Times of sends to a server, or with it as the source. */
-    final Map<String, LongTable> sends = new TreeMap<>();
-    /** Copies served: object, group, sent, born (ms), ended, bytes. */
-    final LongTable copies = new LongTable(6);
-    /** Time, 1 for out and 0 for back, by server. */
-    final Map<String, LongTable> health = new TreeMap<>();
-
-    final Map<String, Event.ListedEndpoint> servers = new TreeMap<>();
-    private final Map<String, Long> serverIndex = new HashMap<>();
-    final Map<String, Long> turnedAway = new TreeMap<>();
-    final Map<String, Long> givenUp = new TreeMap<>();
-
-    Incarnation(String front, long id) {
-        this.front = front;
+    private final Map<Long, long[]> peakLoadMicro = new TreeMap<>();
+    /** By request, how often it was admitted less how often it was completed; balanced ones are not kept. */
+    private final Map<Long, Integer> responseBalance = new HashMap<>();
+
+    private final EndpointNotifications notifications = new EndpointNotifications();
+    private final Map<Long, Event.Purged> purges = new TreeMap<>();
+    private final Map<Long, Long> purgeNotifiedUs = new TreeMap<>();
+    /** Times of attempts at an endpoint, or with it as the source. */
+    private final Map<String, LongTable> sends = new TreeMap<>();
+    /** Rows of {@link ServedCopy}. */
+    private final LongTable copies = new LongTable(ServedCopy.COLUMNS);
+
+    private final Map<String, HealthChanges> health = new TreeMap<>();
+    private final Map<String, Long> rejectedBeforeRouting = new TreeMap<>();
+    private final Map<String, Long> terminationReasons = new TreeMap<>();
+
+    Incarnation(String proxy, long id) {
+        this.proxy = proxy;
         this.id = id;
     }
 
-    /** Whether a number comes for the first time. */
-    boolean first(long number, long unixUs) {
-        if (number < 0 || number > Integer.MAX_VALUE - 8) {
+    /** Notes an entry's number; false where it had come before. */
+    boolean markSeen(long number, long unixUs) {
+        if (!numbers.markSeen(number, unixUs)) {
             return false;
         }
-        int at = (int) number;
-        int[] page = secondsOf.computeIfAbsent(at / PAGE, p -> new int[PAGE]);
-        if (page[at % PAGE] != 0) {
-            return false;
-        }
-        page[at % PAGE] = (int) Math.max(1, unixUs / 1_000_000);
         firstUs = Math.min(firstUs, unixUs);
         lastUs = Math.max(lastUs, unixUs);
         return true;
     }
 
-    RequestTotals sums(long unixUs, String type) {
-        return sums.computeIfAbsent(unixUs / 1_000_000, s -> new HashMap<>())
-                .computeIfAbsent(type, c -> new RequestTotals());
+    private RequestTotals totalsAt(long unixUs, String type) {
+        return totals.computeIfAbsent(UnixTime.second(unixUs), second -> new HashMap<>())
+                .computeIfAbsent(type, name -> new RequestTotals());
+    }
+
+    private void changeBalance(long request, int change) {
+        int balance = responseBalance.merge(request, change, Integer::sum);
+        if (balance == 0) {
+            responseBalance.remove(request);
+        }
+    }
+
+    // ---- Events ----
+
+    void proxyStarted(long unixUs, Event.ProxyStarted event) {
+        started = event;
+        startedUs = unixUs;
+    }
+
+    void proxyStopped(long unixUs, Event.ProxyStopped event) {
+        stopped = true;
+    }
+
+    void eventsLost(long unixUs, Event.EventsLost event) {
+        lostEvents += event.events();
+    }
+
+    void heartbeat(long unixUs, Event.Heartbeat event) {
+        heartbeats.put(UnixTime.second(unixUs), event);
+    }
+
+    void requestAdmitted(long unixUs, Event.RequestAdmitted event) {
+        totalsAt(unixUs, event.type()).addRequest();
+        changeBalance(event.request(), 1);
+    }
+
+    void requestCompleted(long unixUs, Event.RequestCompleted event) {
+        totalsAt(unixUs, event.type()).addResponse(event);
+        changeBalance(event.request(), -1);
+        if (event.why() != null) {
+            terminationReasons.merge(StoredNames.of(event.why()), 1L, Long::sum);
+        }
+    }
+
+    void clientDisconnected(long unixUs, Event.ClientDisconnected event) {
+        changeBalance(event.request(), -1);
+    }
+
+    void requestRejected(long unixUs, Event.RequestRejected event) {
+        rejectedBeforeRouting.merge(StoredNames.of(event.kind()), 1L, Long::sum);
     }
 
-    void owes(long request, int change) {
-        int now = owed.merge(request, change, Integer::sum);
-        if (now == 0) {
-            owed.remove(request);
+    void attemptSent(long unixUs, Event.AttemptSent event) {
+        noteSend(event.server(), unixUs);
+        if (event.source() != null && !event.source().equals(event.server())) {
+            noteSend(event.source(), unixUs);
         }
     }
 
-    void load(long unixUs, List<Double> load) {
+    private void noteSend(String endpoint, long unixUs) {
+        sends.computeIfAbsent(endpoint, key -> new LongTable(1)).add(unixUs);
+    }
+
+    void attemptEnded(long unixUs, Event.AttemptEnded event) {
+        noteLoad(unixUs, event.load());
+        if (event.status() == AttemptStatus.OK && event.bornMs() > 0) {
+            long sentUs = unixUs - event.latencyUs();
+            new ServedCopy(event.object(), event.group(), sentUs, event.bornMs(), unixUs, event.bytes()).addTo(copies);
+        }
+    }
+
+    private void noteLoad(long unixUs, List<Double> load) {
         if (load.isEmpty()) {
             return;
         }
-        long[] most = loads.computeIfAbsent(unixUs / 1_000_000, s -> new long[FIELDS]);
-        for (int i = 0; i < Math.min(FIELDS, load.size()); i++) {
-            most[i] = Math.max(most[i], Math.round(load.get(i) * 1e6));
+        long[] peak = peakLoadMicro.computeIfAbsent(UnixTime.second(unixUs), second -> new long[LOAD_FIELDS]);
+        for (int field = 0; field < Math.min(LOAD_FIELDS, load.size()); field++) {
+            peak[field] = Math.max(peak[field], Math.round(load.get(field) * MICRO));
         }
     }
 
-    void listed(Event.EndpointsChanged l, long atUs) {
-        for (Event.ListedEndpoint s : l.servers()) {
-            told.computeIfAbsent(s.id(), i -> new ArrayList<>()).add(new Told(l.index(), atUs, s.state()));
-            if (serverIndex.getOrDefault(s.id(), -1L) < l.index()) {
-                serverIndex.put(s.id(), l.index());
-                servers.put(s.id(), s);
-            }
-        }
+    void endpointsChanged(long unixUs, Event.EndpointsChanged event) {
+        notifications.add(event, unixUs);
+    }
+
+    void purged(long unixUs, Event.Purged event) {
+        purges.put(event.index(), event);
+        purgeNotifiedUs.merge(event.index(), unixUs, Math::min);
+    }
+
+    void endpointEjected(long unixUs, Event.EndpointEjected event) {
+        health.computeIfAbsent(event.server(), key -> new HealthChanges()).ejected(unixUs);
     }
 
-    /** The states that a server was told to be in, in the order of their numbers. */
-    List<Told> told(String server) {
-        return told.getOrDefault(server, List.of()).stream()
-                .sorted(java.util.Comparator.comparingLong(Told::index))
-                .toList();
+    void endpointRecovered(long unixUs, Event.EndpointRecovered event) {
+        health.computeIfAbsent(event.server(), key -> new HealthChanges()).recovered(unixUs);
     }
 
-    /** When a server was first told to be draining or gone, the time; -1 where it never was. */
-    long drainToldUs(String server) {
-        return told(server).stream()
-                .filter(t -> t.state() != EndpointState.UP)
-                .mapToLong(Told::atUs)
-                .findFirst()
-                .orElse(-1);
+    // ---- What is known ----
+
+    long id() {
+        return id;
+    }
+
+    /** The start's event; null where it is missing. */
+    Event.ProxyStarted started() {
+        return started;
+    }
+
+    boolean stopped() {
+        return stopped;
+    }
+
+    Map<Long, Map<String, RequestTotals>> totals() {
+        return totals;
+    }
+
+    Map<Long, Event.Heartbeat> heartbeats() {
+        return heartbeats;
+    }
+
+    Map<Long, long[]> peakLoadMicro() {
+        return peakLoadMicro;
+    }
+
+    Map<Long, Integer> responseBalance() {
+        return responseBalance;
+    }
+
+    EndpointNotifications notifications() {
+        return notifications;
+    }
+
+    Map<Long, Event.Purged> purges() {
+        return purges;
+    }
+
+    Map<Long, Long> purgeNotifiedUs() {
+        return purgeNotifiedUs;
+    }
+
+    /** Times of attempts at an endpoint or by way of it. */
+    LongTable sends(String endpoint) {
+        return sends.getOrDefault(endpoint, new LongTable(1));
+    }
+
+    /** Visits the copies served, in no particular order. */
+    void forEachCopy(Consumer<ServedCopy> action) {
+        copies.forEachRow(row -> action.accept(ServedCopy.ofRow(row)));
+    }
+
+    /** When an endpoint was ejected and taken back. */
+    HealthChanges health(String endpoint) {
+        return health.getOrDefault(endpoint, new HealthChanges());
+    }
+
+    Map<String, Long> rejectedBeforeRouting() {
+        return rejectedBeforeRouting;
+    }
+
+    Map<String, Long> terminationReasons() {
+        return terminationReasons;
     }
 
     /**
-     * Whose life it is.
+     * Whose incarnation it is.
      *
-     * @return the front's name
+     * @return the proxy's name
      */
-    public String front() {
-        return front;
+    public String proxy() {
+        return proxy;
     }
 
     /**
-     * The branch that the front belongs to.
+     * The zone that the proxy belongs to.
      *
      * @return its name; "unknown" where the start is missing
      */
-    public String branch() {
+    public String zone() {
         return started == null ? "unknown" : started.zone();
     }
 
     /**
-     * Missing numbers.
+     * Missing entry numbers.
      *
      * @return in order; what may be missing behind the last entry is not known
      */
     public List<Gap> gaps() {
-        List<Gap> all = new ArrayList<>();
-        long next = 0;
-        int before = 0;
-        for (Map.Entry<Integer, int[]> page : secondsOf.entrySet()) {
-            for (int i = 0; i < PAGE; i++) {
-                int second = page.getValue()[i];
-                long number = (long) page.getKey() * PAGE + i;
-                if (second != 0) {
-                    if (number > next) {
-                        all.add(new Gap(next, number - 1, next == 0 ? second : before, second));
-                    }
-                    next = number + 1;
-                    before = second;
-                }
-            }
-        }
-        return all;
+        return numbers.gaps();
+    }
+
+    /**
+     * How many entries are missing.
+     *
+     * @return the sum over the gaps
+     */
+    public long missingEntries() {
+        return gaps().stream().mapToLong(Gap::size).sum();
     }
 
     /**
@@ -180,7 +286,16 @@
      * @return finished, or no last record: killed, cut off or still running
      */
     public String end() {
-        return finished ? "finished" : "no last record";
+        return stopped ? "finished" : "no last record";
+    }
+
+    /**
+     * When it started.
+     *
+     * @return Unix microseconds; null where the start is missing
+     */
+    public Long startedUs() {
+        return started == null ? null : startedUs;
     }
 
     /**
@@ -207,6 +322,6 @@
      * @return how many
      */
     public long lostEvents() {
-        return lost;
+        return lostEvents;
     }
 }
--- a/src/main/java/petrelplank/analysis/LongTable.java
+++ b/src/main/java/petrelplank/analysis/LongTable.java
@@ -4,16 +4,19 @@
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
+import java.util.function.Consumer;
 
-/** Rows of whole numbers, kept small, in no order until they are read. */
+/** Rows of integers in one array, so that millions of them take little memory; unordered until they are read. */
 final class LongTable {
+    private static final int INITIAL_ROWS = 16;
+
     private final int width;
     private long[] cells;
     private int rows;
 
     LongTable(int width) {
         this.width = width;
-        this.cells = new long[16 * width];
+        this.cells = new long[INITIAL_ROWS * width];
     }
 
     void add(long... row) {
@@ -32,13 +35,18 @@
         return cells[row * width + column];
     }
 
-    /** The rows in the order of their columns, from the first: the same whatever order they were added in. */
-    List<long[]> sorted() {
-        List<long[]> all = new ArrayList<>(rows);
-        for (int i = 0; i < rows; i++) {
-            all.add(Arrays.copyOfRange(cells, i * width, (i + 1) * width));
+    /** Visits a copy of each row, in the order in which the rows were added. */
+    void forEachRow(Consumer<long[]> action) {
+        for (int row = 0; row < rows; row++) {
+            action.accept(Arrays.copyOfRange(cells, row * width, (row + 1) * width));
         }
-        all.sort(Comparator.comparing((long[] r) -> r, Arrays::compare));
-        return all;
+    }
+
+    /** Copies of the rows, ordered by their columns from the first: the same whatever order they were added in. */
+    List<long[]> sorted() {
+        List<long[]> sorted = new ArrayList<>(rows);
+        forEachRow(sorted::add);
+        sorted.sort(Comparator.comparing((long[] row) -> row, Arrays::compare));
+        return sorted;
     }
 }
--- a/src/main/java/petrelplank/analysis/RecordAggregator.java
+++ b/src/main/java/petrelplank/analysis/RecordAggregator.java
@@ -1,105 +1,86 @@
 package petrelplank.analysis;
 
 import java.util.Collection;
+import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import petrelplank.record.Entry;
 import petrelplank.record.Event;
-import petrelplank.record.StoredNames;
-import petrelplank.routing.AttemptStatus;
 
 /**
- * Folds entries into the course of an incident. Whatever order they come in, and however often one comes, the state
- * is the same: each entry is counted once by its number, sums are of whole numbers, and what depends on what else was
- * told is worked out when it is read. One thread.
+ * Aggregates entries by incarnation and by endpoint. Whatever order they come in, and however often one is repeated,
+ * the state is the same: each entry is counted once by its number, sums are of integers, and what depends on other
+ * entries is worked out by {@link IncidentTimeline}. For one thread.
  */
 public final class RecordAggregator {
-    private final Map<String, Incarnation> lives = new TreeMap<>();
-    private final Map<String, EndpointStatistics> peers = new TreeMap<>();
+    /** Takes one type of event. */
+    private interface Handler<E extends Event> {
+        void handle(Incarnation incarnation, long unixUs, E event);
+    }
+
+    private final Map<Class<?>, Handler<Event>> handlers = new HashMap<>();
+    private final Map<String, Incarnation> incarnations = new TreeMap<>();
+    private final Map<String, EndpointStatistics> endpoints = new TreeMap<>();
     private long entries;
-    private long doubled;
+    private long duplicates;
 
     /** Nothing is known yet. */
-    public RecordAggregator() {}
+    public RecordAggregator() {
+        on(Event.ProxyStarted.class, Incarnation::proxyStarted);
+        on(Event.ProxyStopped.class, Incarnation::proxyStopped);
+        on(Event.EventsLost.class, Incarnation::eventsLost);
+        on(Event.Heartbeat.class, Incarnation::heartbeat);
+        on(Event.RequestAdmitted.class, Incarnation::requestAdmitted);
+        on(Event.RequestCompleted.class, Incarnation::requestCompleted);
+        on(Event.ClientDisconnected.class, Incarnation::clientDisconnected);
+        on(Event.RequestRejected.class, Incarnation::requestRejected);
+        on(Event.AttemptSent.class, this::attemptSent);
+        on(Event.AttemptEnded.class, this::attemptEnded);
+        on(Event.EndpointsChanged.class, Incarnation::endpointsChanged);
+        on(Event.Purged.class, Incarnation::purged);
+        on(Event.EndpointEjected.class, Incarnation::endpointEjected);
+        on(Event.EndpointRecovered.class, Incarnation::endpointRecovered);
+    }
+
+    private <E extends Event> void on(Class<E> type, Handler<E> handler) {
+        handlers.put(type, (incarnation, unixUs, event) -> handler.handle(incarnation, unixUs, type.cast(event)));
+    }
 
     /**
      * Takes an entry.
      *
-     * @param e the entry
+     * @param entry the entry
      */
-    public void add(Entry e) {
-        Incarnation life = lives.computeIfAbsent(
-                e.proxy() + " " + String.format("%016x", e.incarnation()),
-                k -> new Incarnation(e.proxy(), e.incarnation()));
-        if (!life.first(e.number(), e.unixUs())) {
-            doubled++;
+    public void add(Entry entry) {
+        Incarnation incarnation = incarnations.computeIfAbsent(
+                entry.proxy() + " " + String.format("%016x", entry.incarnation()),
+                key -> new Incarnation(entry.proxy(), entry.incarnation()));
+        if (!incarnation.markSeen(entry.number(), entry.unixUs())) {
+            duplicates++;
             return;
         }
         entries++;
-        take(life, e.unixUs(), e.event());
+        Handler<Event> handler = handlers.get(entry.event().getClass());
+        if (handler != null) {
+            handler.handle(incarnation, entry.unixUs(), entry.event());
+        }
     }
 
-    private EndpointStatistics peer(String id) {
-        return peers.computeIfAbsent(id, EndpointStatistics::new);
+    private EndpointStatistics endpoint(String id) {
+        return endpoints.computeIfAbsent(id, key -> new EndpointStatistics());
     }
 
-    private void take(Incarnation life, long us, Event event) {
-        if (event instanceof Event.AttemptSent s) {
-            peer(s.server()).sent(us);
-            life.sends.computeIfAbsent(s.server(), i -> new LongTable(1)).add(us);
-            if (s.source() != null && !s.source().equals(s.server())) {
-                life.sends.computeIfAbsent(s.source(), i -> new LongTable(1)).add(us);
-            }
-        } else if (event instanceof Event.AttemptEnded e) {
-            ended(life, us, e);
-        } else if (event instanceof Event.RequestAdmitted t) {
-            life.sums(us, t.type()).asked++;
-            life.owes(t.request(), 1);
-        } else if (event instanceof Event.RequestCompleted a) {
-            RequestTotals s = life.sums(us, a.type());
-            s.finals[a.kind().ordinal()]++;
-            s.inTime += a.inTime() ? 1 : 0;
-            s.earnedMicro += RequestTotals.micro(a.worth());
-            life.owes(a.request(), -1);
-            if (a.why() != null) {
-                life.givenUp.merge(StoredNames.of(a.why()), 1L, Long::sum);
-            }
-        } else if (event instanceof Event.ClientDisconnected l) {
-            life.owes(l.request(), -1);
-        } else if (event instanceof Event.RequestRejected t) {
-            life.turnedAway.merge(StoredNames.of(t.kind()), 1L, Long::sum);
-        } else if (event instanceof Event.ProxyStarted s) {
-            life.started = s;
-            life.startedUs = us;
-        } else if (event instanceof Event.EndpointsChanged l) {
-            life.listed(l, us);
-        } else if (event instanceof Event.Purged p) {
-            life.purges.put(p.index(), p);
-            life.purgeToldUs.merge(p.index(), us, Math::min);
-        } else if (event instanceof Event.EndpointEjected j) {
-            life.health.computeIfAbsent(j.server(), i -> new LongTable(2)).add(us, 1);
-        } else if (event instanceof Event.EndpointRecovered r) {
-            life.health.computeIfAbsent(r.server(), i -> new LongTable(2)).add(us, 0);
-        } else if (event instanceof Event.Heartbeat p) {
-            life.openAt.put(us / 1_000_000, new long[] {p.open(), p.queued(), p.heapBytes(), p.lateUs()});
-        } else if (event instanceof Event.DrainStarted) {
-            life.draining = true;
-        } else if (event instanceof Event.ProxyStopped) {
-            life.finished = true;
-        } else if (event instanceof Event.EventsLost l) {
-            life.lost += l.events();
-        }
+    private void attemptSent(Incarnation incarnation, long unixUs, Event.AttemptSent event) {
+        endpoint(event.server()).attemptSent(unixUs);
+        incarnation.attemptSent(unixUs, event);
     }
 
-    private void ended(Incarnation life, long us, Event.AttemptEnded e) {
-        peer(e.server()).ended(e, us);
-        if (e.source() != null && !e.source().equals(e.server())) {
-            peer(e.source()).filled(e, us);
-        }
-        life.load(us, e.load());
-        if (e.status() == AttemptStatus.OK && e.bornMs() > 0) {
-            life.copies.add(e.object(), e.group(), us - e.latencyUs(), e.bornMs(), us, e.bytes());
+    private void attemptEnded(Incarnation incarnation, long unixUs, Event.AttemptEnded event) {
+        endpoint(event.server()).attemptEnded(event, unixUs);
+        if (event.source() != null && !event.source().equals(event.server())) {
+            endpoint(event.source()).fillEnded(event, unixUs);
         }
+        incarnation.attemptEnded(unixUs, event);
     }
 
     /**
@@ -116,25 +97,25 @@
      *
      * @return how many
      */
-    public long doubled() {
-        return doubled;
+    public long duplicates() {
+        return duplicates;
     }
 
     /**
-     * The lives of fronts.
+     * The incarnations of proxies.
      *
-     * @return by front, then by life
+     * @return by proxy, then by incarnation
      */
-    public Collection<Incarnation> lives() {
-        return lives.values();
+    public Collection<Incarnation> incarnations() {
+        return incarnations.values();
     }
 
     /**
-     * What was seen of servers.
+     * What was seen of endpoints.
      *
      * @return by id
      */
-    public Map<String, EndpointStatistics> peers() {
-        return peers;
+    public Map<String, EndpointStatistics> endpoints() {
+        return endpoints;
     }
 }
--- a/src/main/java/petrelplank/analysis/RequestTotals.java
+++ b/src/main/java/petrelplank/analysis/RequestTotals.java
@@ -1,27 +1,42 @@
 package petrelplank.analysis;
 
-import java.util.LinkedHashMap;
-import java.util.Map;
 import petrelplank.record.Event;
 
-/** Sums of requests. Worth is kept in whole millionths, so that no order of adding changes it. */
+/** Sums over requests. Priority weights are kept in integer millionths, so that no order of adding changes a sum. */
 public final class RequestTotals {
     private static final double MICRO = 1e6;
 
-    long asked;
-    final long[] finals = new long[Event.ResponseKind.values().length];
-    long inTime;
-    long askedMicro;
-    long earnedMicro;
+    private long asked;
+    private final long[] responsesByKind = new long[Event.ResponseKind.values().length];
+    private long inTime;
+    private long askedMicro;
+    private long earnedMicro;
 
-    static long micro(double worth) {
-        return Math.round(worth * MICRO);
+    RequestTotals() {}
+
+    private static long micro(double weight) {
+        return Math.round(weight * MICRO);
+    }
+
+    void addRequest() {
+        asked++;
+    }
+
+    void addResponse(Event.RequestCompleted event) {
+        responsesByKind[event.kind().ordinal()]++;
+        inTime += event.inTime() ? 1 : 0;
+        earnedMicro += micro(event.worth());
+    }
+
+    /** Sets the priority weight of every request counted so far; the classes' weights are known only at the end. */
+    void weighRequests(double weightPerRequest) {
+        askedMicro = asked * micro(weightPerRequest);
     }
 
     void add(RequestTotals other) {
         asked += other.asked;
-        for (int i = 0; i < finals.length; i++) {
-            finals[i] += other.finals[i];
+        for (int kind = 0; kind < responsesByKind.length; kind++) {
+            responsesByKind[kind] += other.responsesByKind[kind];
         }
         inTime += other.inTime;
         askedMicro += other.askedMicro;
@@ -29,7 +44,7 @@
     }
 
     /**
-     * Requests taken.
+     * Requests admitted.
      *
      * @return the count
      */
@@ -44,11 +59,11 @@
      * @return the count
      */
     public long count(Event.ResponseKind kind) {
-        return finals[kind.ordinal()];
+        return responsesByKind[kind.ordinal()];
     }
 
     /**
-     * Answers within the aim.
+     * Responses within the latency objective.
      *
      * @return the count
      */
@@ -57,42 +72,39 @@
     }
 
     /**
-     * What the requests were worth.
+     * The priority weight of the requests.
      *
-     * @return worth
+     * @return the sum
      */
     public double worthAsked() {
         return askedMicro / MICRO;
     }
 
     /**
-     * What the answers earned.
+     * The priority weight that the responses earned.
      *
-     * @return worth
+     * @return the sum
      */
     public double worthEarned() {
         return earnedMicro / MICRO;
     }
 
+    /** The priority weight of the requests, in millionths. */
+    long askedMicro() {
+        return askedMicro;
+    }
+
+    /** The priority weight not earned, in millionths. */
+    long lostMicro() {
+        return askedMicro - earnedMicro;
+    }
+
     /**
-     * The part of the worth that was earned.
+     * The share of the priority weight that was earned.
      *
      * @return from 0 to 1; not a number where nothing was asked
      */
-    public double service() {
+    public double earnedShare() {
         return askedMicro == 0 ? Double.NaN : (double) earnedMicro / askedMicro;
     }
-
-    Map<String, Object> tree() {
-        Map<String, Object> t = new LinkedHashMap<>();
-        t.put("asked", asked);
-        t.put("served", count(Event.ResponseKind.SERVED));
-        t.put("still", count(Event.ResponseKind.NOT_MODIFIED));
-        t.put("refused", count(Event.ResponseKind.REJECTED));
-        t.put("failed", count(Event.ResponseKind.FAILED));
-        t.put("inTime", inTime);
-        t.put("worthAsked", worthAsked());
-        t.put("worthEarned", worthEarned());
-        return t;
-    }
 }
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -1,30 +1,31 @@
 package petrelplank.cli;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.SerializationFeature;
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.stream.Stream;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import petrelplank.analysis.Diagnosis;
 import petrelplank.analysis.Finding;
-import petrelplank.analysis.FleetSnapshot;
 import petrelplank.analysis.IncidentTimeline;
 import petrelplank.analysis.RecordAggregator;
 import petrelplank.record.RecordReader;
 import petrelplank.report.HtmlReport;
+import petrelplank.report.JsonReport;
 import petrelplank.report.TextSummary;
 
-/** {@code report}: the course of an incident from the records of fronts. */
+/** {@code report}: the figures and findings of an incident, from the records of proxies. */
 public final class ReportCommand extends BaseCommand implements Command {
     /** Exit status where some of the files could not be read, and the report was made of the rest. */
-    private static final int IN_PART = 3;
+    private static final int READ_IN_PART = 3;
+
+    private static final int SUCCESS = 0;
 
     @Argument(metaVar = "DIR", required = true, usage = "directories with records, or record files")
     private List<String> places = new ArrayList<>();
@@ -40,43 +41,47 @@
 
     @Override
     public int run() throws IOException {
-        RecordAggregator fold = new RecordAggregator();
-        RecordReader reader = new RecordReader();
         List<Path> paths = places.stream().map(Path::of).toList();
-        for (Path path : paths) {
-            if (!Files.exists(path)) {
-                return unusable(path + ": there is no such file or directory");
-            }
-        }
-        for (File file : new File[] {out, json}) {
-            String unwritable = file == null ? null : unwritable(file);
-            if (unwritable != null) {
-                return unusable(unwritable);
-            }
+        Optional<String> unusable = missingInput(paths).or(this::unwritableOutput);
+        if (unusable.isPresent()) {
+            return unusable(unusable.get());
         }
-        reader.read(paths, fold::add);
-        reader.troubles().forEach(t -> System.err.println("petrelplank: " + t));
-        if (fold.entries() == 0) {
+        RecordAggregator records = new RecordAggregator();
+        RecordReader reader = new RecordReader();
+        reader.read(paths, records::add);
+        List<String> unreadable = reader.troubles();
+        unreadable.forEach(line -> System.err.println("petrelplank: " + line));
+        if (records.entries() == 0) {
             return unusable("no records in " + String.join(", ", places)
                     + "; a front writes them where its operator's file turns them on, and emulate with --records DIR");
         }
-        IncidentTimeline course = new IncidentTimeline(fold);
-        List<Finding> findings = Diagnosis.of(course);
+        write(new IncidentTimeline(records), unreadable);
+        return unreadable.isEmpty() ? SUCCESS : READ_IN_PART;
+    }
+
+    private static Optional<String> missingInput(List<Path> paths) {
+        return paths.stream()
+                .filter(path -> !Files.exists(path))
+                .map(path -> path + ": there is no such file or directory")
+                .findFirst();
+    }
+
+    private Optional<String> unwritableOutput() {
+        return Stream.of(out, json)
+                .filter(Objects::nonNull)
+                .map(BaseCommand::unwritable)
+                .filter(Objects::nonNull)
+                .findFirst();
+    }
+
+    private void write(IncidentTimeline timeline, List<String> unreadable) throws IOException {
+        List<Finding> findings = Diagnosis.of(timeline);
         if (json != null) {
-            Map<String, Object> tree = course.tree();
-            tree.put("findings", findings.stream().map(Finding::tree).toList());
-            tree.put("troubles", reader.troubles());
-            long worst = FleetSnapshot.worstUs(course);
-            tree.put("worstUs", worst);
-            Map<String, Object> fleet = new LinkedHashMap<>();
-            FleetSnapshot.at(course, findings, worst).forEach((id, s) -> fleet.put(id, s.tree()));
-            tree.put("fleet", fleet);
-            new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(json, tree);
+            JsonReport.of(timeline, findings, unreadable).writeTo(json);
         }
         if (out != null) {
-            Files.writeString(out.toPath(), HtmlReport.of(course, findings, reader.troubles()));
+            Files.writeString(out.toPath(), HtmlReport.of(timeline, findings, unreadable));
         }
-        System.out.print(TextSummary.of(course, findings));
-        return reader.troubles().isEmpty() ? 0 : IN_PART;
+        System.out.print(TextSummary.of(timeline, findings));
     }
 }
--- a/src/test/java/petrelplank/analysis/StoredIncidentTest.java
+++ b/src/test/java/petrelplank/analysis/StoredIncidentTest.java
@@ -16,18 +16,18 @@
     @Test
     void figuresAndFindingsAreThoseOfTheVersionThatWroteThem() throws IOException {
         RecordReader reader = new RecordReader();
-        RecordAggregator fold = new RecordAggregator();
-        reader.read(List.of(STORED), fold::add);
-        IncidentTimeline course = new IncidentTimeline(fold);
+        RecordAggregator records = new RecordAggregator();
+        reader.read(List.of(STORED), records::add);
+        IncidentTimeline timeline = new IncidentTimeline(records);
         assertEquals(List.of(), reader.troubles());
-        assertEquals(466, course.entries());
-        assertEquals(106, course.total().asked());
-        assertEquals(106, course.total().count(Event.ResponseKind.SERVED));
-        assertEquals(103, course.total().inTime());
-        assertEquals(139.0, course.total().worthAsked());
-        assertEquals(136.6, course.total().worthEarned());
-        assertEquals(0, course.unanswered() + course.unknown() + course.surplus());
-        List<Finding> findings = Diagnosis.of(course);
+        assertEquals(466, timeline.entries());
+        assertEquals(106, timeline.total().asked());
+        assertEquals(106, timeline.total().count(Event.ResponseKind.SERVED));
+        assertEquals(103, timeline.total().inTime());
+        assertEquals(139.0, timeline.total().worthAsked());
+        assertEquals(136.6, timeline.total().worthEarned());
+        assertEquals(0, timeline.unanswered() + timeline.unknown() + timeline.duplicateResponses());
+        List<Finding> findings = Diagnosis.of(timeline);
         assertEquals(1, findings.size());
         assertEquals("silent-cache", findings.get(0).kind().label());
         assertEquals(List.of("box-1.branch1"), findings.get(0).servers());
--- a/src/test/java/petrelplank/analysis/TruthTest.java
+++ b/src/test/java/petrelplank/analysis/TruthTest.java
@@ -66,7 +66,7 @@
     }
 
     private static String name(Finding f) {
-        return (String) f.tree().get("kind");
+        return f.kind().label();
     }
 
     private static boolean names(String trouble, Finding f, List<?> servers) {
@@ -127,24 +127,27 @@
         Emulated e = Emulated.of(scenario, seed);
         IncidentTimeline course = Emulated.course(e.entries());
         List<String> wrong = new ArrayList<>();
-        same("", e.truth(), course.tree(), wrong);
+        same("", e.truth(), TimelineJson.of(course), wrong);
         if (!lives(e.truth().get("lives"), "finished")
-                .equals(lives(course.tree().get("lives"), "finished"))) {
-            wrong.add("lives: " + course.tree().get("lives"));
+                .equals(lives(TimelineJson.of(course).get("lives"), "finished"))) {
+            wrong.add("lives: " + TimelineJson.of(course).get("lives"));
         }
         if ((Long) e.truth().get("twice") != 0) {
             wrong.add("a stock-move ran twice");
         }
-        if (course.lateDrain() + course.latePurge() + course.surplus() + course.unknown() != 0) {
-            wrong.add("late " + course.lateDrain() + ", " + course.latePurge() + ", surplus " + course.surplus());
+        if (course.lateSends() + course.staleResponses() + course.duplicateResponses() + course.unknown() != 0) {
+            wrong.add("late " + course.lateSends() + ", " + course.staleResponses() + ", surplus "
+                    + course.duplicateResponses());
         }
         // Refused and failed, the router said why; the front's own limits turned nobody away in these.
-        long why = course.givenUp().values().stream().mapToLong(n -> n).sum();
+        long why =
+                course.terminationReasons().values().stream().mapToLong(n -> n).sum();
         if (why
                         != course.total().count(Event.ResponseKind.REJECTED)
                                 + course.total().count(Event.ResponseKind.FAILED)
-                || !course.turnedAway().isEmpty()) {
-            wrong.add("reasons for " + why + " requests: " + course.givenUp() + course.turnedAway());
+                || !course.rejectedBeforeRouting().isEmpty()) {
+            wrong.add("reasons for " + why + " requests: " + course.terminationReasons()
+                    + course.rejectedBeforeRouting());
         }
         wrong.addAll(findings(e, Diagnosis.of(course), matrix));
         return wrong.stream().map(w -> scenario + " seed " + seed + ": " + w).toList();
