--- a/src/main/java/petrelplank/analysis/CrowdedLinkDetector.java
+++ b/src/main/java/petrelplank/analysis/CrowdedLinkDetector.java
@@ -32,7 +32,7 @@
             if (field < 0) {
                 continue;
             }
-            incarnation.peakLoadMicro().forEach((second, peak) -> {
+            incarnation.attempts().peakLoadMicro().forEach((second, peak) -> {
                 if (field < peak.length) {
                     loadByZone
                             .computeIfAbsent(incarnation.zone(), zone -> new TreeMap<>())
--- a/src/main/java/petrelplank/analysis/FleetSnapshot.java
+++ b/src/main/java/petrelplank/analysis/FleetSnapshot.java
@@ -54,7 +54,7 @@
         Map<EndpointState, Integer> proxiesByState = new TreeMap<>();
         TreeSet<String> ejectedBy = new TreeSet<>();
         for (Incarnation incarnation : running) {
-            EndpointState state = incarnation.notifications().stateAt(endpoint.id(), unixUs);
+            EndpointState state = incarnation.endpointNotifications().stateAt(endpoint.id(), unixUs);
             if (state != null) {
                 proxiesByState.merge(state, 1, Integer::sum);
             }
--- a/src/main/java/petrelplank/analysis/FleetTopology.java
+++ b/src/main/java/petrelplank/analysis/FleetTopology.java
@@ -17,7 +17,7 @@
             if (incarnation.started() != null) {
                 addStart(incarnation.started());
             }
-            endpoints.putAll(incarnation.notifications().latest());
+            endpoints.putAll(incarnation.endpointNotifications().latest());
         }
     }
 
--- a/src/main/java/petrelplank/analysis/GraceViolations.java
+++ b/src/main/java/petrelplank/analysis/GraceViolations.java
@@ -22,7 +22,7 @@
         for (Incarnation incarnation : incarnations) {
             // The grace periods are told by the start.
             if (incarnation.started() != null) {
-                for (String endpoint : incarnation.notifications().ids()) {
+                for (String endpoint : incarnation.endpointNotifications().ids()) {
                     countLateSends(incarnation, endpoint);
                 }
                 countStaleResponses(incarnation);
@@ -32,8 +32,8 @@
 
     private void countLateSends(Incarnation incarnation, String endpoint) {
         long graceUs = incarnation.started().drainGraceUs();
-        List<StateChange> changes = incarnation.notifications().of(endpoint);
-        LongTable sends = incarnation.sends(endpoint);
+        List<StateChange> changes = incarnation.endpointNotifications().of(endpoint);
+        LongTable sends = incarnation.attempts().sends(endpoint);
         for (int row = 0; row < sends.size(); row++) {
             long sentUs = sends.get(row, 0);
             long drainingSinceUs = drainingSinceUs(changes, sentUs);
@@ -56,7 +56,7 @@
     private void countStaleResponses(Incarnation incarnation) {
         Map<Long, List<Event.Purged>> byObject = new HashMap<>();
         Map<Integer, List<Event.Purged>> byGroup = new HashMap<>();
-        for (Event.Purged purge : incarnation.purges().values()) {
+        for (Event.Purged purge : incarnation.purgeNotifications().purges().values()) {
             if (purge.object() != null) {
                 byObject.computeIfAbsent(purge.object(), object -> new ArrayList<>())
                         .add(purge);
@@ -65,7 +65,7 @@
                         .add(purge);
             }
         }
-        incarnation.forEachCopy(copy -> {
+        incarnation.attempts().forEachCopy(copy -> {
             if (isStale(incarnation, byObject.getOrDefault(copy.object(), List.of()), copy)
                     || isStale(incarnation, byGroup.getOrDefault(copy.group(), List.of()), copy)) {
                 staleResponses++;
@@ -77,7 +77,8 @@
         long graceUs = incarnation.started().purgeGraceUs();
         return purges.stream()
                 .anyMatch(purge -> copy.bornMs() < purge.unixMs()
-                        && copy.sentUs() > incarnation.purgeNotifiedUs().get(purge.index()) + graceUs);
+                        && copy.sentUs()
+                                > incarnation.purgeNotifications().notifiedUs().get(purge.index()) + graceUs);
     }
 
     long lateSends() {
--- a/src/main/java/petrelplank/analysis/HotObjectDetector.java
+++ b/src/main/java/petrelplank/analysis/HotObjectDetector.java
@@ -37,7 +37,7 @@
     }
 
     private static void forEachCopy(IncidentTimeline timeline, Consumer<ServedCopy> action) {
-        timeline.incarnations().forEach(incarnation -> incarnation.forEachCopy(action));
+        timeline.incarnations().forEach(incarnation -> incarnation.attempts().forEachCopy(action));
     }
 
     private static List<Finding> hotTimes(IncidentTimeline timeline, long object, Map<Long, Long> bytesBySecond) {
--- a/src/main/java/petrelplank/analysis/IncidentTimeline.java
+++ b/src/main/java/petrelplank/analysis/IncidentTimeline.java
@@ -155,18 +155,18 @@
 
     /** Requests that the router rejected or failed, by its reason. */
     public Map<String, Long> terminationReasons() {
-        return sumByName(Incarnation::terminationReasons);
+        return sumByName(RequestLog::terminationReasons);
     }
 
     /** Requests that proxies rejected before the router saw them, by their response. */
     public Map<String, Long> rejectedBeforeRouting() {
-        return sumByName(Incarnation::rejectedBeforeRouting);
+        return sumByName(RequestLog::rejectedBeforeRouting);
     }
 
-    private Map<String, Long> sumByName(Function<Incarnation, Map<String, Long>> counts) {
+    private Map<String, Long> sumByName(Function<RequestLog, Map<String, Long>> counts) {
         Map<String, Long> sums = new TreeMap<>();
         for (Incarnation incarnation : incarnations) {
-            counts.apply(incarnation).forEach((storedName, count) -> {
+            counts.apply(incarnation.requests()).forEach((storedName, count) -> {
                 String name = storedName.toLowerCase(Locale.ROOT).replace('_', '-');
                 sums.merge(name, count, Long::sum);
             });
@@ -196,8 +196,8 @@
     public Map<String, List<Long>> drainNotificationsUs() {
         Map<String, List<Long>> drains = new TreeMap<>();
         for (Incarnation incarnation : incarnations) {
-            for (String endpoint : incarnation.notifications().ids()) {
-                long notifiedUs = incarnation.notifications().firstDrainUs(endpoint);
+            for (String endpoint : incarnation.endpointNotifications().ids()) {
+                long notifiedUs = incarnation.endpointNotifications().firstDrainUs(endpoint);
                 if (notifiedUs >= 0) {
                     drains.computeIfAbsent(endpoint, id -> new ArrayList<>()).add(notifiedUs);
                 }
@@ -210,7 +210,8 @@
     public Map<Long, List<Long>> purgeNotificationsUs() {
         Map<Long, List<Long>> purges = new TreeMap<>();
         incarnations.forEach(incarnation -> incarnation
-                .purgeNotifiedUs()
+                .purgeNotifications()
+                .notifiedUs()
                 .forEach((index, notifiedUs) ->
                         purges.computeIfAbsent(index, key -> new ArrayList<>()).add(notifiedUs)));
         return purges;
--- a/src/main/java/petrelplank/analysis/PurgeDetector.java
+++ b/src/main/java/petrelplank/analysis/PurgeDetector.java
@@ -48,7 +48,9 @@
     /** Purges of whole groups, each once, by time. */
     private static List<Event.Purged> groupPurges(IncidentTimeline timeline) {
         Map<Long, Event.Purged> byIndex = new TreeMap<>();
-        timeline.incarnations().forEach(incarnation -> byIndex.putAll(incarnation.purges()));
+        timeline.incarnations()
+                .forEach(incarnation ->
+                        byIndex.putAll(incarnation.purgeNotifications().purges()));
         return byIndex.values().stream()
                 .filter(purge -> purge.object() == null)
                 .sorted(Comparator.comparingLong(Event.Purged::unixMs))
@@ -57,7 +59,8 @@
 
     private static Set<Integer> knownGroups(IncidentTimeline timeline, List<Event.Purged> purges) {
         Set<Integer> groups = new HashSet<>();
-        timeline.incarnations().forEach(incarnation -> incarnation.forEachCopy(copy -> groups.add(copy.group())));
+        timeline.incarnations()
+                .forEach(incarnation -> incarnation.attempts().forEachCopy(copy -> groups.add(copy.group())));
         purges.forEach(purge -> groups.add(purge.group()));
         return groups;
     }
--- a/src/main/java/petrelplank/analysis/RecordAggregator.java
+++ b/src/main/java/petrelplank/analysis/RecordAggregator.java
@@ -27,19 +27,32 @@
     /** Nothing is known yet. */
     public RecordAggregator() {
         on(Event.ProxyStarted.class, Incarnation::proxyStarted);
-        on(Event.ProxyStopped.class, Incarnation::proxyStopped);
-        on(Event.EventsLost.class, Incarnation::eventsLost);
+        on(Event.ProxyStopped.class, (incarnation, unixUs, event) -> incarnation.proxyStopped());
+        on(Event.EventsLost.class, (incarnation, unixUs, event) -> incarnation.eventsLost(event));
         on(Event.Heartbeat.class, Incarnation::heartbeat);
-        on(Event.RequestAdmitted.class, Incarnation::requestAdmitted);
-        on(Event.RequestCompleted.class, Incarnation::requestCompleted);
-        on(Event.ClientDisconnected.class, Incarnation::clientDisconnected);
-        on(Event.RequestRejected.class, Incarnation::requestRejected);
-        on(Event.AttemptSent.class, this::attemptSent);
-        on(Event.AttemptEnded.class, this::attemptEnded);
-        on(Event.EndpointsChanged.class, Incarnation::endpointsChanged);
-        on(Event.Purged.class, Incarnation::purged);
         on(Event.EndpointEjected.class, Incarnation::endpointEjected);
         on(Event.EndpointRecovered.class, Incarnation::endpointRecovered);
+        on(
+                Event.EndpointsChanged.class,
+                (incarnation, unixUs, event) ->
+                        incarnation.endpointNotifications().add(event, unixUs));
+        on(
+                Event.Purged.class,
+                (incarnation, unixUs, event) -> incarnation.purgeNotifications().add(event, unixUs));
+        on(
+                Event.RequestAdmitted.class,
+                (incarnation, unixUs, event) -> incarnation.requests().admitted(unixUs, event));
+        on(
+                Event.RequestCompleted.class,
+                (incarnation, unixUs, event) -> incarnation.requests().completed(unixUs, event));
+        on(
+                Event.ClientDisconnected.class,
+                (incarnation, unixUs, event) -> incarnation.requests().clientDisconnected(event));
+        on(
+                Event.RequestRejected.class,
+                (incarnation, unixUs, event) -> incarnation.requests().rejected(event));
+        on(Event.AttemptSent.class, this::attemptSent);
+        on(Event.AttemptEnded.class, this::attemptEnded);
     }
 
     private <E extends Event> void on(Class<E> type, Handler<E> handler) {
@@ -72,7 +85,7 @@
 
     private void attemptSent(Incarnation incarnation, long unixUs, Event.AttemptSent event) {
         endpoint(event.server()).attemptSent(unixUs);
-        incarnation.attemptSent(unixUs, event);
+        incarnation.attempts().sent(unixUs, event);
     }
 
     private void attemptEnded(Incarnation incarnation, long unixUs, Event.AttemptEnded event) {
@@ -80,7 +93,7 @@
         if (event.source() != null && !event.source().equals(event.server())) {
             endpoint(event.source()).fillEnded(event, unixUs);
         }
-        incarnation.attemptEnded(unixUs, event);
+        incarnation.attempts().ended(unixUs, event);
     }
 
     /**
--- a/src/main/java/petrelplank/analysis/RequestFigures.java
+++ b/src/main/java/petrelplank/analysis/RequestFigures.java
@@ -17,6 +17,7 @@
             Map<Long, RequestTotals> zoneSeconds =
                     byZoneAndSecond.computeIfAbsent(incarnation.zone(), zone -> new TreeMap<>());
             incarnation
+                    .requests()
                     .totals()
                     .forEach((second, totalsByClass) -> totalsByClass.forEach((type, totals) -> {
                         totals.weighRequests(topology.weight(type));
--- a/src/main/java/petrelplank/analysis/ResponseAccounting.java
+++ b/src/main/java/petrelplank/analysis/ResponseAccounting.java
@@ -14,7 +14,7 @@
     ResponseAccounting(List<Incarnation> incarnations) {
         for (Incarnation incarnation : incarnations) {
             boolean complete = incarnation.gaps().isEmpty();
-            for (int balance : incarnation.responseBalance().values()) {
+            for (int balance : incarnation.requests().responseBalance().values()) {
                 add(balance, complete);
             }
         }
--- a/src/test/java/petrelplank/cli/ReportTest.java
+++ b/src/test/java/petrelplank/cli/ReportTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void emulatedIncidentBecomesAPageThatNamesIt() throws IOException, CmdLineException {
+    void reportNamesTheEmulatedIncident() throws IOException, CmdLineException {
         Path records = folder.resolve("records");
         Path truth = folder.resolve("truth.json");
         assertEquals(0, run("emulate", "--records", records, "--truth", truth));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whatCannotBeUsedIsRefusedWithItsStatus() throws IOException, CmdLineException {
+    void unusableArgumentsAreReportedWithTheirStatus() throws IOException, CmdLineException {
         assertEquals(2, run("emulate", "no-such-scenario"));
         Path bad = folder.resolve("bad.yaml");
         Files.writeString(bad, "name: x\ntroubles:\n  - kind: silent\n    servers: [box-9.branch9]\n");
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void whatIsNoRecordFileIsPassedOverWithItsStatus() throws IOException, CmdLineException {
+    void filesThatAreNoRecordsAreSkippedWithTheirStatus() throws IOException, CmdLineException {
         Path records = folder.resolve("records");
         assertEquals(0, run("emulate", "calm", "--records", records));
         Files.writeString(records.resolve("notes.txt"), "not one of ours");
