--- a/src/main/java/petrelplank/analysis/AttemptLog.java
+++ b/src/main/java/petrelplank/analysis/AttemptLog.java
@@ -57,7 +57,9 @@
 
     /** Visits the copies served, in no particular order. */
     void forEachCopy(Consumer<ServedCopy> action) {
-        copies.forEachRow(row -> action.accept(ServedCopy.ofRow(row)));
+        for (int row = 0; row < copies.size(); row++) {
+            action.accept(ServedCopy.ofRow(copies, row));
+        }
     }
 
     /** By second, the most that load reports said of each field, in millionths. */
--- a/src/main/java/petrelplank/analysis/LongTable.java
+++ b/src/main/java/petrelplank/analysis/LongTable.java
@@ -4,7 +4,6 @@
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
-import java.util.function.Consumer;
 
 /** Rows of integers in one array, so that millions of them take little memory; unordered until they are read. */
 final class LongTable {
@@ -35,17 +34,12 @@
         return cells[row * width + column];
     }
 
-    /** Visits a copy of each row, in the order in which the rows were added. */
-    void forEachRow(Consumer<long[]> action) {
-        for (int row = 0; row < rows; row++) {
-            action.accept(Arrays.copyOfRange(cells, row * width, (row + 1) * width));
-        }
-    }
-
     /** Copies of the rows, ordered by their columns from the first: the same whatever order they were added in. */
     List<long[]> sorted() {
         List<long[]> sorted = new ArrayList<>(rows);
-        forEachRow(sorted::add);
+        for (int row = 0; row < rows; row++) {
+            sorted.add(Arrays.copyOfRange(cells, row * width, (row + 1) * width));
+        }
         sorted.sort(Comparator.comparing((long[] row) -> row, Arrays::compare));
         return sorted;
     }
--- a/src/main/java/petrelplank/analysis/ServedCopy.java
+++ b/src/main/java/petrelplank/analysis/ServedCopy.java
@@ -14,8 +14,14 @@
     static final int COLUMNS = 6;
 
     /** Reads a row as written by {@link #addTo}. */
-    static ServedCopy ofRow(long[] row) {
-        return new ServedCopy(row[0], (int) row[1], row[2], row[3], row[4], row[5]);
+    static ServedCopy ofRow(LongTable table, int row) {
+        return new ServedCopy(
+                table.get(row, 0),
+                (int) table.get(row, 1),
+                table.get(row, 2),
+                table.get(row, 3),
+                table.get(row, 4),
+                table.get(row, 5));
     }
 
     void addTo(LongTable table) {
