--- a/src/main/java/petrelplank/report/CourseSection.java
+++ b/src/main/java/petrelplank/report/CourseSection.java
@@ -26,12 +26,12 @@
         html.beginSection("course", "Course");
         EventTimeline.of(data).write(html, data.lengthS());
         html.figure(
-                "Worth asked and earned, a second",
+                "Worth asked and earned, per second",
                 data.draw(data.worthChart("Worth asked and earned in each second", timeline.requestsBySecond())));
-        html.figure("Final answers that were not served, a second", data.draw(unservedChart()));
-        html.figure("Calls of the central stock that answers told of, a second", data.draw(originCallsChart()));
+        html.figure("Rejected and failed requests, per second", data.draw(unservedChart()));
+        html.figure("Origin calls that responses reported, per second", data.draw(originCallsChart()));
         html.figure(
-                "Requests open at all fronts, and how late their event threads were at most",
+                "Open requests at all proxies, and the greatest delay of their event threads",
                 data.draw(openRequestsChart()));
         writeReasons(html);
         html.endSection();
@@ -39,10 +39,10 @@
 
     private StepChart unservedChart() {
         return new StepChart(
-                "Refused and failed in each second",
+                "Rejected and failed in each second",
                 "requests",
                 List.of(
-                        new StepChart.Line("refused", responses(ResponseKind.REJECTED)),
+                        new StepChart.Line("rejected", responses(ResponseKind.REJECTED)),
                         new StepChart.Line("failed", responses(ResponseKind.FAILED))));
     }
 
@@ -55,7 +55,7 @@
 
     private StepChart originCallsChart() {
         return new StepChart(
-                "Calls of the central stock",
+                "Origin calls",
                 "calls",
                 List.of(
                         new StepChart.Line("calls", originCalls(OriginCallCounts::calls)),
@@ -70,7 +70,7 @@
 
     private StepChart openRequestsChart() {
         return new StepChart(
-                "Open requests and lateness",
+                "Open requests and event thread delay",
                 "requests; ms",
                 List.of(
                         new StepChart.Line("open", inUnit(timeline.openRequestsBySecond(), 1)),
--- a/src/main/java/petrelplank/report/EndpointsSection.java
+++ b/src/main/java/petrelplank/report/EndpointsSection.java
@@ -9,11 +9,11 @@
 record EndpointsSection(ReportData data) implements PageSection {
     @Override
     public void write(HtmlWriter html) {
-        html.beginSection("servers", "Servers");
+        html.beginSection("servers", "Endpoints");
         data.timeline()
                 .endpoints()
                 .forEach((id, statistics) -> html.foldedFigure(
-                        id, "Attempts a second at " + id, data.draw(chart(id, statistics.countsBySecond()))));
+                        id, "Attempts per second at " + id, data.draw(chart(id, statistics.countsBySecond()))));
         html.endSection();
     }
 
--- a/src/main/java/petrelplank/report/EventTimeline.java
+++ b/src/main/java/petrelplank/report/EventTimeline.java
@@ -36,7 +36,7 @@
     }
 
     void write(HtmlWriter html, long lengthS) {
-        String title = "Findings, drains, purges and lives of fronts";
+        String title = "Findings, drains, purges and proxy incarnations";
         html.figure(title, new TimelineChart(title + " over time", rows, bars).toSvg(lengthS));
         if (isFull()) {
             html.element("p", "Only the first " + MAX_ROWS + " rows are drawn.");
@@ -83,7 +83,7 @@
         if (purges.isEmpty()) {
             return;
         }
-        int row = addRow("Purges told");
+        int row = addRow("Purge notifications");
         purges.values()
                 .forEach(timesUs -> addBar(
                         row, data.sinceStartS(earliest(timesUs)), data.sinceStartS(latest(timesUs)), PURGE_COLOUR));
--- a/src/main/java/petrelplank/report/FleetSection.java
+++ b/src/main/java/petrelplank/report/FleetSection.java
@@ -12,20 +12,20 @@
 /** The fleet: endpoints as last listed, and in the second that lost most priority weight. */
 record FleetSection(ReportData data) implements PageSection {
     private static final String[] ENDPOINT_COLUMNS = {
-        "Server",
-        "Where",
+        "Endpoint",
+        "Zone",
         "Kind",
         "Listed",
         "Sent",
         "Served",
         "Errors",
-        "Full",
-        "Lacked",
+        "Rejected",
+        "Misses",
         "No answer",
         "Median ms",
         "99th ms",
-        "Fills by way of it",
-        "Fills failed",
+        "Fills as source",
+        "Failed fills",
         "Findings"
     };
 
@@ -38,7 +38,7 @@
     }
 
     private void writeEndpoints(HtmlWriter html) {
-        html.beginTable("Servers as last listed, and how they answered", ENDPOINT_COLUMNS);
+        html.beginTable("Endpoints as last listed, and how they responded", ENDPOINT_COLUMNS);
         data.timeline().listedEndpoints().forEach((id, endpoint) -> {
             EndpointStatistics statistics = data.timeline().endpoints().get(id);
             if (statistics == null) {
@@ -106,13 +106,14 @@
         long worstUs = FleetSnapshot.worstUs(data.timeline());
         Map<String, FleetSnapshot.EndpointStatus> fleet = FleetSnapshot.at(data.timeline(), data.findings(), worstUs);
         html.beginTable(
-                "At " + UnixTime.timeOfDay(worstUs) + ", in the second that lost most worth: fronts that had been told"
-                        + " each state, and that left it out",
-                "Server",
+                "At " + UnixTime.timeOfDay(worstUs)
+                        + ", in the second that lost most worth: proxies that had been notified of"
+                        + " each state, and that had ejected it",
+                "Endpoint",
                 "Up",
                 "Draining",
                 "Gone",
-                "Left out by",
+                "Ejected by",
                 "Findings then");
         fleet.values().forEach(status -> writeStatus(html, status));
         html.endTable();
--- a/src/main/java/petrelplank/report/HtmlReport.java
+++ b/src/main/java/petrelplank/report/HtmlReport.java
@@ -62,8 +62,8 @@
                                 + timeline.incarnations().size() + " lives of fronts.")
                 .markup("</header><nav aria-label=\"Sections\"><a href=\"#findings\">Findings</a>"
                         + " <a href=\"#course\">Course</a> <a href=\"#fleet\">Fleet</a>"
-                        + " <a href=\"#branches\">Branches</a> <a href=\"#fronts\">Fronts</a>"
-                        + " <a href=\"#servers\">Servers</a></nav><main>");
+                        + " <a href=\"#branches\">Zones</a> <a href=\"#fronts\">Proxies</a>"
+                        + " <a href=\"#servers\">Endpoints</a></nav><main>");
     }
 
     private static String styleSheet() {
--- a/src/main/java/petrelplank/report/KeyFiguresSection.java
+++ b/src/main/java/petrelplank/report/KeyFiguresSection.java
@@ -15,11 +15,11 @@
         card(html, "Worth earned", Labels.percent(total.earnedShare()));
         card(html, "Requests", grouped(total.asked()));
         card(html, "In time", grouped(total.inTime()));
-        card(html, "Refused", grouped(total.count(ResponseKind.REJECTED)));
+        card(html, "Rejected", grouped(total.count(ResponseKind.REJECTED)));
         card(html, "Failed", grouped(total.count(ResponseKind.FAILED)));
-        card(html, "No final answer", timeline.unanswered() + unknown);
-        card(html, "Sends after a drain", Long.toString(timeline.lateSends()));
-        card(html, "From before a purge", Long.toString(timeline.staleResponses()));
+        card(html, "Unanswered", timeline.unanswered() + unknown);
+        card(html, "Late sends after a drain", Long.toString(timeline.lateSends()));
+        card(html, "Stale after a purge", Long.toString(timeline.staleResponses()));
         html.markup("</dl>");
     }
 
--- a/src/main/java/petrelplank/report/ProxiesSection.java
+++ b/src/main/java/petrelplank/report/ProxiesSection.java
@@ -8,11 +8,11 @@
 record ProxiesSection(IncidentTimeline timeline) implements PageSection {
     @Override
     public void write(HtmlWriter html) {
-        html.beginSection("fronts", "Fronts")
+        html.beginSection("fronts", "Proxies")
                 .beginTable(
-                        "Lives of fronts",
-                        "Front",
-                        "Branch",
+                        "Incarnations of proxies",
+                        "Proxy",
+                        "Zone",
                         "From",
                         "To",
                         "Ended",
--- a/src/main/java/petrelplank/report/ZonesSection.java
+++ b/src/main/java/petrelplank/report/ZonesSection.java
@@ -8,9 +8,9 @@
 record ZonesSection(ReportData data) implements PageSection {
     @Override
     public void write(HtmlWriter html) {
-        html.beginSection("branches", "Branches and classes");
+        html.beginSection("branches", "Zones and classes");
         writeTotals(html, "By class", "Class", data.timeline().requestsByClass());
-        writeTotals(html, "By branch", "Branch", data.timeline().requestsByZone());
+        writeTotals(html, "By zone", "Zone", data.timeline().requestsByZone());
         data.timeline()
                 .requestsByZoneAndSecond()
                 .forEach((zone, requestsBySecond) -> html.foldedFigure(
@@ -27,7 +27,7 @@
                 nameColumn,
                 "Asked",
                 "Served",
-                "Refused",
+                "Rejected",
                 "Failed",
                 "In time",
                 "Worth asked",
