--- a/src/main/java/petrelplank/analysis/GraceViolations.java
+++ b/src/main/java/petrelplank/analysis/GraceViolations.java
@@ -20,7 +20,7 @@
 
     GraceViolations(List<Incarnation> incarnations) {
         for (Incarnation incarnation : incarnations) {
-            // The grace periods are told by the start.
+            // The grace periods stand in the event of the start.
             if (incarnation.started() != null) {
                 for (String endpoint : incarnation.endpointNotifications().ids()) {
                     countLateSends(incarnation, endpoint);
--- a/src/main/java/petrelplank/report/FindingsSection.java
+++ b/src/main/java/petrelplank/report/FindingsSection.java
@@ -9,7 +9,7 @@
 /** The findings with their evidence. */
 record FindingsSection(List<Finding> findings) implements PageSection {
     private static final double SECOND_US = UnixTime.SECOND_US;
-    /** An end that is known so well is told without its slack. */
+    /** An end that is known to less than this is shown without its slack. */
     private static final long MIN_SLACK_US = 100_000;
 
     @Override
--- a/src/main/java/petrelplank/report/HtmlReport.java
+++ b/src/main/java/petrelplank/report/HtmlReport.java
@@ -29,7 +29,7 @@
                 new KeyFiguresSection(timeline),
                 new MissingRecordsSection(data),
                 new FindingsSection(findings),
-                new CourseSection(data),
+                new OverviewSection(data),
                 new FleetSection(data),
                 new ZonesSection(data),
                 new ProxiesSection(timeline),
--- a/src/main/java/petrelplank/report/CourseSection.java
+++ b/src/main/java/petrelplank/report/OverviewSection.java
@@ -9,14 +9,14 @@
 import petrelplank.analysis.RequestTotals;
 import petrelplank.record.Event.ResponseKind;
 
-/** The course of the incident: what happened when, and the figures of the whole fleet by second. */
-final class CourseSection implements PageSection {
+/** What happened when, and the figures of the whole fleet by second. */
+final class OverviewSection implements PageSection {
     private static final double MILLISECOND_US = 1000;
 
     private final ReportData data;
     private final IncidentTimeline timeline;
 
-    CourseSection(ReportData data) {
+    OverviewSection(ReportData data) {
         this.data = data;
         this.timeline = data.timeline();
     }
--- a/src/test/java/petrelplank/cli/ReportTest.java
+++ b/src/test/java/petrelplank/cli/ReportTest.java
@@ -39,9 +39,9 @@
         Path page = folder.resolve("report.html");
         Path json = folder.resolve("report.json");
         assertEquals(0, run("report", records, "--out", page, "--json", json));
-        JsonNode told = new ObjectMapper().readTree(json.toFile());
-        assertEquals("silent-hub", told.at("/findings/0/kind").asText());
-        assertEquals(new ObjectMapper().readTree(truth.toFile()).at("/total/asked"), told.at("/total/asked"));
+        JsonNode report = new ObjectMapper().readTree(json.toFile());
+        assertEquals("silent-hub", report.at("/findings/0/kind").asText());
+        assertEquals(new ObjectMapper().readTree(truth.toFile()).at("/total/asked"), report.at("/total/asked"));
         String html = Files.readString(page);
         assertTrue(html.contains("Silent hub: <a href=\"#hub-box-1_hub2\">hub-box-1.hub2</a>"));
         // It opens with no network: nothing is fetched, and nothing runs.
@@ -107,9 +107,9 @@
         Files.writeString(records.resolve("notes.txt"), "not one of ours");
         File json = folder.resolve("report.json").toFile();
         assertEquals(3, run("report", records, "--json", json));
-        JsonNode told = new ObjectMapper().readTree(json);
-        assertTrue(told.at("/troubles/0").asText().contains("notes.txt: no record file"));
-        assertEquals(0, told.at("/findings").size());
+        JsonNode report = new ObjectMapper().readTree(json);
+        assertTrue(report.at("/troubles/0").asText().contains("notes.txt: no record file"));
+        assertEquals(0, report.at("/findings").size());
         assertEquals(0, run("scenarios"));
     }
 }
