--- a/src/test/java/petrelplank/FileLengthTest.java
+++ b/src/test/java/petrelplank/FileLengthTest.java
@@ -14,16 +14,7 @@
 class FileLengthTest {
     private static final int MOST = 250;
     private static final Map<String, Integer> LONGER = Map.ofEntries(
-            Map.entry("main/java/petrelplank/analysis/Diagnosis.java", 567),
-            Map.entry("main/java/petrelplank/analysis/IncidentTimeline.java", 377),
-            Map.entry("main/java/petrelplank/emulator/CacheNode.java", 282),
-            Map.entry("main/java/petrelplank/emulator/GroundTruth.java", 286),
-            Map.entry("main/java/petrelplank/emulator/Simulation.java", 532),
-            Map.entry("main/java/petrelplank/record/Event.java", 308),
-            Map.entry("main/java/petrelplank/record/RecordCodec.java", 315),
-            Map.entry("main/java/petrelplank/report/Page.java", 518),
-            Map.entry("main/java/petrelplank/routing/RequestRouter.java", 1030),
-            Map.entry("test/java/petrelplank/record/RecordTest.java", 300));
+);
 
     /** A file that is split has its bound lowered, or its line here taken out: it can't grow back. */
     @Test
--- a/src/test/java/petrelplank/analysis/StoredIncidentTest.java
+++ b/src/test/java/petrelplank/analysis/StoredIncidentTest.java
@@ -26,7 +26,7 @@
         assertEquals(103, course.total().inTime());
         assertEquals(139.0, course.total().worthAsked());
         assertEquals(136.6, course.total().worthEarned());
-        assertEquals(0, course.unanswered() + course.unknown() + course.surplus());
+        assertEquals(0, course.unanswered() + course.unknown() + course.duplicateResponses());
         List<Finding> findings = Diagnosis.of(course);
         assertEquals(1, findings.size());
         assertEquals("silent-cache", findings.get(0).kind().label());
--- a/src/test/java/petrelplank/analysis/TruthTest.java
+++ b/src/test/java/petrelplank/analysis/TruthTest.java
@@ -38,7 +38,7 @@
 
     private static List<String> differingFigures(GroundTruth truth, IncidentTimeline timeline) {
         JsonNode expected = JSON.valueToTree(truth);
-        JsonNode actual = JSON.valueToTree(timeline.tree());
+        JsonNode actual = JSON.valueToTree(TimelineJson.of(timeline));
         List<String> mistakes = FigureComparison.differences(expected, actual);
         if (!incarnations(expected).equals(incarnations(actual))) {
             mistakes.add("lives: " + actual.get("lives"));
@@ -51,17 +51,20 @@
         if (truth.repeatedWrites() != 0) {
             mistakes.add("a stock-move ran twice");
         }
-        if (timeline.lateDrain() + timeline.latePurge() + timeline.surplus() + timeline.unknown() != 0) {
-            mistakes.add("late " + timeline.lateDrain() + ", " + timeline.latePurge() + ", surplus "
-                    + timeline.surplus() + ", unknown " + timeline.unknown());
+        if (timeline.lateSends() + timeline.staleResponses() + timeline.duplicateResponses() + timeline.unknown()
+                != 0) {
+            mistakes.add("late " + timeline.lateSends() + ", " + timeline.staleResponses() + ", surplus "
+                    + timeline.duplicateResponses() + ", unknown " + timeline.unknown());
         }
         // The router gave a reason for each request that was rejected or failed; the proxy's own limits rejected none.
-        long reasons =
-                timeline.givenUp().values().stream().mapToLong(Long::longValue).sum();
+        long reasons = timeline.terminationReasons().values().stream()
+                .mapToLong(Long::longValue)
+                .sum();
         long unsuccessful =
                 timeline.total().count(ResponseKind.REJECTED) + timeline.total().count(ResponseKind.FAILED);
-        if (reasons != unsuccessful || !timeline.turnedAway().isEmpty()) {
-            mistakes.add("reasons for " + reasons + " requests: " + timeline.givenUp() + timeline.turnedAway());
+        if (reasons != unsuccessful || !timeline.rejectedBeforeRouting().isEmpty()) {
+            mistakes.add("reasons for " + reasons + " requests: " + timeline.terminationReasons()
+                    + timeline.rejectedBeforeRouting());
         }
         return mistakes;
     }
