--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -55,7 +55,7 @@
     }
 
     private void resumeOnceDiscoveryHeard(long latestUs) {
-        if (discovery.heard() || loop.now() >= latestUs) {
+        if (discovery.hasReceivedEvents() || loop.now() >= latestUs) {
             proxy.resume();
         } else {
             loop.at(loop.now() + POLL_INTERVAL_US, () -> resumeOnceDiscoveryHeard(latestUs));
--- a/src/main/java/petrelplank/cli/Warmup.java
+++ b/src/main/java/petrelplank/cli/Warmup.java
@@ -46,7 +46,7 @@
     private void run(Runnable onFinished) {
         try {
             RouterWarmup.run(settings, endpoints, ROUTED_REQUESTS);
-            ListenerWarmup.ask(acceptor.getLocalAddress(), LISTENER_ROUNDS);
+            ListenerWarmup.run(acceptor.getLocalAddress(), LISTENER_ROUNDS);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "warm-up failed, ready without it", e);
         }
--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -108,7 +108,7 @@
      *
      * @return true from the first line on
      */
-    public boolean heard() {
+    public boolean hasReceivedEvents() {
         return syncState != SyncState.NOTHING_RECEIVED;
     }
 
--- a/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
@@ -60,15 +60,15 @@
      * @param rounds how many times 16 requests are sent at once
      * @throws IOException where the connection breaks
      */
-    public static void ask(InetSocketAddress proxy, int rounds) throws IOException {
+    public static void run(InetSocketAddress proxy, int rounds) throws IOException {
         long deadlineNs = System.nanoTime() + TIMEOUT_MS * NS_PER_MS;
         try (Socket socket = new Socket(proxy.getAddress(), proxy.getPort())) {
             socket.setSoTimeout(TIMEOUT_MS);
-            new ListenerWarmup(socket).run(rounds, deadlineNs);
+            new ListenerWarmup(socket).sendRounds(rounds, deadlineNs);
         }
     }
 
-    private void run(int rounds, long deadlineNs) throws IOException {
+    private void sendRounds(int rounds, long deadlineNs) throws IOException {
         byte[] requests = requests();
         for (int round = 1; round <= rounds && System.nanoTime() < deadlineNs; round++) {
             socket.getOutputStream().write(requests);
--- a/src/test/java/petrelplank/FileLengthTest.java
+++ b/src/test/java/petrelplank/FileLengthTest.java
@@ -13,8 +13,7 @@
 /** No source file is longer than 250 lines, but for those named here with the length that they have sunk to. */
 class FileLengthTest {
     private static final int MOST = 250;
-    private static final Map<String, Integer> LONGER = Map.ofEntries(
-);
+    private static final Map<String, Integer> LONGER = Map.ofEntries();
 
     /** A file that is split has its bound lowered, or its line here taken out: it can't grow back. */
     @Test
--- a/src/test/java/petrelplank/cli/CloseUnderRequest.java
+++ b/src/test/java/petrelplank/cli/CloseUnderRequest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 
 /**
  * Counts the requests that are lost with their connection, at a real proxy that gets no processor time now and then:
@@ -51,7 +51,7 @@
                     + ColdStartTest.entry("o-1", origin, "north", "origin") + "]";
             try (FakeDiscoveryService discovery = new FakeDiscoveryService(instances);
                     FaultRelay relay = new FaultRelay(discovery.address(), List.of(), 11);
-                    FrontProcesses processes = new FrontProcesses(folder, 1, relay.address(), instances)) {
+                    ProxyProcesses processes = new ProxyProcesses(folder, 1, relay.address(), instances)) {
                 InetSocketAddress address = processes.ready(60_000).get(0);
                 long untilNs = System.nanoTime() + Long.parseLong(args[0]) * 1_000_000_000L;
                 CloseUnderRequest load = new CloseUnderRequest(address, untilNs);
@@ -91,24 +91,24 @@
 
     /** Sends a request every 1.5 s at most on the same connection; a client looks for a close before it sends. */
     private void pooled(SplittableRandom random) {
-        FcgiClient client = null;
+        FastCgiClient client = null;
         try {
             while (System.nanoTime() < untilNs) {
                 Thread.sleep(random.nextInt(100, 1_500));
                 if (client == null || client.closed()) {
                     reopened.addAndGet(client == null ? 0 : 1);
-                    client = new FcgiClient(proxy);
+                    client = new FastCgiClient(proxy);
                 }
                 asked.incrementAndGet();
                 long sentNs = System.nanoTime();
                 boolean ended;
                 try {
-                    client.ask(
+                    client.sendRequest(
                             1,
                             "/invoke/media",
                             new byte[0],
                             RequestHeaders.withTimeout(String.format("%016x", ids.incrementAndGet()), 10_000));
-                    ended = client.answer().equals("closed");
+                    ended = client.readResponse().equals("closed");
                 } catch (IOException e) {
                     ended = true;
                 }
@@ -124,11 +124,11 @@
 
     /** Opens connections that carry one request and stay open, idle. */
     private void keepIdle(int perSecond) {
-        ArrayDeque<FcgiClient> idle = new ArrayDeque<>();
+        ArrayDeque<FastCgiClient> idle = new ArrayDeque<>();
         try {
             while (System.nanoTime() < untilNs) {
-                FcgiClient client = new FcgiClient(proxy);
-                client.ask(1, "/_health", new byte[0]);
+                FastCgiClient client = new FastCgiClient(proxy);
+                client.sendRequest(1, "/_health", new byte[0]);
                 idle.add(client);
                 if (idle.size() > MAX_IDLE) {
                     idle.poll().close();
--- a/src/test/java/petrelplank/cli/ColdStartTest.java
+++ b/src/test/java/petrelplank/cli/ColdStartTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 
 /**
  * Proxies started at once as real processes, with the discovery service behind a relay that resets every stream: they
@@ -54,8 +54,8 @@
         Path ignoring = Files.createDirectory(folder.resolve("ignoring"));
         try (FakeDiscoveryService service = new FakeDiscoveryService("[]");
                 FaultRelay relay = new FaultRelay(service.address(), List.of(), RELAY_SEED);
-                FrontProcesses normal = new FrontProcesses(plain, 1, relay.address(), "[]");
-                FrontProcesses deaf = new FrontProcesses(ignoring, 1, relay.address(), "[]", IGNORING_SIGHUP)) {
+                ProxyProcesses normal = new ProxyProcesses(plain, 1, relay.address(), "[]");
+                ProxyProcesses deaf = new ProxyProcesses(ignoring, 1, relay.address(), "[]", IGNORING_SIGHUP)) {
             normal.ready(60_000);
             deaf.ready(60_000);
             assertEquals(testProcessIgnoresHangup(), normal.log(0).contains("SIGHUP ignored"));
@@ -86,7 +86,7 @@
                     + entry("p-1", parent, "north", "parent") + "," + entry("o-1", origin, "north", "origin") + "]";
             try (FakeDiscoveryService service = new FakeDiscoveryService(instances);
                     FaultRelay relay = new FaultRelay(service.address(), RESET_ALWAYS, RELAY_SEED);
-                    FrontProcesses proxies = new FrontProcesses(folder, PROXIES, relay.address(), instances)) {
+                    ProxyProcesses proxies = new ProxyProcesses(folder, PROXIES, relay.address(), instances)) {
                 List<InetSocketAddress> addresses = proxies.ready(READY_TIMEOUT_MS);
                 int connects = checkBackoff(relay, service);
                 checkRecovery(relay, service);
@@ -122,9 +122,9 @@
 
     private static void checkResponses(List<InetSocketAddress> addresses) throws IOException {
         for (int i = 0; i < addresses.size(); i++) {
-            try (FcgiClient client = new FcgiClient(addresses.get(i))) {
-                client.ask(1, "/invoke/media", new byte[0], requestHeaders(i + 1));
-                String response = client.answer();
+            try (FastCgiClient client = new FastCgiClient(addresses.get(i))) {
+                client.sendRequest(1, "/invoke/media", new byte[0], requestHeaders(i + 1));
+                String response = client.readResponse();
                 assertTrue(
                         response.startsWith("1 Status: 200") && response.endsWith(FakeCacheServer.BODY),
                         "proxy " + i + ": " + response);
@@ -147,7 +147,7 @@
         };
     }
 
-    private static void checkLogs(FrontProcesses proxies) throws IOException {
+    private static void checkLogs(ProxyProcesses proxies) throws IOException {
         assertTrue(proxies.allAlive());
         for (int i = 0; i < PROXIES; i++) {
             assertFalse(proxies.log(i).contains("task failed"), proxies.log(i));
--- a/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
@@ -48,10 +48,10 @@
     void servesWithoutReportsAndAsksForNone() throws IOException, InterruptedException {
         for (int i = 0; i < 5; i++) {
             String id = "aaaaaaaaaaaaaaa" + i;
-            ask(1, id, "media");
+            sendRequest(1, id, "media");
             String report = i == 3 ? "meter=inflight:7;util:0.61," : "";
             cache.next().reply(id + " ACK " + report + "tell=HIT 3\r\none\r\n");
-            assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
+            assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
         }
         assertThat(cache.quiet() && parent.quiet() && origin.quiet())
                 .as("no health check")
@@ -61,24 +61,24 @@
     /** A request may be coalesced with a fill under way, unless the fill may bring what a purge forbids. */
     @Test
     void fillsAreCoalescedUnlessAPurgeCameBefore() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         assertThat(fetch.text()).contains(",from=p-1").containsPattern(",mode=\\S*share");
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=COLLAPSED,waited=12 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
+        assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
         sendDiscoveryEvent("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":" + System.currentTimeMillis() + "}}");
-        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line after = cache.next();
         assertThat(after.text()).doesNotContain("share").doesNotContain("swr");
         assertThat(maxAgeMs(after)).as("no copy from before the purge").isLessThanOrEqualTo(2000);
         after.reply("bbbbbbbbbbbbbbbb ACK tell=MISS 3\r\ntwo\r\n");
-        assertThat(client.answer()).endsWith("two");
+        assertThat(client.readResponse()).endsWith("two");
     }
 
     /** A stale copy is allowed only after a failed attempt at a fresh one, within the stale-if-error time. */
     @Test
     void staleCopyIsAllowedOnlyWhereNoFreshOneIsHad() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fresh = cache.next();
         assertThat(maxAgeMs(fresh)).isEqualTo(2000);
         assertThat(fresh.text()).containsPattern(",mode=\\S*swr");
@@ -86,25 +86,25 @@
         FakeServer.Line old = cache.next();
         assertThat(maxAgeMs(old)).isEqualTo(62_000);
         old.reply("aaaaaaaaaaaaaaaa ACK tell=STALE 3\r\nold\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200").endsWith("old");
+        assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("old");
     }
 
     /** A response that comes twice ends one attempt, and not the retry of its request at the same cache. */
     @Test
     void responseThatComesTwiceDoesNotEndTheRetry() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         first.reply("aaaaaaaaaaaaaaaa NOENT tell=UP_MISS 0\r\n\r\n");
         FakeServer.Line retry = cache.next();
         assertThat(retry.word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         first.reply("aaaaaaaaaaaaaaaa NOENT tell=UP_MISS 0\r\n\r\n");
-        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line other = cache.next();
         assertThat(other.word(1)).as("the next command of all").isEqualTo("bbbbbbbbbbbbbbbb");
         other.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
-        assertThat(client.answer()).startsWith("2 Status: 200").endsWith("two");
+        assertThat(client.readResponse()).startsWith("2 Status: 200").endsWith("two");
         retry.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
+        assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
         assertThat(cache.quiet() && parent.quiet() && origin.quiet())
                 .as("no third attempt")
                 .isTrue();
@@ -113,7 +113,7 @@
     /** Without hedging, the first attempt is cancelled on the wire before the next one is written. */
     @Test
     void unresponsiveAttemptIsCancelledBeforeTheNextOneIsWritten() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         assertThat(first.text()).startsWith("fetch aaaaaaaaaaaaaaaa ");
         clock.advance(9_000_000);
@@ -121,7 +121,7 @@
         FakeServer.Line again = parent.next();
         assertThat(again.word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         again.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
+        assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
     }
 
     /** X-Tenant reaches the router: more of a burst over its quota is rejected than of one within. */
@@ -131,7 +131,7 @@
         for (int i = 0; i < sentOfLarge; i++) {
             FakeServer.Line fetch = cache.next();
             fetch.reply(fetch.word(1) + " ACK tell=HIT 3\r\none\r\n");
-            client.answer();
+            client.readResponse();
         }
         assertThat(sentOfABurst("small", 'b')).isLessThan(sentOfLarge);
     }
@@ -141,7 +141,7 @@
         int before = recordedEvents.size();
         for (int i = 0; i < BURST; i++) {
             String request = idStart + "00000000000000" + Integer.toHexString(i);
-            client.ask(i + 1, "/invoke/media", NO_BODY, RequestHeaders.of(request, "X-Tenant", tenant));
+            client.sendRequest(i + 1, "/invoke/media", NO_BODY, RequestHeaders.of(request, "X-Tenant", tenant));
         }
         int sent = 0;
         int rejected = 0;
@@ -154,7 +154,7 @@
         }
         assertThat(sent + rejected).isEqualTo(BURST);
         for (int i = 0; i < rejected; i++) {
-            assertThat(client.answer()).contains("Status: 503");
+            assertThat(client.readResponse()).contains("Status: 503");
         }
         return sent;
     }
@@ -171,16 +171,16 @@
         assertThat(retry.text()).startsWith("fetch aaaaaaaaaaaa1000").contains(",nonce=" + KEY);
         parent.next();
         retry.reply("aaaaaaaaaaaa1000 ACK - 2\r\nok\r\n");
-        assertThat(client.answer()).endsWith("ok");
+        assertThat(client.readResponse()).endsWith("ok");
 
         resetKeyedWriteAfter("aaaaaaaaaaaa2700", 2_700);
-        assertThat(client.answer()).startsWith("1 Status: 504");
+        assertThat(client.readResponse()).startsWith("1 Status: 504");
         assertThat(parent.quiet() && origin.quiet()).isTrue();
     }
 
     private void resetKeyedWriteAfter(String request, long laterMs) throws IOException, InterruptedException {
         String[] headers = RequestHeaders.of(request, "Idempotency-Key", KEY);
-        client.ask(1, "/invoke/receipt", "mark".getBytes(), headers);
+        client.sendRequest(1, "/invoke/receipt", "mark".getBytes(), headers);
         FakeServer.Line first = origin.next();
         origin.next();
         clock.advance(laterMs * 1000);
--- a/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.record.Event;
 import petrelplank.upstream.FakeServer;
 
@@ -38,30 +38,30 @@
     /** The I/O thread answers health checks by itself: at the second answer it has read all that was there before. */
     private void awaitReadByIoThread() throws IOException {
         for (int i = 0; i < 2; i++) {
-            client.ask(9, "/_health", NO_BODY);
-            assertThat(client.answer()).startsWith("9 Status: 200");
+            client.sendRequest(9, "/_health", NO_BODY);
+            assertThat(client.readResponse()).startsWith("9 Status: 200");
         }
     }
 
-    private void askOn(FcgiClient asking, String requestId) throws IOException {
-        asking.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of(requestId));
+    private void askOn(FastCgiClient asking, String requestId) throws IOException {
+        asking.sendRequest(1, "/invoke/media", NO_BODY, RequestHeaders.of(requestId));
     }
 
     /** The next upstream request of all is that of a client request which came later. */
     private void assertNothingSentForDisconnected() throws IOException, InterruptedException {
-        ask(2, "cccccccccccccccc", "media");
+        sendRequest(2, "cccccccccccccccc", "media");
         FakeServer.Line upstreamRequest = cache.next();
         assertThat(upstreamRequest.word(1)).isEqualTo("cccccccccccccccc");
         upstreamRequest.reply("cccccccccccccccc ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("2 Status: 200");
+        assertThat(client.readResponse()).startsWith("2 Status: 200");
     }
 
     @Test
     void requestOfAClientThatClosedIsNotRouted() throws IOException, InterruptedException {
         blockEventThreadAt(Event.RequestAdmitted.class);
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         reached.await();
-        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
+        try (FastCgiClient leaving = new FastCgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
         }
         awaitReadByIoThread();
@@ -75,7 +75,7 @@
     @Test
     void attemptOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
         blockEventThreadAt(Event.AttemptSent.class);
-        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
+        try (FastCgiClient leaving = new FastCgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
             reached.await();
         }
@@ -87,7 +87,7 @@
     @Test
     void attemptOfACancelledRequestIsNotWritten() throws IOException, InterruptedException {
         blockEventThreadAt(Event.AttemptSent.class);
-        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
+        try (FastCgiClient leaving = new FastCgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
             reached.await();
             leaving.abort(1);
@@ -100,7 +100,7 @@
     /** A retry is ordered at the end of the first attempt; its client may disconnect in that very moment. */
     @Test
     void retryOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
-        try (FcgiClient leaving = new FcgiClient(proxy.address())) {
+        try (FastCgiClient leaving = new FastCgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
             FakeServer.Line first = cache.next();
             blockEventThreadAt(Event.AttemptEnded.class);
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -9,7 +9,7 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.upstream.FakeServer;
 
 /** Client connections that the proxy closes: pending responses on them are complete, and reach the client. */
@@ -19,28 +19,28 @@
     /** Whatever follows a request on its connection does not prevent the request's response. */
     @Test
     void requestBeforeMalformedInputIsAnswered() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line upstreamRequest = cache.next();
         client.raw(MALFORMED_INPUT);
-        try (FcgiClient other = new FcgiClient(proxy.address())) {
-            other.ask(1, "/_health", NO_BODY);
-            assertThat(other.answer()).startsWith("1 Status: 200");
+        try (FastCgiClient other = new FastCgiClient(proxy.address())) {
+            other.sendRequest(1, "/_health", NO_BODY);
+            assertThat(other.readResponse()).startsWith("1 Status: 200");
         }
         upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
-        assertThat(client.answer()).isEqualTo("closed");
+        assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
+        assertThat(client.readResponse()).isEqualTo("closed");
     }
 
     /** A client that wants its connection closed after one response still gets the other pending ones. */
     @Test
     void connectionIsClosedAfterItsLastPendingResponse() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line upstreamRequest = cache.next();
-        client.askLast(2, "/_health");
-        assertThat(client.answer()).startsWith("2 Status: 200");
+        client.sendLastRequest(2, "/_health");
+        assertThat(client.readResponse()).startsWith("2 Status: 200");
         upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
-        assertThat(client.answer()).isEqualTo("closed");
+        assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
+        assertThat(client.readResponse()).isEqualTo("closed");
     }
 
     /** A request that is read after the drain has found everything answered is rejected, and never sent upstream. */
@@ -68,7 +68,7 @@
         try {
             proxy.drain(stopped::countDown);
             requestRead.await();
-            String answer = client.answer();
+            String answer = client.readResponse();
             assertThat(answer).startsWith("1 Status: 503").contains("Retry-After-Ms");
             stopped.await();
             assertThat(cache.quiet() && parent.quiet() && origin.quiet()).isTrue();
@@ -80,9 +80,9 @@
     /** The event thread is blocked meanwhile; the I/O thread answers health checks by itself, in the order it reads. */
     private void askAndAwaitReadByIoThread() {
         try {
-            ask(1, "aaaaaaaaaaaaaaaa", "media");
-            client.ask(2, "/_health", NO_BODY);
-            assertThat(client.answer()).startsWith("2 Status: 503");
+            sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
+            client.sendRequest(2, "/_health", NO_BODY);
+            assertThat(client.readResponse()).startsWith("2 Status: 503");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
@@ -13,7 +13,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.upstream.FakeServer;
 
 /** Timeouts and limits of client connections, on loopback sockets. */
@@ -25,41 +25,41 @@
 
     @Test
     void silentAndIncompleteConnectionsTimeOutAndPendingRequestsDoNot() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
-        try (FcgiClient silent = new FcgiClient(proxy.address());
-                FcgiClient incomplete = new FcgiClient(proxy.address());
-                FcgiClient idle = new FcgiClient(proxy.address())) {
+        try (FastCgiClient silent = new FastCgiClient(proxy.address());
+                FastCgiClient incomplete = new FastCgiClient(proxy.address());
+                FastCgiClient idle = new FastCgiClient(proxy.address())) {
             incomplete.raw(new byte[] {1, 1, 0, 1, 0, 8, 0, 0, 0, 1});
-            idle.ask(1, "/_health", NO_BODY);
-            idle.answer();
+            idle.sendRequest(1, "/_health", NO_BODY);
+            idle.readResponse();
             clock.advance(2_100_000);
-            assertEquals("closed", silent.answer());
-            assertEquals("closed", incomplete.answer());
-            idle.ask(2, "/_health", NO_BODY);
-            assertTrue(idle.answer().startsWith("2 Status: 200"));
+            assertEquals("closed", silent.readResponse());
+            assertEquals("closed", incomplete.readResponse());
+            idle.sendRequest(2, "/_health", NO_BODY);
+            assertTrue(idle.readResponse().startsWith("2 Status: 200"));
             clock.advance(5_100_000);
-            assertEquals("closed", idle.answer());
+            assertEquals("closed", idle.readResponse());
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
+        assertTrue(client.readResponse().endsWith("one"));
     }
 
     /** Clients that send one request and stay connected must not keep others out, nor end pending requests. */
     @Test
     void longestIdleConnectionIsClosedAtTheLimit() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
-        List<FcgiClient> kept = new ArrayList<>();
+        List<FastCgiClient> kept = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
-            kept.add(new FcgiClient(proxy.address()));
-            kept.get(i).ask(1, "/_health", NO_BODY);
-            assertTrue(kept.get(i).answer().startsWith("1 Status: 200"));
+            kept.add(new FastCgiClient(proxy.address()));
+            kept.get(i).sendRequest(1, "/_health", NO_BODY);
+            assertTrue(kept.get(i).readResponse().startsWith("1 Status: 200"));
         }
-        assertEquals("closed", kept.get(0).answer());
+        assertEquals("closed", kept.get(0).readResponse());
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
-        for (FcgiClient connection : kept) {
+        assertTrue(client.readResponse().endsWith("one"));
+        for (FastCgiClient connection : kept) {
             connection.close();
         }
     }
@@ -71,33 +71,33 @@
     @Test
     void longestIdleConnectionIsKeptWhereItsRequestLiesUnread() throws IOException, InterruptedException {
         int capacity = SOCKETS * 2 / 5;
-        List<FcgiClient> kept = new ArrayList<>();
+        List<FastCgiClient> kept = new ArrayList<>();
         for (int i = 0; i < capacity - 2; i++) {
-            kept.add(new FcgiClient(proxy.address()));
-            kept.get(i).ask(1, "/_health", NO_BODY);
-            assertTrue(kept.get(i).answer().startsWith("1 Status: 200"));
+            kept.add(new FastCgiClient(proxy.address()));
+            kept.get(i).sendRequest(1, "/_health", NO_BODY);
+            assertTrue(kept.get(i).readResponse().startsWith("1 Status: 200"));
         }
         whileTheIoThreadIsBlocked(kept.get(0), () -> {
-            ask(1, "aaaaaaaaaaaaaaaa", "media");
+            sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
             // It takes the last place but one, so that the longest idle connection, the first client's, has to make
             // room.
-            kept.add(new FcgiClient(proxy.address()));
+            kept.add(new FastCgiClient(proxy.address()));
             for (int polls = 0; polls < 2000 && acceptedConnections() < capacity; polls++) {
                 Thread.sleep(5);
             }
             assertEquals(capacity, acceptedConnections());
         });
         unreadRequestIsServed();
-        for (FcgiClient connection : kept) {
+        for (FastCgiClient connection : kept) {
             connection.close();
         }
     }
 
     @Test
     void idleConnectionIsKeptWhereItsRequestLiesUnread() throws IOException, InterruptedException {
-        try (FcgiClient other = new FcgiClient(proxy.address())) {
+        try (FastCgiClient other = new FastCgiClient(proxy.address())) {
             whileTheIoThreadIsBlocked(other, () -> {
-                ask(1, "aaaaaaaaaaaaaaaa", "media");
+                sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
                 clock.advance(5_100_000);
                 // Longer than the sweep interval; too short a wait would only make this test weaker.
                 Thread.sleep(600);
@@ -110,16 +110,16 @@
     @Test
     void idleConnectionIsKeptWhileALongRequestIsReceived() throws IOException, InterruptedException {
         byte[] body = "x".repeat(30_000).getBytes();
-        try (FcgiClient other = new FcgiClient(proxy.address())) {
+        try (FastCgiClient other = new FastCgiClient(proxy.address())) {
             whileTheIoThreadIsBlocked(other, () -> {
-                client.begin(1, "/invoke/stock-move", body, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+                client.beginRequest(1, "/invoke/stock-move", body, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
                 clock.advance(5_100_000);
                 Thread.sleep(600);
             });
         }
         // One more sweep, before the two seconds after which an incomplete request times out.
         Thread.sleep(600);
-        client.end(1);
+        client.endRequest(1);
         FakeServer.Line sent = origin.next();
         assertTrue(
                 sent.text().startsWith("fetch aaaaaaaaaaaaaaaa ") && sent.text().endsWith(" 30000"), sent.text());
@@ -134,7 +134,7 @@
         invalid[3] = 77;
         invalid[4] = (byte) (60_000 >> 8);
         invalid[5] = (byte) 60_000;
-        try (FcgiClient sender = new FcgiClient(proxy.address())) {
+        try (FastCgiClient sender = new FastCgiClient(proxy.address())) {
             sender.raw(invalid);
             clock.advance(2_100_000);
             long deadlineNs = System.nanoTime() + 10_000_000_000L;
@@ -149,9 +149,9 @@
     /** A client counts from its sending: the time in which a request lay unread is taken off its timeout. */
     @Test
     void timeThatARequestLayUnreadIsTakenOffItsTimeout() throws IOException, InterruptedException {
-        try (FcgiClient other = new FcgiClient(proxy.address())) {
+        try (FastCgiClient other = new FastCgiClient(proxy.address())) {
             whileTheIoThreadIsBlocked(other, () -> {
-                ask(1, "aaaaaaaaaaaaaaaa", "media");
+                sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
                 Thread.sleep(1_000);
             });
         }
@@ -159,12 +159,12 @@
         Matcher limit = Pattern.compile("limit=(\\d+)").matcher(fetch.text());
         assertTrue(limit.find() && Integer.parseInt(limit.group(1)) <= 59_000, fetch.text());
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
+        assertTrue(client.readResponse().endsWith("one"));
     }
 
     private void unreadRequestIsServed() throws IOException, InterruptedException {
         cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
+        assertTrue(client.readResponse().endsWith("one"));
     }
 
     private interface Action {
@@ -172,10 +172,11 @@
     }
 
     /** Blocks the I/O thread at the clock, while it reads a request of {@code other}. */
-    private void whileTheIoThreadIsBlocked(FcgiClient other, Action action) throws IOException, InterruptedException {
+    private void whileTheIoThreadIsBlocked(FastCgiClient other, Action action)
+            throws IOException, InterruptedException {
         clock.holdIoThread();
         try {
-            other.ask(2, "/_health", NO_BODY);
+            other.sendRequest(2, "/_health", NO_BODY);
             while (!clock.isIoThreadHeld()) {
                 Thread.sleep(1);
             }
@@ -193,12 +194,12 @@
     void acceptedConnectionsStayWithinTheBudgetWhileTheIoThreadIsBlocked() throws IOException, InterruptedException {
         int capacity = SOCKETS * 2 / 5;
         clock.holdIoThread();
-        List<FcgiClient> clients = new ArrayList<>();
+        List<FastCgiClient> clients = new ArrayList<>();
         long accepted;
         try {
             for (int i = 0; i < 4 * capacity; i++) {
-                clients.add(new FcgiClient(proxy.address()));
-                clients.get(i).ask(1, "/_health", NO_BODY);
+                clients.add(new FastCgiClient(proxy.address()));
+                clients.get(i).sendRequest(1, "/_health", NO_BODY);
             }
             // The budget fills; the longer wait after that is for connections that must not be accepted.
             for (int polls = 0; polls < 4000 && acceptedConnections() < capacity - 1; polls++) {
@@ -210,8 +211,8 @@
             clock.releaseIoThread();
         }
         assertTrue(accepted <= capacity && accepted >= capacity - 1, accepted + " accepted of a budget of " + capacity);
-        for (FcgiClient connection : clients) {
-            String answer = connection.answer();
+        for (FastCgiClient connection : clients) {
+            String answer = connection.readResponse();
             assertTrue(answer.startsWith("1 Status: 200"), "number " + clients.indexOf(connection) + ": " + answer);
             connection.close();
         }
--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.upstream.FakeServer;
 
 /** The discovery stream and reloads of the configuration, on loopback sockets. */
@@ -23,7 +23,7 @@
 
     /** Sends a request and responds to its attempt; the server that got it. */
     private FakeServer routedTo(String request) throws IOException, InterruptedException {
-        ask(1, request, "media");
+        sendRequest(1, request, "media");
         FakeServer server = null;
         for (int polls = 0; server == null && polls < 4000; polls++) {
             server = !cache.quiet() ? cache : !parent.quiet() ? parent : null;
@@ -31,7 +31,7 @@
         }
         assertThat(server).as("a server got the request").isNotNull();
         server.next().reply(request + " ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200");
+        assertThat(client.readResponse()).startsWith("1 Status: 200");
         return server;
     }
 
@@ -108,8 +108,8 @@
             again.reset();
         }
         assertThat(System.nanoTime() - firstNs).isGreaterThanOrEqualTo(2_500_000_000L);
-        client.ask(2, "/_health", NO_BODY);
-        assertThat(client.answer()).startsWith("2 Status: 200");
+        client.sendRequest(2, "/_health", NO_BODY);
+        assertThat(client.readResponse()).startsWith("2 Status: 200");
     }
 
     /**
@@ -129,14 +129,14 @@
         assertThat(2_600 + (System.nanoTime() - fromNs) / 1_000_000)
                 .as("milliseconds until caught up")
                 .isLessThan(7_000);
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         assertThat(parent.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         assertThat(cache.quiet()).as("nothing sent to a draining cache").isTrue();
     }
 
     @Test
     void reloadMovesTheDiscoveryClientAndKeepsOpenRequests() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
@@ -148,7 +148,7 @@
             assertThat(next.next().text()).isEqualTo("follow 2");
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).endsWith("one");
+        assertThat(client.readResponse()).endsWith("one");
         assertThat(discoveryService.quiet()).isTrue();
     }
 
@@ -172,9 +172,9 @@
     /** The stream breaks while idle clients hold all their descriptors: its reconnect gets a descriptor all the same. */
     @Test
     void streamReconnectsWhileIdleClientsHoldAllTheirDescriptors() throws IOException, InterruptedException {
-        List<FcgiClient> idle = new ArrayList<>();
+        List<FastCgiClient> idle = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
-            idle.add(new FcgiClient(proxy.address()));
+            idle.add(new FastCgiClient(proxy.address()));
         }
         followLine.reset();
         FakeServer.Line again = discoveryService.next();
@@ -182,7 +182,7 @@
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
         assertThat(discoveryService.next().text()).isEqualTo("follow 2");
-        for (FcgiClient one : idle) {
+        for (FastCgiClient one : idle) {
             one.close();
         }
     }
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -25,40 +25,40 @@
 
     @Test
     void drainAnswersOpenRequestsAndThenStops() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line upstreamRequest = cache.next();
         CountDownLatch stopped = new CountDownLatch(1);
         proxy.drain(stopped::countDown);
-        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
         cache.next();
         upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\nbbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
-        assertTrue(client.answer().startsWith("1 Status: 200"));
-        assertTrue(client.answer().startsWith("2 Status: 200"));
+        assertTrue(client.readResponse().startsWith("1 Status: 200"));
+        assertTrue(client.readResponse().startsWith("2 Status: 200"));
         stopped.await();
     }
 
     /** Half of it had arrived at SIGTERM, the rest comes while requests are still accepted: it is served. */
     @Test
     void requestThatIsHalfReadAsTheDrainStartsIsServed() throws IOException, InterruptedException {
-        client.begin(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+        client.beginRequest(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
         CountDownLatch stopped = new CountDownLatch(1);
         proxy.drain(stopped::countDown);
-        client.end(1);
+        client.endRequest(1);
         cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().startsWith("1 Status: 200"));
-        assertEquals("closed", client.answer());
+        assertTrue(client.readResponse().startsWith("1 Status: 200"));
+        assertEquals("closed", client.readResponse());
         stopped.await();
     }
 
     /** The drain's last response is final: the attempt is aborted, and neither silence nor a reset leads to a retry. */
     @Test
     void requestThatTheDrainFailsIsAbortedAndNotRetried() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line upstreamRequest = cache.next();
         CountDownLatch stopped = new CountDownLatch(1);
         proxy.drain(stopped::countDown);
         clock.advance(3_600_000);
-        String answer = client.answer();
+        String answer = client.readResponse();
         assertTrue(answer.startsWith("1 Status: 504"), answer);
         assertEquals("abort aaaaaaaaaaaaaaaa", cache.next().text());
         upstreamRequest.reset();
--- a/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
@@ -12,7 +12,7 @@
     /** Its connection would stay open for good if the cache were silent. */
     @Test
     void requestIsCancelledAtACacheThatHasLeftTheListMeanwhile() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                 + endpointJson("c-1", cache, "edge-1", "box", "left") + "]}}");
@@ -23,25 +23,25 @@
     /** A new cache may have the address of a removed one: its requests are sent on connections of its own. */
     @Test
     void newCacheAtAnOldAddressGetsItsOwnConnection() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        client.answer();
+        client.readResponse();
         sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                 + endpointJson("c-1", cache, "edge-1", "box", "left") + ","
                 + endpointJson("c-2", cache, "edge-1", "box", "active")
                 + "]}}");
-        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line second = cache.next();
         assertTrue(second.socket() != first.socket());
         second.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
-        assertTrue(client.answer().endsWith("two"));
+        assertTrue(client.readResponse().endsWith("two"));
     }
 
     /** Late list changes in one burst: two replacements at one address within one write, with a request open. */
     @Test
     void burstOfReplacementsAtOneAddressKeepsTheOpenRequestAndUsesTheLast() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line open = cache.next();
         StringBuilder burst = new StringBuilder();
         for (int i = 1; i <= 2; i++) {
@@ -57,12 +57,12 @@
                 + endpointJson("nobody", cache, "edge-1", "box", "left") + "]}}\n");
         followLine.socket().shutdownOutput();
         assertEquals("follow 4", discoveryService.next().text());
-        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line second = cache.next();
         assertTrue(second.socket() != open.socket());
         second.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
-        assertTrue(client.answer().endsWith("two"));
+        assertTrue(client.readResponse().endsWith("two"));
         open.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
+        assertTrue(client.readResponse().endsWith("one"));
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackFixture.java
+++ b/src/test/java/petrelplank/cli/LoopbackFixture.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.record.Event;
 import petrelplank.settings.Configuration;
 import petrelplank.upstream.FakeServer;
@@ -47,7 +47,7 @@
     FakeServer discoveryService;
     ProxyServer proxy;
     Thread eventThread;
-    FcgiClient client;
+    FastCgiClient client;
     FakeServer.Line followLine;
     Path file;
     final List<Event> recordedEvents = new CopyOnWriteArrayList<>();
@@ -73,7 +73,7 @@
         proxy.open(new InetSocketAddress("127.0.0.1", 0));
         eventThread = new Thread(proxy::run);
         eventThread.start();
-        client = new FcgiClient(proxy.address());
+        client = new FastCgiClient(proxy.address());
         followLine = discoveryService.next();
         assertEquals("follow 1", followLine.text());
         followLine.reply("1\n");
@@ -96,8 +96,8 @@
 
     private void awaitHealth() throws IOException {
         do {
-            client.ask(1, "/_health", NO_BODY);
-        } while (!client.answer().startsWith("1 Status: 200"));
+            client.sendRequest(1, "/_health", NO_BODY);
+        } while (!client.readResponse().startsWith("1 Status: 200"));
     }
 
     static String endpointJson(String id, FakeServer at, String zone, String kind, String state) {
@@ -117,8 +117,8 @@
         }
     }
 
-    void ask(int id, String request, String type) throws IOException {
-        client.ask(
+    void sendRequest(int id, String request, String type) throws IOException {
+        client.sendRequest(
                 id, "/invoke/" + type, type.equals("media") ? NO_BODY : "move".getBytes(), RequestHeaders.of(request));
     }
 
--- a/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
@@ -15,17 +15,17 @@
         byte[] body = new byte[60_000];
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
-            client.ask(i + 1, "/invoke/stock-move", body, RequestHeaders.of("c00000000000000" + i));
+            client.sendRequest(i + 1, "/invoke/stock-move", body, RequestHeaders.of("c00000000000000" + i));
             sent[i] = origin.next();
             origin.next();
         }
-        ask(4, "aaaaaaaaaaaaaaaa", "media");
-        assertEquals("4 declined 2", client.answer());
+        sendRequest(4, "aaaaaaaaaaaaaaaa", "media");
+        assertEquals("4 declined 2", client.readResponse());
         for (FakeServer.Line one : sent) {
             one.reply(one.word(1) + " ACK - 2\r\nok\r\n");
-            assertTrue(client.answer().endsWith("ok"));
+            assertTrue(client.readResponse().endsWith("ok"));
         }
-        ask(4, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(4, "aaaaaaaaaaaaaaaa", "media");
         assertEquals("aaaaaaaaaaaaaaaa", cache.next().word(1));
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackReadinessTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackReadinessTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.settings.Configuration;
 import petrelplank.upstream.FakeServer;
 
@@ -24,8 +24,8 @@
         withSilentDiscoveryService(100, (webServer, stream) -> {
             long untilNs = System.nanoTime() + 3_000_000_000L;
             while (System.nanoTime() < untilNs) {
-                webServer.ask(1, "/_health", NO_BODY);
-                assertTrue(webServer.answer().startsWith("1 Status: 503"), "ready before the heartbeat");
+                webServer.sendRequest(1, "/_health", NO_BODY);
+                assertTrue(webServer.readResponse().startsWith("1 Status: 503"), "ready before the heartbeat");
                 Thread.sleep(50);
             }
             stream.reply("1\n");
@@ -47,21 +47,21 @@
     @Test
     void requestsWaitForTheFirstDiscoveryEvent() throws IOException, InterruptedException {
         withSilentDiscoveryService(100, (webServer, stream) -> {
-            webServer.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
-            webServer.ask(2, "/_health", NO_BODY);
-            assertTrue(webServer.answer().startsWith("2 Status: 503"));
+            webServer.sendRequest(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+            webServer.sendRequest(2, "/_health", NO_BODY);
+            assertTrue(webServer.readResponse().startsWith("2 Status: 503"));
             stream.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                     + endpointJson("c-1", cache, "edge-1", "box", "leaving") + "]}}\n");
             FakeServer.Line sent = parent.next();
             assertEquals("aaaaaaaaaaaaaaaa", sent.word(1));
             assertTrue(cache.quiet(), "sent to a cache that drains");
             sent.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-            assertTrue(webServer.answer().endsWith("one"));
+            assertTrue(webServer.readResponse().endsWith("one"));
         });
     }
 
     private interface Scenario {
-        void run(FcgiClient webServer, FakeServer.Line stream) throws IOException, InterruptedException;
+        void run(FastCgiClient webServer, FakeServer.Line stream) throws IOException, InterruptedException;
     }
 
     /** A second proxy whose discovery service accepts and sends nothing; its clock runs {@code slower} times slower. */
@@ -77,7 +77,7 @@
             second.open(new InetSocketAddress("127.0.0.1", 0));
             Thread thread = new Thread(second::run);
             thread.start();
-            try (FcgiClient webServer = new FcgiClient(second.address())) {
+            try (FastCgiClient webServer = new FastCgiClient(second.address())) {
                 FakeServer.Line stream = silent.next();
                 assertEquals("follow 1", stream.text());
                 scenario.run(webServer, stream);
@@ -89,11 +89,11 @@
     }
 
     /** Milliseconds until health says 200, at most {@code timeoutMs}; -1 where it never did. */
-    private static long readyWithin(FcgiClient webServer, long timeoutMs) throws IOException, InterruptedException {
+    private static long readyWithin(FastCgiClient webServer, long timeoutMs) throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
         while (System.nanoTime() - fromNs < timeoutMs * 1_000_000) {
-            webServer.ask(3, "/_health", NO_BODY);
-            if (webServer.answer().startsWith("3 Status: 200")) {
+            webServer.sendRequest(3, "/_health", NO_BODY);
+            if (webServer.readResponse().startsWith("3 Status: 200")) {
                 return (System.nanoTime() - fromNs) / 1_000_000;
             }
             Thread.sleep(20);
--- a/src/test/java/petrelplank/cli/LoopbackServersTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackServersTest.java
@@ -53,14 +53,14 @@
         FakeServer.Line fetch = server.next();
         assertThat(fetch.word(1)).isEqualTo(request);
         fetch.reply(request + " ACK tell=HIT 3\r\none\r\n");
-        assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
+        assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
     }
 
     @Test
     void readIsRetriedWhereItsCacheResetsAfterAccept() throws IOException, InterruptedException {
         try (ResettingServer server = new ResettingServer()) {
             moveEndpoint("c-1", "edge-1", "box", server);
-            ask(1, READ, "media");
+            sendRequest(1, READ, "media");
             assertServedBy(parent, READ);
         }
     }
@@ -68,7 +68,7 @@
     /** A response that ends after its header is none; the read is retried. */
     @Test
     void readIsRetriedWhereItsResponseEndsAfterTheHeader() throws IOException, InterruptedException {
-        ask(1, READ, "media");
+        sendRequest(1, READ, "media");
         FakeServer.Line truncated = cache.next();
         truncated.reply(READ + " ACK tell=HIT 3\r\n");
         truncated.socket().close();
@@ -78,29 +78,29 @@
     /** A write that is not idempotent may have been executed, also where its response is truncated: no retry. */
     @Test
     void nonIdempotentWriteIsNotRetriedWhereItsResponseIsTruncated() throws IOException, InterruptedException {
-        ask(1, WRITE, "stock-move");
+        sendRequest(1, WRITE, "stock-move");
         FakeServer.Line first = origin.next();
         assertThat(first.word(1)).isEqualTo(WRITE);
         assertThat(origin.next().text()).isEqualTo("move");
         first.reply(WRITE + " ACK tell=HIT 3\r\n");
         first.socket().close();
-        assertThat(client.answer()).startsWith("1 Status: 504");
+        assertThat(client.readResponse()).startsWith("1 Status: 504");
         assertThat(cache.quiet() && parent.quiet() && origin.quiet()).isTrue();
     }
 
     /** A second response some time after the first is discarded, and the connection stays in use. */
     @Test
     void duplicateResponseIsDiscarded() throws IOException, InterruptedException {
-        ask(1, READ, "media");
+        sendRequest(1, READ, "media");
         FakeServer.Line fetch = cache.next();
         String response = READ + " ACK tell=HIT 3\r\none\r\n";
         fetch.reply(response);
-        assertThat(client.answer()).startsWith("1 Status: 200");
+        assertThat(client.readResponse()).startsWith("1 Status: 200");
         fetch.reply(response);
-        ask(2, "cccccccccccccccc", "media");
+        sendRequest(2, "cccccccccccccccc", "media");
         FakeServer.Line next = cache.next();
         assertThat(next.socket()).isSameAs(fetch.socket());
         next.reply("cccccccccccccccc ACK tell=HIT 3\r\ntwo\r\n");
-        assertThat(client.answer()).startsWith("2 Status: 200").endsWith("two");
+        assertThat(client.readResponse()).startsWith("2 Status: 200").endsWith("two");
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.fastcgi.ListenerWarmup;
 import petrelplank.settings.Configuration;
 import petrelplank.settings.FormatException;
@@ -21,11 +21,11 @@
     /** The warm-up takes the way of a client's requests and leaves nothing behind. */
     @Test
     void warmUpAsksTheProxyAndSendsNothingToServers() throws IOException {
-        ListenerWarmup.ask(proxy.address(), 2);
-        client.ask(1, "/_health", NO_BODY);
-        assertTrue(client.answer().startsWith("1 Status: 200"));
+        ListenerWarmup.run(proxy.address(), 2);
+        client.sendRequest(1, "/_health", NO_BODY);
+        assertTrue(client.readResponse().startsWith("1 Status: 200"));
         assertTrue(cache.quiet() && parent.quiet() && origin.quiet());
-        assertThrows(IOException.class, () -> ListenerWarmup.ask(new InetSocketAddress("127.0.0.1", unusedPort()), 1));
+        assertThrows(IOException.class, () -> ListenerWarmup.run(new InetSocketAddress("127.0.0.1", unusedPort()), 1));
     }
 
     /** A port that nothing listens at. */
@@ -37,8 +37,8 @@
 
     @Test
     void healthIsGoodAndABadRequestIsRejected() throws IOException {
-        client.ask(1, "/_health", NO_BODY);
-        assertTrue(client.answer().startsWith("1 Status: 200"));
+        client.sendRequest(1, "/_health", NO_BODY);
+        assertTrue(client.readResponse().startsWith("1 Status: 200"));
         String id = "9b1f03aa5c7e2d41";
         for (String[] bad : new String[][] {
             {"media", id, "short", "17"},
@@ -47,7 +47,7 @@
             {"media", "9b1f03aa5c7e2d4x", id, "17"},
             {"media", "", id, "17"}
         }) {
-            client.ask(
+            client.sendRequest(
                     2,
                     "/invoke/" + bad[0],
                     NO_BODY,
@@ -61,69 +61,69 @@
                     "0",
                     "X-Shard",
                     bad[3]);
-            assertTrue(client.answer().startsWith("2 Status: 400"), String.join(" ", bad));
+            assertTrue(client.readResponse().startsWith("2 Status: 400"), String.join(" ", bad));
         }
         assertTrue(cache.quiet());
     }
 
     @Test
     void responsesAreServedCompleteOnceAndInAnyOrder() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
-        ask(2, "bbbbbbbbbbbbbbbb", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
         FakeServer.Line one = cache.next();
         FakeServer.Line two = cache.next();
         assertTrue(one.text().contains(",from=p-1,") && one.text().endsWith(" 0"), one.text());
         two.reply(two.word(1) + " ACK ver=1,tell=HIT 3\r\ntwo\r\n" + one.word(1) + " ACK tell=HIT 3\r\n");
-        assertTrue(client.answer().matches("(?s)2 Status: 200.*\r\n\r\ntwo"));
+        assertTrue(client.readResponse().matches("(?s)2 Status: 200.*\r\n\r\ntwo"));
         one.reply("one\r\n" + one.word(1) + " ACK - 3\r\nbis\r\n");
-        assertTrue(client.answer().matches("(?s)1 Status: 200.*\r\n\r\none"));
-        client.ask(3, "/_health", NO_BODY);
-        assertTrue(client.answer().startsWith("3 "));
+        assertTrue(client.readResponse().matches("(?s)1 Status: 200.*\r\n\r\none"));
+        client.sendRequest(3, "/_health", NO_BODY);
+        assertTrue(client.readResponse().startsWith("3 "));
     }
 
     @Test
     void abortedRequestIsCancelledAndNeverAnswered() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         client.abort(1);
         assertEquals("abort aaaaaaaaaaaaaaaa", cache.next().text());
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        ask(1, "bbbbbbbbbbbbbbbb", "media");
+        sendRequest(1, "bbbbbbbbbbbbbbbb", "media");
         assertEquals("bbbbbbbbbbbbbbbb", cache.next().word(1));
         fetch.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
-        assertTrue(client.answer().endsWith("two"));
+        assertTrue(client.readResponse().endsWith("two"));
     }
 
     @Test
     void readWhoseConnectionIsResetIsRetried() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         cache.next().reset();
         FakeServer.Line again = parent.next();
         assertEquals("aaaaaaaaaaaaaaaa", again.word(1));
         again.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
+        assertTrue(client.readResponse().endsWith("one"));
     }
 
     /** Guards against a proxy short of processor time that took all its caches for dead: its connects came too late. */
     @Test
     void proxyThatIsHeldUpItselfEjectsNoServer() throws IOException, InterruptedException {
         clock.stepOnReads(20);
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line fetch = cache.next();
         assertEquals("aaaaaaaaaaaaaaaa", fetch.word(1));
     }
 
     @Test
     void malformedPeersLoseTheirConnectionAndNothingElse() throws IOException, InterruptedException {
-        try (FcgiClient bad = new FcgiClient(proxy.address())) {
+        try (FastCgiClient bad = new FastCgiClient(proxy.address())) {
             bad.raw(new byte[] {9, 9, 9, 9, 9, 9, 9, 9});
-            assertEquals("closed", bad.answer());
+            assertEquals("closed", bad.readResponse());
         }
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         cache.next().reply("what is this\r\n");
         FakeServer.Line again = parent.next();
         again.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
+        assertTrue(client.readResponse().endsWith("one"));
     }
 
     /** A malformed response ends what is in flight on its connection, and nothing on the others. */
@@ -131,7 +131,7 @@
     void fewRequestsShareAConnection() throws IOException, InterruptedException {
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
-            ask(i + 1, "c00000000000000" + i, "media");
+            sendRequest(i + 1, "c00000000000000" + i, "media");
             sent[i] = cache.next();
         }
         assertTrue(sent[0].socket() == sent[1].socket() && sent[2].socket() != sent[0].socket());
@@ -140,13 +140,13 @@
                 Set.of(sent[0].word(1), sent[1].word(1)),
                 Set.of(parent.next().word(1), parent.next().word(1)));
         sent[2].reply("c000000000000002 ACK - 2\r\nok\r\n");
-        assertTrue(client.answer().endsWith("ok"));
+        assertTrue(client.readResponse().endsWith("ok"));
     }
 
     /** Nothing behind a truncated response can be read, while the connection stays open. */
     @Test
     void truncatedResponseEndsItsConnection() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "media");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         FakeServer.Line first = cache.next();
         first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 10\r\nhalf");
         assertTrue(cache.ended() == first.socket());
@@ -165,7 +165,7 @@
     @Test
     void copyIsCalledCurrentOnlyWhereTheCacheNamesIt() throws IOException, InterruptedException {
         askForACopyNewerThan4be0("aaaaaaaaaaaaaaaa").reply("aaaaaaaaaaaaaaaa NOMOD ver=4be0,tell=HIT 0\r\n\r\n");
-        String answer = client.answer();
+        String answer = client.readResponse();
         assertTrue(answer.startsWith("1 Status: 200") && answer.contains("X-Still: 1"), answer);
         isFetchedElsewhereAfter("bbbbbbbbbbbbbbbb", "ver=77aa,tell=HIT");
         isFetchedElsewhereAfter("cccccccccccccccc", "tell=HIT");
@@ -174,11 +174,11 @@
     private void isFetchedElsewhereAfter(String request, String fields) throws IOException, InterruptedException {
         askForACopyNewerThan4be0(request).reply(request + " NOMOD " + fields + " 0\r\n\r\n");
         parent.next().reply(request + " ACK ver=77aa 3\r\none\r\n");
-        assertTrue(client.answer().endsWith("one"));
+        assertTrue(client.readResponse().endsWith("one"));
     }
 
     private FakeServer.Line askForACopyNewerThan4be0(String request) throws IOException, InterruptedException {
-        client.ask(1, "/invoke/media", NO_BODY, RequestHeaders.of(request, "X-Mine", "\"4be0\""));
+        client.sendRequest(1, "/invoke/media", NO_BODY, RequestHeaders.of(request, "X-Mine", "\"4be0\""));
         FakeServer.Line fetch = cache.next();
         assertTrue(fetch.text().contains(",seen=4be0"), fetch.text());
         return fetch;
--- a/src/test/java/petrelplank/cli/LoopbackWritesTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackWritesTest.java
@@ -13,7 +13,7 @@
 class LoopbackWritesTest extends LoopbackFixture {
     @Test
     void nonIdempotentWriteThatWasResetOrFailedIsNeverRetried() throws IOException, InterruptedException {
-        ask(1, "aaaaaaaaaaaaaaaa", "stock-move");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "stock-move");
         FakeServer.Line sent = origin.next();
         assertTrue(
                 sent.text().startsWith("fetch aaaaaaaaaaaaaaaa cls=stock-move,")
@@ -21,12 +21,12 @@
                 sent.text());
         assertEquals("move", origin.next().text());
         sent.reset();
-        assertTrue(client.answer().startsWith("1 Status: 504"));
-        ask(2, "bbbbbbbbbbbbbbbb", "stock-move");
+        assertTrue(client.readResponse().startsWith("1 Status: 504"));
+        sendRequest(2, "bbbbbbbbbbbbbbbb", "stock-move");
         FakeServer.Line second = origin.next();
         assertEquals("move", origin.next().text());
         second.reply("bbbbbbbbbbbbbbbb EIO - 0\r\n\r\n");
-        assertTrue(client.answer().startsWith("2 Status: 504"));
+        assertTrue(client.readResponse().startsWith("2 Status: 504"));
         assertTrue(origin.quiet() && parent.quiet() && cache.quiet());
     }
 
@@ -45,10 +45,10 @@
                         && retry.text().contains(",nonce=" + key),
                 retry.text());
         retry.reply("aaaaaaaaaaaaaaaa ACK - 2\r\nok\r\n");
-        assertTrue(client.answer().endsWith("ok"));
+        assertTrue(client.readResponse().endsWith("ok"));
         for (String bad : new String[] {null, "", "a b", "a,b", "a=b", "a\r\nb", "\u00e9"}) {
             askKeyed(2, "bbbbbbbbbbbbbbbb", bad);
-            assertTrue(client.answer().startsWith("2 Status: 400"), String.valueOf(bad));
+            assertTrue(client.readResponse().startsWith("2 Status: 400"), String.valueOf(bad));
         }
         assertTrue(cache.quiet());
     }
@@ -58,18 +58,18 @@
         if (key != null) {
             headers.addAll(List.of("Idempotency-Key", key));
         }
-        client.ask(id, "/invoke/receipt", "mark".getBytes(), headers.toArray(String[]::new));
+        client.sendRequest(id, "/invoke/receipt", "mark".getBytes(), headers.toArray(String[]::new));
     }
 
     /** Nothing was executed, so another server is tried; where that rejects it, the client may retry. */
     @Test
     void nonIdempotentWriteThatWasNeverSentIsRetriedElsewhere() throws IOException, InterruptedException {
         origin.refuse();
-        ask(1, "aaaaaaaaaaaaaaaa", "stock-move");
+        sendRequest(1, "aaaaaaaaaaaaaaaa", "stock-move");
         FakeServer.Line other = parent.next();
         assertTrue(other.text().contains(",from=o-1 "), other.text());
         other.reply("aaaaaaaaaaaaaaaa AGAIN - 0\r\n\r\n");
-        assertTrue(client.answer().contains("Status: 503"));
+        assertTrue(client.readResponse().contains("Status: 503"));
     }
 
     /** An idle connection may be reset by the next command, and a shared one by another's; a retry isn't allowed. */
@@ -77,17 +77,17 @@
     void nonIdempotentWriteIsSentOnADedicatedConnection() throws IOException, InterruptedException {
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
-            ask(i + 1, "c00000000000000" + i, "stock-move");
+            sendRequest(i + 1, "c00000000000000" + i, "stock-move");
             sent[i] = origin.next();
             assertEquals("move", origin.next().text());
         }
         sent[0].reset();
-        assertTrue(client.answer().startsWith("1 Status: 504"));
+        assertTrue(client.readResponse().startsWith("1 Status: 504"));
         sent[1].reset();
-        assertTrue(client.answer().startsWith("2 Status: 504"));
+        assertTrue(client.readResponse().startsWith("2 Status: 504"));
         sent[2].reply("c000000000000002 ACK - 2\r\nok\r\n");
-        assertTrue(client.answer().endsWith("ok"));
-        ask(4, "c000000000000003", "stock-move");
+        assertTrue(client.readResponse().endsWith("ok"));
+        sendRequest(4, "c000000000000003", "stock-move");
         assertTrue(origin.next().socket() != sent[2].socket());
     }
 }
--- a/src/test/java/petrelplank/cli/MeasuredProxy.java
+++ b/src/test/java/petrelplank/cli/MeasuredProxy.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 
 /** A proxy in a process of its own on loopback, whose processor time {@link RecordingCost} measures. */
 final class MeasuredProxy {
@@ -80,13 +80,13 @@
     /** Sends requests and returns the processor time of one in microseconds. */
     double serve(int requests) throws IOException {
         double beforeUs = totalTimeUs();
-        try (FcgiClient client = new FcgiClient(new InetSocketAddress("127.0.0.1", port))) {
+        try (FastCgiClient client = new FastCgiClient(new InetSocketAddress("127.0.0.1", port))) {
             int sent = 0;
             while (sent < CONCURRENT_REQUESTS) {
                 send(client, ++sent);
             }
             for (int answered = 0; answered < requests; answered++) {
-                String response = client.answer();
+                String response = client.readResponse();
                 if (!response.contains("Status: 200")) {
                     throw new IOException(response);
                 }
@@ -99,9 +99,9 @@
         return (totalTimeUs() - beforeUs) / requests;
     }
 
-    private void send(FcgiClient client, int id) throws IOException {
+    private void send(FastCgiClient client, int id) throws IOException {
         int number = nextRequest++;
-        client.ask(
+        client.sendRequest(
                 id,
                 "/invoke/media",
                 new byte[0],
--- a/src/test/java/petrelplank/cli/FrontProcesses.java
+++ b/src/test/java/petrelplank/cli/ProxyProcesses.java
@@ -14,7 +14,7 @@
  * Proxies as real processes of {@code serve}, with a small heap, a configuration and a log each, started at once. The
  * addresses that they serve at come from their logs. Ended by SIGTERM, and by SIGKILL after 10 s.
  */
-final class FrontProcesses implements AutoCloseable {
+final class ProxyProcesses implements AutoCloseable {
     private static final Pattern SERVING = Pattern.compile("serving at /([0-9.]+):(\\d+)");
     /** Spreads the seeds of the proxies over all 64 bits. */
     private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
@@ -34,14 +34,14 @@
      * @param coordinator the address of the discovery service, or of a relay before it
      * @param instances the JSON array of the endpoint list in each configuration
      */
-    FrontProcesses(Path folder, int count, String coordinator, String instances) throws IOException {
+    ProxyProcesses(Path folder, int count, String coordinator, String instances) throws IOException {
         this(folder, count, coordinator, instances, List.of());
     }
 
     /**
      * As above, with {@code launcher} before each proxy's own command line; it has to end by exec.
      */
-    FrontProcesses(Path folder, int count, String coordinator, String instances, List<String> launcher)
+    ProxyProcesses(Path folder, int count, String coordinator, String instances, List<String> launcher)
             throws IOException {
         for (int i = 0; i < count; i++) {
             Path config = folder.resolve("front-" + i + ".json");
--- a/src/test/java/petrelplank/cli/ProxySignalsTest.java
+++ b/src/test/java/petrelplank/cli/ProxySignalsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelplank.fastcgi.FcgiClient;
+import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.upstream.FakeServer;
 
 /** Signals to a real proxy process at unusual moments. */
@@ -26,7 +26,7 @@
                 .isZero();
     }
 
-    private static void stopsGracefully(FrontProcesses processes) throws IOException, InterruptedException {
+    private static void stopsGracefully(ProxyProcesses processes) throws IOException, InterruptedException {
         assertThat(processes.process(0).waitFor(DRAIN_TIMEOUT_S, TimeUnit.SECONDS))
                 .isTrue();
         assertThat(processes.process(0).exitValue()).as(processes.log(0)).isZero();
@@ -40,20 +40,22 @@
                 FakeDiscoveryService discovery = new FakeDiscoveryService("[]")) {
             String instances = "[" + LoopbackFixture.endpointJson("c-1", cache, "edge-1", "box", "active") + "]";
             String at = "127.0.0.1:" + discovery.port();
-            try (FrontProcesses processes = new FrontProcesses(folder, 1, at, instances)) {
+            try (ProxyProcesses processes = new ProxyProcesses(folder, 1, at, instances)) {
                 InetSocketAddress address = processes.ready(READY_TIMEOUT_MS).get(0);
-                try (FcgiClient client = new FcgiClient(address)) {
-                    client.ask(1, "/invoke/media", new byte[0], RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+                try (FastCgiClient client = new FastCgiClient(address)) {
+                    client.sendRequest(1, "/invoke/media", new byte[0], RequestHeaders.of("aaaaaaaaaaaaaaaa"));
                     FakeServer.Line upstreamRequest = cache.next();
                     signal("TERM", processes.pid(0));
                     signal("HUP", processes.pid(0));
                     signal("TERM", processes.pid(0));
-                    client.ask(2, "/_health", new byte[0]);
-                    while (!client.answer().startsWith("2 Status: 503")) {
-                        client.ask(2, "/_health", new byte[0]);
+                    client.sendRequest(2, "/_health", new byte[0]);
+                    while (!client.readResponse().startsWith("2 Status: 503")) {
+                        client.sendRequest(2, "/_health", new byte[0]);
                     }
                     upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
-                    assertThat(client.answer()).startsWith("1 Status: 200").endsWith("one");
+                    assertThat(client.readResponse())
+                            .startsWith("1 Status: 200")
+                            .endsWith("one");
                 }
                 stopsGracefully(processes);
             }
@@ -64,7 +66,7 @@
     @Test
     void proxyThatIsNotReadyStopsGracefully(@TempDir Path folder) throws IOException, InterruptedException {
         try (FakeServer silentDiscovery = new FakeServer();
-                FrontProcesses processes = new FrontProcesses(folder, 1, silentDiscovery.address(), "[]")) {
+                ProxyProcesses processes = new ProxyProcesses(folder, 1, silentDiscovery.address(), "[]")) {
             assertThat(silentDiscovery.next().text()).isEqualTo("follow 1");
             signal("TERM", processes.pid(0));
             stopsGracefully(processes);
--- a/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
@@ -14,7 +14,7 @@
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.routing.EndpointState;
 import petrelplank.settings.FormatException;
-import petrelplank.wire.Cuts;
+import petrelplank.wire.ParserFuzzer;
 
 class DiscoveryEventDecoderTest {
     private static final String CHANGE = "{\"index\":41,\"endpoints\":{\"generation\":7,\"reset\":false,\"instances\":"
@@ -28,7 +28,7 @@
     private static List<DiscoveryEvent> read(byte[] bytes, long cuts) {
         List<DiscoveryEvent> events = new ArrayList<>();
         LineSplitter splitter = new LineSplitter();
-        Cuts.feed(bytes, cuts, in -> splitter.feed(in, line -> events.add(DiscoveryEventDecoder.decode(line))));
+        ParserFuzzer.feed(bytes, cuts, in -> splitter.feed(in, line -> events.add(DiscoveryEventDecoder.decode(line))));
         return events;
     }
 
@@ -53,8 +53,8 @@
     @Property(seed = "32", tries = 1000)
     void corruptedEventsAreDecodedOrRejected(@ForAll long seed) {
         LineSplitter splitter = new LineSplitter();
-        assertTrue(Cuts.survives(
-                Cuts.spoil(STREAM, seed),
+        assertTrue(ParserFuzzer.acceptsOrRejects(
+                ParserFuzzer.corrupt(STREAM, seed),
                 seed,
                 FormatException.class,
                 in -> splitter.feed(in, line -> {
--- a/src/test/java/petrelplank/fastcgi/FcgiClient.java
+++ b/src/test/java/petrelplank/fastcgi/FastCgiClient.java
@@ -14,7 +14,7 @@
 import java.util.Queue;
 
 /** A web server's side of FastCGI, blocking, for loopback tests. */
-public final class FcgiClient implements AutoCloseable {
+public final class FastCgiClient implements AutoCloseable {
     private static final int TIMEOUT_MS = 20_000;
     private static final int READ_BUFFER_BYTES = 65_536;
     /** In a BEGIN_REQUEST record: behind its header and the role. */
@@ -32,13 +32,13 @@
     private final Map<Integer, ByteArrayOutputStream> stdout = new HashMap<>();
 
     /** Connects. */
-    public FcgiClient(InetSocketAddress address) throws IOException {
+    public FastCgiClient(InetSocketAddress address) throws IOException {
         socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(TIMEOUT_MS);
     }
 
     /** Sends a request under an id of the connection; {@code headers} are pairs of name and value. */
-    public void ask(int id, String script, byte[] body, String... headers) throws IOException {
+    public void sendRequest(int id, String script, byte[] body, String... headers) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(start(id, script, body, headers));
         bytes.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
@@ -46,20 +46,20 @@
     }
 
     /** Sends a request without KEEP_CONN: the proxy is to close the connection after the response. */
-    public void askLast(int id, String script) throws IOException {
+    public void sendLastRequest(int id, String script) throws IOException {
         byte[] bytes = start(id, script, EMPTY);
         bytes[FLAGS_AT] = 0;
         raw(bytes);
-        end(id);
+        endRequest(id);
     }
 
-    /** Sends a request without its end; see {@link #end}. */
-    public void begin(int id, String script, byte[] body, String... headers) throws IOException {
+    /** Sends a request without its end; see {@link #endRequest}. */
+    public void beginRequest(int id, String script, byte[] body, String... headers) throws IOException {
         raw(start(id, script, body, headers));
     }
 
     /** Sends the end of a request that was begun. */
-    public void end(int id) throws IOException {
+    public void endRequest(int id) throws IOException {
         raw(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** The next response on the connection, as its id, a blank and the CGI response. */
-    public String answer() throws IOException {
+    public String readResponse() throws IOException {
         byte[] buffer = new byte[READ_BUFFER_BYTES];
         while (true) {
             while (!records.isEmpty()) {
--- a/src/test/java/petrelplank/fastcgi/RecordParserTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordParserTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import petrelplank.wire.Cuts;
+import petrelplank.wire.ParserFuzzer;
 
 /** The parser with an assembler behind it, as on a connection. */
 class RecordParserTest {
@@ -49,7 +49,7 @@
         RecordingListener listener = new RecordingListener();
         RecordParser parser = new RecordParser();
         RequestAssembler assembler = new RequestAssembler(listener, totalBytes, MAX_TOTAL_BYTES);
-        Cuts.feed(interleavedRequests(), seed, input -> parser.feed(input, assembler::accept));
+        ParserFuzzer.feed(interleavedRequests(), seed, input -> parser.feed(input, assembler::accept));
         assertEquals(List.of("abort 3", "request 2 {} ", "request 1 {SCRIPT_NAME=/ab, X=y} hi"), listener.received);
         assertEquals(0, totalBytes.get());
     }
@@ -58,8 +58,8 @@
     void corruptedRequestsAreReadOrRejected(@ForAll long seed) {
         RecordParser parser = new RecordParser();
         RequestAssembler assembler = new RequestAssembler(new RecordingListener(), new AtomicLong(), MAX_TOTAL_BYTES);
-        assertTrue(Cuts.survives(
-                Cuts.spoil(interleavedRequests(), seed),
+        assertTrue(ParserFuzzer.acceptsOrRejects(
+                ParserFuzzer.corrupt(interleavedRequests(), seed),
                 seed,
                 MalformedException.class,
                 input -> parser.feed(input, assembler::accept)));
--- a/src/test/java/petrelplank/fastcgi/RequestAssemblerTest.java
+++ b/src/test/java/petrelplank/fastcgi/RequestAssemblerTest.java
@@ -13,18 +13,18 @@
 
     private final RecordingListener listener = new RecordingListener();
 
-    private static FastCgiRecord begin(int id, byte[] body) {
+    private static FastCgiRecord beginRequest(int id, byte[] body) {
         return new FastCgiRecord(FastCgiRecord.BEGIN_REQUEST, id, body);
     }
 
     @Test
     void otherRolesAndTooManyBytesAreRejectedByProtocolStatus() {
         RequestAssembler assembler = new RequestAssembler(listener, new AtomicLong(5), 4);
-        assembler.accept(begin(1, BEGIN_AUTHORIZER));
-        assembler.accept(begin(2, BEGIN_RESPONDER));
+        assembler.accept(beginRequest(1, BEGIN_AUTHORIZER));
+        assembler.accept(beginRequest(2, BEGIN_RESPONDER));
         assertEquals(List.of("rejected 1 3", "rejected 2 2"), listener.received);
         MalformedException malformed =
-                assertThrows(MalformedException.class, () -> assembler.accept(begin(3, new byte[7])));
+                assertThrows(MalformedException.class, () -> assembler.accept(beginRequest(3, new byte[7])));
         assertEquals(MalformedException.Violation.INVALID_BEGIN_REQUEST, malformed.violation());
     }
 
@@ -33,7 +33,7 @@
         RequestAssembler assembler = new RequestAssembler(listener, new AtomicLong(), 1 << 20);
         listener.openRequests = RequestAssembler.MAX_OPEN_REQUESTS - 1;
         for (int id = 1; id <= 2; id++) {
-            assembler.accept(begin(id, BEGIN_RESPONDER));
+            assembler.accept(beginRequest(id, BEGIN_RESPONDER));
         }
         assertEquals(List.of("rejected 2 2"), listener.received);
     }
--- a/src/test/java/petrelplank/upstream/ResponseParserTest.java
+++ b/src/test/java/petrelplank/upstream/ResponseParserTest.java
@@ -20,7 +20,7 @@
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 import petrelplank.upstream.MalformedException.Reason;
-import petrelplank.wire.Cuts;
+import petrelplank.wire.ParserFuzzer;
 
 class ResponseParserTest {
     private static final byte[] RESPONSES = bytes("r1 ACK ver=ab,born=17,tell=MISS_ORIGIN,waited=12.5,"
@@ -36,7 +36,7 @@
     @Property(seed = "11", tries = 300)
     void responsesAreParsedHoweverTheyAreSplit(@ForAll long cuts) {
         responses.clear();
-        Cuts.feed(RESPONSES, cuts, input -> parser.feed(input, responses::add));
+        ParserFuzzer.feed(RESPONSES, cuts, input -> parser.feed(input, responses::add));
         assertEquals(
                 List.of(
                         AttemptStatus.OK,
@@ -59,8 +59,8 @@
     @Property(seed = "12", tries = 2000)
     void corruptedResponsesAreParsedOrRejectedAsMalformed(@ForAll long seed) {
         ResponseParser fresh = new ResponseParser(List.of("x0"));
-        assertTrue(Cuts.survives(
-                Cuts.spoil(RESPONSES, seed),
+        assertTrue(ParserFuzzer.acceptsOrRejects(
+                ParserFuzzer.corrupt(RESPONSES, seed),
                 seed,
                 MalformedException.class,
                 input -> fresh.feed(input, response -> {})));
--- a/src/test/java/petrelplank/wire/Cuts.java
+++ b/src/test/java/petrelplank/wire/ParserFuzzer.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 
 /** Feeds bytes to a parser in random fragments, and corrupts them, for the tests of all parsers. */
-public final class Cuts {
+public final class ParserFuzzer {
     /** One fragment in this many has a single byte. */
     private static final int SINGLE_BYTE_ONE_IN = 3;
 
     private static final int MAX_CORRUPTED_BYTES = 4;
     private static final int BYTE_VALUES = 256;
 
-    private Cuts() {}
+    private ParserFuzzer() {}
 
     /** Hands the bytes on in fragments drawn from a seed; some are of one byte. The parser has to take all of each. */
     public static void feed(byte[] bytes, long seed, Consumer<ByteBuffer> parser) {
@@ -29,7 +29,7 @@
     }
 
     /** A copy in which a few bytes are changed, so that it often gets past the checks of the first bytes. */
-    public static byte[] spoil(byte[] message, long seed) {
+    public static byte[] corrupt(byte[] message, long seed) {
         Random random = new Random(seed);
         byte[] corrupted = message.clone();
         for (int i = random.nextInt(MAX_CORRUPTED_BYTES); i >= 0; i--) {
@@ -39,7 +39,7 @@
     }
 
     /** Whether a parser accepted the bytes, or rejected them with the exception that ends a connection. */
-    public static boolean survives(
+    public static boolean acceptsOrRejects(
             byte[] bytes, long seed, Class<? extends RuntimeException> rejection, Consumer<ByteBuffer> parser) {
         try {
             feed(bytes, seed, parser);
