--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -93,7 +93,7 @@
             DiscoveryEvent event = DiscoveryEventDecoder.decode(fields);
             proxy.onEvent(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
-                change.entries().forEach(entry -> endpoints.add(entry.member()));
+                change.entries().forEach(entry -> endpoints.add(entry.endpoint()));
             }
         }
         return endpoints;
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -108,7 +108,7 @@
             return;
         }
         // Nothing is left to be answered, and nothing more is admitted: closing the records may block, for a while.
-        proxy.finished();
+        proxy.recordStopped();
         onStopped.run();
     }
 }
--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -187,7 +187,7 @@
 
     /** Guards against a drain or a purge that was left out. A gap that stays when requested again is no loss. */
     private boolean revealsGap(DiscoveryEvent event, long lastIndex) {
-        if (event instanceof DiscoveryEvent.Beat) {
+        if (event instanceof DiscoveryEvent.Heartbeat) {
             return event.index() > lastIndex;
         }
         return event.index() > lastIndex + 1 && gapRequestedAfter != lastIndex;
@@ -201,7 +201,7 @@
     }
 
     private void accept(DiscoveryEvent event) {
-        if (event instanceof DiscoveryEvent.Beat) {
+        if (event instanceof DiscoveryEvent.Heartbeat) {
             syncState = SyncState.CAUGHT_UP;
             return;
         }
--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -33,7 +33,7 @@
         try (JsonParser parser = JSON.createParser(line)) {
             parser.nextToken();
             JsonValue value = JsonValue.read(parser);
-            return value.isLong() ? new DiscoveryEvent.Beat(value.asLong()) : decode(value.asObject("the event"));
+            return value.isLong() ? new DiscoveryEvent.Heartbeat(value.asLong()) : decode(value.asObject("the event"));
         } catch (IOException e) {
             throw new FormatException("not JSON: " + e.getMessage());
         }
@@ -55,7 +55,7 @@
             return endpointChange(index, event.object("endpoints"));
         }
         // Guards against an unknown kind of event: it is ignored, but its number counts as received.
-        return event.only("index") ? new DiscoveryEvent.Beat(index) : new DiscoveryEvent.Other(index);
+        return event.only("index") ? new DiscoveryEvent.Heartbeat(index) : new DiscoveryEvent.Unknown(index);
     }
 
     private static DiscoveryEvent.Purge purge(long index, JsonFields purge) {
--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -102,7 +102,7 @@
         Long sentUs = alive ? sentUsByAttempt.remove(attempt) : null;
         if (sentUs != null) {
             truth.attemptEnded(this, attempt, response, clock.nowUs() - sentUs);
-            loop.post(() -> forwarder.ended(attempt, response));
+            loop.post(() -> forwarder.attemptEnded(attempt, response));
             runLoop();
         }
     }
@@ -116,7 +116,7 @@
     /** Shuts it down in order. */
     void finish() {
         if (alive) {
-            proxy.finished();
+            proxy.recordStopped();
             kill();
         }
     }
--- a/src/main/java/petrelplank/emulator/Network.java
+++ b/src/main/java/petrelplank/emulator/Network.java
@@ -75,7 +75,7 @@
                 object,
                 catalogue.group(object),
                 item == null ? TrafficClasses.KIB : catalogue.transferBytes(item),
-                attempted.oldestMs() * 1000,
+                attempted.maxAgeMs() * 1000,
                 attempted.serviceClass().equals(TrafficClasses.STOCK_MOVES.name()));
     }
 
--- a/src/main/java/petrelplank/emulator/NotificationLog.java
+++ b/src/main/java/petrelplank/emulator/NotificationLog.java
@@ -30,7 +30,7 @@
             purges.computeIfAbsent(purge.index(), index -> new ArrayList<>()).add(proxy.clockUs());
         } else if (event instanceof DiscoveryEvent.Change change) {
             for (DiscoveryEvent.Entry entry : change.entries()) {
-                listed(proxy, entry.member().id(), entry.member().state());
+                listed(proxy, entry.endpoint().id(), entry.endpoint().state());
             }
         }
     }
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -120,7 +120,7 @@
             channel.answer(
                     context.status().isReady()
                             ? ClientResponse.of(ClientResponse.Kind.SERVED)
-                            : ClientResponse.refused(0));
+                            : ClientResponse.rejected(0));
         } else {
             handle(params, body, channel);
         }
--- a/src/main/java/petrelplank/proxy/AdmissionController.java
+++ b/src/main/java/petrelplank/proxy/AdmissionController.java
@@ -38,7 +38,7 @@
         if (!hasRoom(exchange)) {
             completion.countRejectedBeforeRouting();
             recorder.requestRejected(exchange.request, ClientResponse.Kind.REJECTED);
-            exchange.channel.answer(ClientResponse.refused(RETRY_AFTER_MS));
+            exchange.channel.answer(ClientResponse.rejected(RETRY_AFTER_MS));
             return;
         }
         openRequests.add(exchange);
--- a/src/main/java/petrelplank/proxy/Attempt.java
+++ b/src/main/java/petrelplank/proxy/Attempt.java
@@ -85,7 +85,7 @@
      * @param nowUs the clock
      * @return milliseconds, rounded up, at least 1
      */
-    public long limitMs(long nowUs) {
+    public long remainingMs(long nowUs) {
         return Math.max(1, (timeoutAtUs - nowUs + US_PER_MS - 1) / US_PER_MS);
     }
 }
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -88,6 +88,6 @@
         }
         upstream.abort(attempt);
         UpstreamResponse end = UpstreamResponse.ended(attempt.request().id(), status);
-        loop.post(() -> forwarder.ended(attempt, end));
+        loop.post(() -> forwarder.attemptEnded(attempt, end));
     }
 }
--- a/src/main/java/petrelplank/proxy/ClientResponse.java
+++ b/src/main/java/petrelplank/proxy/ClientResponse.java
@@ -59,7 +59,7 @@
      * @param retryAfterMs when the client should come back; 0 for no advice
      * @return the response
      */
-    public static ClientResponse refused(long retryAfterMs) {
+    public static ClientResponse rejected(long retryAfterMs) {
         return new ClientResponse(Kind.REJECTED, NO_BODY, retryAfterMs);
     }
 }
--- a/src/main/java/petrelplank/proxy/DiscoveryEvent.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEvent.java
@@ -16,10 +16,10 @@
     /**
      * An entry of the endpoint list.
      *
-     * @param member the endpoint as the router sees it
+     * @param endpoint the endpoint as the router sees it
      * @param address where it listens
      */
-    record Entry(EndpointInfo member, InetSocketAddress address) {}
+    record Entry(EndpointInfo endpoint, InetSocketAddress address) {}
 
     /**
      * The endpoint list changed.
@@ -45,12 +45,12 @@
      *
      * @param index the number of the last event there is
      */
-    record Beat(long index) implements DiscoveryEvent {}
+    record Heartbeat(long index) implements DiscoveryEvent {}
 
     /**
      * An event of a kind that is not known here.
      *
      * @param index the event's number
      */
-    record Other(long index) implements DiscoveryEvent {}
+    record Unknown(long index) implements DiscoveryEvent {}
 }
--- a/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
@@ -58,13 +58,13 @@
 
     private void updateEndpoints(DiscoveryEvent.Change change) {
         List<EndpointInfo> endpoints =
-                change.entries().stream().map(DiscoveryEvent.Entry::member).toList();
+                change.entries().stream().map(DiscoveryEvent.Entry::endpoint).toList();
         router.endpointsChanged(loop.now(), change.complete(), endpoints);
         Set<String> removed = removedBy(change);
         removed.forEach(upstream::endpointRemoved);
         listed.removeAll(removed);
         for (DiscoveryEvent.Entry entry : change.entries()) {
-            EndpointInfo endpoint = entry.member();
+            EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() != EndpointState.REMOVED) {
                 listed.add(endpoint.id());
                 upstream.endpointListed(endpoint.id(), entry.address(), endpoint.startedUs());
@@ -76,7 +76,7 @@
     private Set<String> removedBy(DiscoveryEvent.Change change) {
         Set<String> removed = change.complete() ? new HashSet<>(listed) : new HashSet<>();
         for (DiscoveryEvent.Entry entry : change.entries()) {
-            EndpointInfo endpoint = entry.member();
+            EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() == EndpointState.REMOVED) {
                 removed.add(endpoint.id());
             } else {
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -119,7 +119,7 @@
     }
 
     /** Records that the planned shutdown is complete: the last event. */
-    public void finished() {
+    public void recordStopped() {
         recorder.proxyStopped();
     }
 
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -26,7 +26,7 @@
      * @param attempt which
      * @param received the response, or how it ended without one
      */
-    public void ended(Attempt attempt, UpstreamResponse received) {
+    public void attemptEnded(Attempt attempt, UpstreamResponse received) {
         if (attempt.hasEnded()) {
             return;
         }
--- a/src/main/java/petrelplank/proxy/RouterHost.java
+++ b/src/main/java/petrelplank/proxy/RouterHost.java
@@ -62,7 +62,7 @@
     @Override
     public void reject(String request, long retryAfterUs) {
         long retryAfterMs = (retryAfterUs + US_PER_MS - 1) / US_PER_MS;
-        completion.answer(openRequests.find(request), ClientResponse.refused(retryAfterMs));
+        completion.answer(openRequests.find(request), ClientResponse.rejected(retryAfterMs));
     }
 
     @Override
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -183,7 +183,7 @@
                     change.index(),
                     change.complete(),
                     change.entries().stream()
-                            .map(entry -> listed(entry.member()))
+                            .map(entry -> listed(entry.endpoint()))
                             .toList()));
         }
     }
--- a/src/main/java/petrelplank/proxy/UpstreamClient.java
+++ b/src/main/java/petrelplank/proxy/UpstreamClient.java
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Sends an attempt; its end is reported by {@link ResponseForwarder#ended}, never before this returns.
+     * Sends an attempt; its end is reported by {@link ResponseForwarder#attemptEnded}, never before this returns.
      *
      * @param attempt the attempt
      */
--- a/src/main/java/petrelplank/proxy/UpstreamRequest.java
+++ b/src/main/java/petrelplank/proxy/UpstreamRequest.java
@@ -9,7 +9,7 @@
  * @param part the part of the object
  * @param source id of the server from which a miss is filled; null for no fill
  * @param rank the rank at which the cache keeps the copy
- * @param oldestMs the maximum age of a copy that is served; 0 for the freshness lifetime of the class
+ * @param maxAgeMs the maximum age of a copy that is served; 0 for the freshness lifetime of the class
  * @param coalesce wait for a fill of the same object that is under way
  * @param onlyIfCached the source responds only with what it holds
  * @param staleWhileRevalidate serve a copy that is about to expire, and revalidate it in the background
@@ -25,7 +25,7 @@
         long part,
         String source,
         int rank,
-        long oldestMs,
+        long maxAgeMs,
         boolean coalesce,
         boolean onlyIfCached,
         boolean staleWhileRevalidate,
--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -56,8 +56,8 @@
         if (request.rank() > 0) {
             header.append(",rank=").append(request.rank());
         }
-        if (request.oldestMs() > 0) {
-            header.append(",oldest=").append(request.oldestMs());
+        if (request.maxAgeMs() > 0) {
+            header.append(",oldest=").append(request.maxAgeMs());
         }
     }
 
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -113,7 +113,7 @@
     }
 
     private void write(Attempt attempt, long nowUs) {
-        byte[] bytes = CommandEncoder.fetch(attempt.request(), attempt.limitMs(nowUs));
+        byte[] bytes = CommandEncoder.fetch(attempt.request(), attempt.remainingMs(nowUs));
         EncodedCommand command = new EncodedCommand(bytes, null, attempt::isAwaited);
         open.put(attempt.request().id(), new OpenAttempt(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -96,7 +96,7 @@
     }
 
     private void end(Attempt attempt, AttemptStatus status) {
-        forwarder.ended(attempt, UpstreamResponse.ended(attempt.request().id(), status));
+        forwarder.attemptEnded(attempt, UpstreamResponse.ended(attempt.request().id(), status));
     }
 
     @Override
@@ -147,7 +147,7 @@
                 faults.unsolicitedResponse();
             } else {
                 carriers.remove(attempt);
-                forwarder.ended(attempt, response);
+                forwarder.attemptEnded(attempt, response);
             }
         }
 
--- a/src/test/java/petrelplank/FileLengthTest.java
+++ b/src/test/java/petrelplank/FileLengthTest.java
@@ -10,24 +10,22 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** No source file is longer than 250 lines, but for those named here with the length that they have sunk to. */
+/** No source file, of main or of the tests, is longer than 250 lines. */
 class FileLengthTest {
-    private static final int MOST = 250;
-    private static final Map<String, Integer> LONGER = Map.ofEntries();
+    private static final int MAX_LINES = 250;
 
-    /** A file that is split has its bound lowered, or its line here taken out: it can't grow back. */
     @Test
-    void filesAreShortOrShrinking() throws IOException {
-        Map<String, Integer> found = new TreeMap<>();
+    void noFileIsTooLong() throws IOException {
+        Map<String, Integer> tooLong = new TreeMap<>();
         Path sources = Path.of("src");
         try (Stream<Path> files = Files.walk(sources)) {
             for (Path file : (Iterable<Path>) files.filter(f -> f.toString().endsWith(".java"))::iterator) {
                 int lines = Files.readAllLines(file).size();
-                if (lines > MOST) {
-                    found.put(sources.relativize(file).toString(), lines);
+                if (lines > MAX_LINES) {
+                    tooLong.put(sources.relativize(file).toString(), lines);
                 }
             }
         }
-        assertEquals(new TreeMap<>(LONGER), found);
+        assertEquals(Map.of(), tooLong);
     }
 }
--- a/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
@@ -37,16 +37,16 @@
     void fragmentedEventsAreDecoded(@ForAll long cuts) {
         List<DiscoveryEvent> events = read(STREAM, cuts);
         DiscoveryEvent.Change change = (DiscoveryEvent.Change) events.get(0);
-        assertEquals(EndpointState.DRAINING, change.entries().get(0).member().state());
-        assertEquals(5000, change.entries().get(0).member().startedUs());
+        assertEquals(EndpointState.DRAINING, change.entries().get(0).endpoint().state());
+        assertEquals(5000, change.entries().get(0).endpoint().startedUs());
         assertEquals(4100, change.entries().get(0).address().getPort());
         assertEquals(
                 List.of(
-                        new DiscoveryEvent.Beat(41),
+                        new DiscoveryEvent.Heartbeat(41),
                         new DiscoveryEvent.Purge(42, Long.parseUnsignedLong("ff3a9c21e0b4d655", 16), -1, 17),
                         new DiscoveryEvent.Purge(43, null, 17, 18),
-                        new DiscoveryEvent.Beat(43),
-                        new DiscoveryEvent.Other(44)),
+                        new DiscoveryEvent.Heartbeat(43),
+                        new DiscoveryEvent.Unknown(44)),
                 events.subList(1, events.size()));
     }
 
--- a/src/test/java/petrelplank/fastcgi/RecordEncoderTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordEncoderTest.java
@@ -41,7 +41,7 @@
 
     @Test
     void rejectionSaysWhenToRetry() {
-        byte[] encoded = RecordEncoder.response(1, ClientResponse.refused(250));
+        byte[] encoded = RecordEncoder.response(1, ClientResponse.rejected(250));
         String text = new String(encoded, StandardCharsets.ISO_8859_1);
         assertTrue(text.contains("Status: 503") && text.contains("Retry-After-Ms: 250\r\n"), text);
     }
--- a/src/test/java/petrelplank/proxy/RequestCompletionTest.java
+++ b/src/test/java/petrelplank/proxy/RequestCompletionTest.java
@@ -38,7 +38,7 @@
 
     @Test
     void completionCancelsTheDeadlineTimer() {
-        completion.answer(open("aaaaaaaaaaaaaaaa"), ClientResponse.refused(0));
+        completion.answer(open("aaaaaaaaaaaaaaaa"), ClientResponse.rejected(0));
         completion.clientDisconnected(open("bbbbbbbbbbbbbbbb"));
         open("cccccccccccccccc");
         loop.turn();
