--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -111,16 +111,16 @@
     /**
      * Follows a discovery service at another address, from the last event known; from any thread.
      *
-     * @param coordinator its address
+     * @param address its address
      * @param known events of a new configuration; those known already are ignored
      */
-    void follow(InetSocketAddress coordinator, List<JsonFields> known) {
+    void follow(InetSocketAddress address, List<JsonFields> known) {
         List<DiscoveryEvent> events =
                 known.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
             events.forEach(proxy::onEvent);
-            LOG.info("SIGHUP: following the discovery service at " + coordinator + " from " + proxy.lastEventIndex());
-            discovery.follow(coordinator);
+            LOG.info("SIGHUP: following the discovery service at " + address + " from " + proxy.lastEventIndex());
+            discovery.follow(address);
         });
     }
 
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -50,7 +50,7 @@
         unreadable.forEach(line -> System.err.println("petrelplank: " + line));
         if (records.entries() == 0) {
             return unusable("no records in " + String.join(", ", places)
-                    + "; a front writes them where its operator's file turns them on, and emulate with --records DIR");
+                    + "; a proxy writes them where its operator's file turns them on, and emulate with --records DIR");
         }
         write(new IncidentTimeline(records), unreadable);
         return unreadable.isEmpty() ? ExitStatus.SUCCESS : ExitStatus.INCOMPLETE_RECORDS;
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -6,8 +6,8 @@
 import petrelplank.routing.TerminationReason;
 
 /**
- * A fact that a proxy records, as the proxy knew it at the time. The types here make the schema of record files:
- * their order is the order of the union, so a new one comes last, and the meaning of a component never changes.
+ * A fact that a proxy records, as the proxy knew it at the time. The types here make the schema of record files, in
+ * the order of {@link StoredEventOrder}; the meaning of a component never changes.
  * Times are Unix microseconds and durations microseconds unless a name says otherwise; a request is named by its id,
  * 16 hex digits as a number.
  */
--- a/src/main/java/petrelplank/record/UnionCodec.java
+++ b/src/main/java/petrelplank/record/UnionCodec.java
@@ -9,7 +9,7 @@
 import org.apache.avro.generic.IndexedRecord;
 import org.apache.avro.io.Encoder;
 
-/** The records of a sealed interface as an Avro union, in the order of its permitted subclasses. */
+/** The records of a sealed interface as an Avro union, in a given order. */
 final class UnionCodec implements ValueCodec {
     private record Branch(int index, ValueCodec codec) {}
 
@@ -17,7 +17,7 @@
     private final Map<Class<?>, Branch> byType = new HashMap<>();
     private final Map<String, ValueCodec> byStoredName = new HashMap<>();
 
-    UnionCodec(Class<?>[] types, ValueCodecs codecs) {
+    UnionCodec(List<? extends Class<?>> types, ValueCodecs codecs) {
         List<Schema> schemas = new ArrayList<>();
         for (Class<?> type : types) {
             ValueCodec codec = codecs.of(type);
--- a/src/main/java/petrelplank/record/ValueCodecs.java
+++ b/src/main/java/petrelplank/record/ValueCodecs.java
@@ -46,8 +46,8 @@
             return new EnumCodec(type);
         } else if (type.isRecord()) {
             return new StructCodec(type, this);
-        } else if (type.isSealed()) {
-            return new UnionCodec(type.getPermittedSubclasses(), this);
+        } else if (type == Event.class) {
+            return new UnionCodec(StoredEventOrder.TYPES, this);
         }
         throw new IllegalStateException("no Avro type for " + type);
     }
--- a/src/test/java/petrelplank/ArchitectureTest.java
+++ b/src/test/java/petrelplank/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Packages depend in one direction, and modules that decide do no I/O, start no thread and read no clock. */
+/** Packages depend in one direction; modules that decide do no I/O, start no thread and read no clock. */
 class ArchitectureTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -33,6 +33,13 @@
                         "petrelplank.record..",
                         "petrelplank.cli..",
                         "petrelplank.discovery",
+                        "petrelplank.transport..",
+                        "petrelplank.settings..",
+                        "petrelplank.simulator..",
+                        "petrelplank.emulator..",
+                        "petrelplank.analysis..",
+                        "petrelplank.report..",
+                        "petrelplank.yaml..",
                         "java.io..",
                         "java.net..",
                         "java.nio..")
@@ -40,7 +47,7 @@
     }
 
     @Test
-    void modulesThatDecideNeitherWaitNorReadNorLookAtTheClock() {
+    void modulesThatDecideNeitherBlockNorDoIoNorReadTheClock() {
         noClasses()
                 .that()
                 .resideInAnyPackage("..routing..", "..discovery.backoff..", "..analysis..")
@@ -68,9 +75,9 @@
                 .check(CLASSES);
     }
 
-    /** What the front loads on the platform knows nothing of reports, emulators and their libraries. */
+    /** What {@code serve} loads knows nothing of reports, the emulator and their libraries. */
     @Test
-    void theFrontDoesWithoutTools() {
+    void serveDoesWithoutTools() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -89,10 +96,10 @@
 
     /**
      * A condition's timed wait that runs out just while it is signalled spins until the signalling thread goes on;
-     * with one core, or a part of one, that thread may be the one that has to wait. Seen as a front that stood still.
+     * with one core, or a part of one, that thread may be the one that has to wait. Seen as a proxy that stood still.
      */
     @Test
-    void theFrontWaitsOnNoConditionWithATimeOut() {
+    void noClassWaitsOnAConditionWithATimeout() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
--- a/src/test/java/petrelplank/cli/ProxyProcesses.java
+++ b/src/test/java/petrelplank/cli/ProxyProcesses.java
@@ -31,21 +31,21 @@
      *
      * @param folder for configurations and logs
      * @param count how many
-     * @param coordinator the address of the discovery service, or of a relay before it
+     * @param discoveryAddress address of the discovery service, or of a relay before it
      * @param instances the JSON array of the endpoint list in each configuration
      */
-    ProxyProcesses(Path folder, int count, String coordinator, String instances) throws IOException {
-        this(folder, count, coordinator, instances, List.of());
+    ProxyProcesses(Path folder, int count, String discoveryAddress, String instances) throws IOException {
+        this(folder, count, discoveryAddress, instances, List.of());
     }
 
     /**
      * As above, with {@code launcher} before each proxy's own command line; it has to end by exec.
      */
-    ProxyProcesses(Path folder, int count, String coordinator, String instances, List<String> launcher)
+    ProxyProcesses(Path folder, int count, String discoveryAddress, String instances, List<String> launcher)
             throws IOException {
         for (int i = 0; i < count; i++) {
             Path config = folder.resolve("front-" + i + ".json");
-            Files.writeString(config, configuration(i, count, coordinator, instances));
+            Files.writeString(config, configuration(i, count, discoveryAddress, instances));
             Path log = folder.resolve("front-" + i + ".log");
             logs.add(log);
             processes.add(new ProcessBuilder(command(config, launcher))
@@ -55,13 +55,13 @@
         }
     }
 
-    private static String configuration(int index, int count, String coordinator, String instances) {
+    private static String configuration(int index, int count, String discoveryAddress, String instances) {
         String settings = LoopbackFixture.SETTINGS
                 .replace("\"balancers\":1", "\"balancers\":" + count)
                 .replace("\"self-index\":0", "\"self-index\":" + index);
         return "{\"name\":\"n" + index + "\",\"listen\":\"127.0.0.1:0\",\"seed\":\""
                 + String.format("%016x", SEED_STEP * (index + 1)) + "\",\"limits\":{\"cores\":1.0,"
-                + "\"memory_mb\":96,\"sockets\":256},\"coordinator\":\"" + coordinator
+                + "\"memory_mb\":96,\"sockets\":256},\"coordinator\":\"" + discoveryAddress
                 + "\",\"known\":{\"index\":1,"
                 + "\"updates\":[{\"index\":1,\"endpoints\":{\"instances\":" + instances
                 + "}}]},\"settings\":"
--- a/src/test/java/petrelplank/record/RecordCodecTest.java
+++ b/src/test/java/petrelplank/record/RecordCodecTest.java
@@ -52,4 +52,10 @@
         }
         assertArrayEquals(bytes[0], bytes[1]);
     }
+
+    @Test
+    void everyEventTypeHasItsPlaceInTheStoredOrder() {
+        assertEquals(Set.of(Event.class.getPermittedSubclasses()), new HashSet<Class<?>>(StoredEventOrder.TYPES));
+        assertEquals(Event.class.getPermittedSubclasses().length, StoredEventOrder.TYPES.size());
+    }
 }
