--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -16,7 +16,7 @@
         DRAINING
     }
 
-    private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
+    private static final Logger LOG = Logger.getLogger(Readiness.class.getName());
     /**
      * The longest wait for the discovery service: it sends a heartbeat each second, and its client counts a connection
      * that is silent for this long as dead, so a proxy that has heard nothing by then would wait in vain.
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -12,7 +12,7 @@
  * while longer; all that is open is answered; idle connections of clients are closed. Event thread only.
  */
 final class Shutdown {
-    private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
+    private static final Logger LOG = Logger.getLogger(Shutdown.class.getName());
     private static final long US_PER_MS = 1000;
     /** After SIGTERM connections come for up to 400 ms and requests for 200 ms more; both with a generous margin. */
     private static final long ACCEPT_CONNECTIONS_US = 600 * US_PER_MS;
--- a/src/main/java/petrelplank/cli/Warmup.java
+++ b/src/main/java/petrelplank/cli/Warmup.java
@@ -15,7 +15,7 @@
  * with less than half a core they would wait for the compiler.
  */
 final class Warmup {
-    private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
+    private static final Logger LOG = Logger.getLogger(Warmup.class.getName());
     private static final int ROUTED_REQUESTS = 1500;
     private static final int LISTENER_ROUNDS = 60;
 
--- a/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
+++ b/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
@@ -4,7 +4,7 @@
 
 /** Counts faults of clients and closes of their connections, and logs few of them. Event thread only. */
 final class ClientFaultLog {
-    private static final Logger LOG = Logger.getLogger(FastCgiAcceptor.class.getName());
+    private static final Logger LOG = Logger.getLogger(ClientFaultLog.class.getName());
     /** Faulty clients send at full speed: a line for each would cost CPU and memory that good ones need. */
     private static final int LOG_ONE_IN = 250;
 
--- a/src/main/java/petrelplank/proxy/RouterHost.java
+++ b/src/main/java/petrelplank/proxy/RouterHost.java
@@ -16,7 +16,7 @@
  * {@link #watchEndpoints}, which does nothing here.
  */
 final class RouterHost implements Router.Actions {
-    private static final Logger LOG = Logger.getLogger(EdgeProxy.class.getName());
+    private static final Logger LOG = Logger.getLogger(RouterHost.class.getName());
     private static final long MIN_TIMER_US = 1000;
     private static final int US_PER_MS = 1000;
 
--- a/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
+++ b/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
@@ -4,7 +4,7 @@
 
 /** Counts faults of upstream servers, and logs one in some of them. Event thread only. */
 final class UpstreamFaultLog {
-    private static final Logger LOG = Logger.getLogger(UpstreamConnectionPool.class.getName());
+    private static final Logger LOG = Logger.getLogger(UpstreamFaultLog.class.getName());
     private static final int LOGGED_ONE_IN = 25;
 
     private long malformed;
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -46,7 +46,7 @@
     /** A request that is read after the drain has found everything answered is rejected, and never sent upstream. */
     @Test
     void requestReadAsTheDrainEndsIsRejected() throws IOException, InterruptedException {
-        Logger log = Logger.getLogger(ProxyServer.class.getName());
+        Logger log = Logger.getLogger(Shutdown.class.getName());
         CountDownLatch stopped = new CountDownLatch(1);
         CountDownLatch requestRead = new CountDownLatch(1);
         Handler askingAtTheEnd = new Handler() {
