--- a/src/main/java/petrelplank/routing/Checks.java
+++ b/src/main/java/petrelplank/routing/Checks.java
@@ -1,13 +1,17 @@
 package petrelplank.routing;
 
-/** Checks of values in settings. */
+/** Validation of setting values. */
 final class Checks {
     private Checks() {}
 
-    /** Throws where a value is out of range; the message names the setting and the value. */
+    /**
+     * Throws an {@link IllegalArgumentException} unless the value is valid; the message has the setting and the value.
+     *
+     * @param name key of the setting in the configuration, followed by the rule that it has to keep
+     */
     static void require(boolean holds, String name, Object value) {
         if (!holds) {
-            throw new IllegalArgumentException("setting " + name + ": bad value " + value);
+            throw new IllegalArgumentException("invalid setting " + name + ": found " + value);
         }
     }
 }
--- a/src/main/java/petrelplank/routing/RouterSettings.java
+++ b/src/main/java/petrelplank/routing/RouterSettings.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * Settings of a {@link Router}: the gateway's place in the fleet, the service classes and the rules of the platform.
+ * Settings of a {@link Router}: the place of its proxy in the fleet, the service classes and the rules of the platform.
  *
- * @param self its number among the gateways
- * @param gateways gateways in the fleet
- * @param zone the gateway's zone
+ * @param self index of this proxy in the fleet
+ * @param gateways number of proxies in the fleet
+ * @param zone zone of this proxy
  * @param zones all zones
- * @param zoneGateways gateways in each of {@code zones}; empty where they are not known
- * @param zoneHub by zone: its hub, as a place in {@code zones}; hubs form a ring; empty where they are not known
- * @param zoneLinkKbPerSecond by zone: capacity of the link into it; 0 or empty where it is not known
- * @param parentKind the {@link EndpointInfo#kind} of parents; null where there are none
- * @param originKind the {@link EndpointInfo#kind} of the origin; null where there is none
- * @param flowKbPerSecond highest rate of one response; 0 where it is not known
- * @param weightMeaning what the endpoints' weights mean
- * @param cacheStatusDetail how much responses tell of copies and fills
+ * @param zoneGateways number of proxies in each of {@code zones}; empty if unknown
+ * @param zoneHub hub of each of {@code zones}, as an index in {@code zones}; hubs form a ring; empty if unknown
+ * @param zoneLinkKbPerSecond capacity of the link into each of {@code zones}; 0 or empty if unknown
+ * @param parentKind the {@link EndpointInfo#kind} of parents; null if there are none
+ * @param originKind the {@link EndpointInfo#kind} of the origin; null if there is none
+ * @param flowKbPerSecond maximum transfer rate of one response; 0 if unknown
+ * @param weightMeaning meaning of the endpoints' weights
+ * @param cacheStatusDetail how much responses report about copies and fills
  * @param reportFields names of the values in load reports
- * @param watchEndpoints the endpoint list comes only after {@link Router.Actions#watchEndpoints}
- * @param connectTimeoutUs a connection that is not made in this time has failed
+ * @param watchEndpoints whether the endpoint list is sent only after {@link Router.Actions#watchEndpoints}
+ * @param connectTimeoutUs time after which a connection that is not established has failed
  * @param classes the service classes
  * @param permissions what the platform allows the router to do
- * @param rules figures of the platform's rules
- * @param tenants tenants with a quota; empty where there are none
- * @param overQuotaWeightFactor part of a class's priority weight that a request over its tenant's quota has
+ * @param rules limits and durations of the platform's rules
+ * @param tenants tenants with a quota; empty if there are none
+ * @param overQuotaWeightFactor fraction of the priority weight of a class that a request over its tenant's quota has
  */
 public record RouterSettings(
         int self,
@@ -48,28 +48,28 @@
         List<Tenant> tenants,
         double overQuotaWeightFactor) {
     /**
-     * How many gateways share what belongs to the own zone.
+     * Returns the number of proxies that share the endpoints and the link of this proxy's zone.
      *
-     * @return those of the zone; all gateways where the zone's are unknown or 0
+     * @return the number of proxies in the zone; that of all proxies if it is unknown or 0
      */
     public int zoneGatewayCount() {
         int at = zones.indexOf(zone);
         return at < zoneGateways.size() && zoneGateways.get(at) > 0 ? zoneGateways.get(at) : gateways;
     }
 
-    /** Checks and copies the values. */
+    /** Validates and copies the values. */
     public RouterSettings {
-        Checks.require(gateways > 0, "gateways (must be above 0)", gateways);
-        Checks.require(self >= 0, "self (must be 0 or more)", self);
-        Checks.require(zones != null, "zones", zones);
-        Checks.require(zone != null && zones.contains(zone), "zone (must be one of zones)", zone);
-        Checks.require(flowKbPerSecond >= 0, "flowKbPerS (must be 0 or more)", flowKbPerSecond);
-        Checks.require(connectTimeoutUs >= 0, "connectTimeoutUs (must be 0 or more)", connectTimeoutUs);
-        Checks.require(weightMeaning != null, "weights", weightMeaning);
-        Checks.require(cacheStatusDetail != null, "notes", cacheStatusDetail);
-        Checks.require(classes != null && !classes.isEmpty(), "classes (must not be empty)", classes);
-        Checks.require(permissions != null, "allowed", permissions);
-        Checks.require(rules != null, "rules", rules);
+        Checks.require(gateways > 0, "balancers (must be above 0)", gateways);
+        Checks.require(self >= 0, "self-index (must be 0 or more)", self);
+        Checks.require(zones != null, "localities (must not be null)", zones);
+        Checks.require(zone != null && zones.contains(zone), "zone (must be one of localities)", zone);
+        Checks.require(flowKbPerSecond >= 0, "flow-kb-per-s (must be 0 or more)", flowKbPerSecond);
+        Checks.require(connectTimeoutUs >= 0, "connect-timeout-us (must be 0 or more)", connectTimeoutUs);
+        Checks.require(weightMeaning != null, "weights (must not be null)", weightMeaning);
+        Checks.require(cacheStatusDetail != null, "note-level (must not be null)", cacheStatusDetail);
+        Checks.require(classes != null && !classes.isEmpty(), "services (must not be empty)", classes);
+        Checks.require(permissions != null, "caps (must not be null)", permissions);
+        Checks.require(rules != null, "rules (must not be null)", rules);
         zones = List.copyOf(zones);
         zoneGateways = zoneGateways == null ? List.of() : List.copyOf(zoneGateways);
         zoneHub = zoneHub == null ? List.of() : List.copyOf(zoneHub);
@@ -78,22 +78,22 @@
         classes = List.copyOf(classes);
         Checks.require(
                 classes.stream().map(ServiceClass::name).distinct().count() == classes.size(),
-                "classes: a name twice",
+                "services (names must be unique)",
                 classes);
         tenants = tenants == null ? List.of() : List.copyOf(tenants);
         Checks.require(
                 tenants.stream().map(Tenant::name).distinct().count() == tenants.size(),
-                "tenants: a name twice",
+                "tenants (names must be unique)",
                 tenants);
         Checks.require(
                 overQuotaWeightFactor >= 0 && overQuotaWeightFactor <= 1,
-                "overShareWorth (must be 0 to 1)",
+                "over-share-worth (must be 0 to 1)",
                 overQuotaWeightFactor);
         for (int gateway : zoneGateways) {
-            Checks.require(gateway >= 0, "zoneGateways (must be 0 or more)", gateway);
+            Checks.require(gateway >= 0, "crew-by-zone (must be 0 or more)", gateway);
         }
         for (int hub : zoneHub) {
-            Checks.require(hub >= 0 && hub < zones.size(), "zoneHub (must be a place in zones)", hub);
+            Checks.require(hub >= 0 && hub < zones.size(), "hub-of (must be an index in localities)", hub);
         }
     }
 }
--- a/src/main/java/petrelplank/routing/RoutingPermissions.java
+++ b/src/main/java/petrelplank/routing/RoutingPermissions.java
@@ -1,17 +1,17 @@
 package petrelplank.routing;
 
 /**
- * What the platform allows the router to do, and how much of it.
+ * What the platform allows the router to do, and the limits that it sets.
  *
- * @param maxAttempts upper bound on attempts for one request
- * @param hedging two attempts of one request may be in flight together
- * @param cancel {@link Router.Actions#cancel} is allowed
- * @param healthChecks {@link Router.Actions#healthCheck} is allowed
- * @param gossip {@link Router.Actions#gossip} is allowed
- * @param retryAfter rejections may carry advice on when to retry
- * @param maxRetryAfterUs the longest such advice
- * @param coalescing requests may join a fill in progress
- * @param directToParents attempts may go to parents and the origin without a cache between
+ * @param maxAttempts maximum number of attempts for one request
+ * @param hedging whether several attempts of one request may be in flight at the same time
+ * @param cancel whether {@link Router.Actions#cancel} is allowed
+ * @param healthChecks whether {@link Router.Actions#healthCheck} is allowed
+ * @param gossip whether {@link Router.Actions#gossip} is allowed
+ * @param retryAfter whether rejections may carry advice on when to retry
+ * @param maxRetryAfterUs the longest time that such advice may name
+ * @param coalescing whether requests may join a fill in progress
+ * @param directToParents whether attempts may go directly to parents and the origin, without a cache in between
  * @param siblingFills which caches may be the source of a fill
  */
 public record RoutingPermissions(
@@ -25,10 +25,10 @@
         boolean coalescing,
         boolean directToParents,
         SiblingFillPolicy siblingFills) {
-    /** Checks the values. */
+    /** Validates the values. */
     public RoutingPermissions {
-        Checks.require(maxAttempts > 0, "attempts (must be above 0)", maxAttempts);
-        Checks.require(maxRetryAfterUs >= 0, "maxRetryAfterUs (must be 0 or more)", maxRetryAfterUs);
-        Checks.require(siblingFills != null, "siblings", siblingFills);
+        Checks.require(maxAttempts > 0, "try-limit (must be above 0)", maxAttempts);
+        Checks.require(maxRetryAfterUs >= 0, "max-retry-after-us (must be 0 or more)", maxRetryAfterUs);
+        Checks.require(siblingFills != null, "neighbours (must not be null)", siblingFills);
     }
 }
--- a/src/main/java/petrelplank/routing/Tenant.java
+++ b/src/main/java/petrelplank/routing/Tenant.java
@@ -3,13 +3,14 @@
 /**
  * A tenant whose requests are counted against a quota.
  *
- * @param name its name, as requests carry it
- * @param quotaPerSecond requests a second over all gateways that have full weight; those beyond have less
+ * @param name name of the tenant, as in {@link RoutingRequest#tenant}
+ * @param quotaPerSecond requests per second over all proxies that have full weight; requests beyond it have less
  */
 public record Tenant(String name, double quotaPerSecond) {
-    /** Checks the values. */
+    /** Validates the values. */
     public Tenant {
-        Checks.require(name != null && !name.isEmpty(), "tenant name", name);
-        Checks.require(quotaPerSecond >= 0, "tenant " + name + " allowancePerS (must be 0 or more)", quotaPerSecond);
+        Checks.require(name != null && !name.isEmpty(), "name of a tenant (must not be empty)", name);
+        Checks.require(
+                quotaPerSecond >= 0, "allowance-per-s of tenant " + name + " (must be 0 or more)", quotaPerSecond);
     }
 }
--- a/src/test/java/petrelplank/routing/TenantQuotasTest.java
+++ b/src/test/java/petrelplank/routing/TenantQuotasTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Under overload, requests over a tenant's quota are rejected first; where there is room, all are served. */
+/** Under overload, requests over a tenant's quota are rejected first; without overload, all are served. */
 class TenantQuotasTest {
     private static RouterSettings settings(double quotaPerSecond, double overQuotaWeightFactor) {
         RouterSettings usual =
@@ -36,7 +36,7 @@
                 overQuotaWeightFactor);
     }
 
-    /** Requests of each tenant in turn at one moment; how many of them were rejected. */
+    /** Sends 400 requests at once, the tenants in turn, and returns the number of rejected ones by tenant. */
     private static int[] rejectedOfABurst(RouterSettings settings, String... tenants) {
         RouterFixture host = new RouterFixture(settings).withUsualEndpoints();
         host.fills(0, 100);
@@ -51,7 +51,9 @@
     @Test
     void requestsOverTheQuotaAreRejectedFirst() {
         int[] rejected = rejectedOfABurst(settings(2, 0.1), "small", "large");
-        assertThat(200 - rejected[1]).as("large, let through").isGreaterThan((int) (1.3 * (200 - rejected[0])));
+        assertThat(200 - rejected[1])
+                .as("requests of the large tenant that were not rejected")
+                .isGreaterThan((int) (1.3 * (200 - rejected[0])));
     }
 
     @Test
@@ -66,7 +68,7 @@
         assertThat(Math.abs(rejected[0] - rejected[1])).isLessThan(30);
     }
 
-    /** No tenant, and one that the settings don't name, count like one within its quota. */
+    /** A request without a tenant, or with one that the settings do not name, counts as within the quota. */
     @Test
     void requestsWithoutAKnownTenantAreRejectedLikeThoseWithinTheQuota() {
         int[] rejected = rejectedOfABurst(settings(2, 0.1), null, "nobody", "large");
@@ -86,14 +88,16 @@
         assertThat(host.rejected).isEmpty();
     }
 
-    /** A quota counts over some seconds: rejected first right after a burst, like all others later. */
+    /** Quota use decays within seconds: a tenant is rejected first right after a burst, and like all others later. */
     @Test
     void tenantThatPausedIsWithinItsQuotaAgain() {
-        assertThat(servedRatioAfterABurst(0)).as("part of what the other had").isLessThan(0.8);
+        assertThat(servedRatioAfterABurst(0))
+                .as("served requests over those of the other tenant, right after the burst")
+                .isLessThan(0.8);
         assertThat(servedRatioAfterABurst(60 * S)).isGreaterThan(0.9);
     }
 
-    /** Served requests of a tenant after a burst of 300 and a pause, over those of another one. */
+    /** Served requests of a tenant after a burst of 300 and a pause, divided by those of another tenant. */
     private static double servedRatioAfterABurst(long pauseUs) {
         RouterFixture host = new RouterFixture(settings(60, 0.1)).withUsualEndpoints();
         host.tenant = "small";
@@ -111,9 +115,9 @@
 
     @Test
     void badTenantIsNamedInTheMessage() {
-        assertThatThrownBy(() -> new Tenant("", 1)).hasMessageContaining("tenant name");
-        assertThatThrownBy(() -> new Tenant("a", -1)).hasMessageContaining("tenant a allowancePerS");
-        assertThatThrownBy(() -> new Tenant("a", Double.NaN)).hasMessageContaining("tenant a allowancePerS");
-        assertThatThrownBy(() -> settings(1, 1.5)).hasMessageContaining("overShareWorth");
+        assertThatThrownBy(() -> new Tenant("", 1)).hasMessageContaining("name of a tenant");
+        assertThatThrownBy(() -> new Tenant("a", -1)).hasMessageContaining("allowance-per-s of tenant a");
+        assertThatThrownBy(() -> new Tenant("a", Double.NaN)).hasMessageContaining("allowance-per-s of tenant a");
+        assertThatThrownBy(() -> settings(1, 1.5)).hasMessageContaining("over-share-worth");
     }
 }
--- a/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
@@ -116,6 +116,6 @@
     void exceptionOfARouterBecomesACrash() throws IOException {
         assertEquals(0, run(START.replace("\"zone\":\"edge-1\"", "\"zone\":\"nowhere\"")));
         String reply = output();
-        assertTrue(reply.contains("\"verb\":\"CRASH\"") && reply.contains("zone (must be one of zones)"), reply);
+        assertTrue(reply.contains("\"verb\":\"CRASH\"") && reply.contains("zone (must be one of localities)"), reply);
     }
 }
