--- a/src/main/java/petrelplank/routing/AttemptPlan.java
+++ b/src/main/java/petrelplank/routing/AttemptPlan.java
@@ -1,16 +1,16 @@
 package petrelplank.routing;
 
 /**
- * An attempt to send, with what the endpoint is asked to do on a miss.
+ * An attempt to send, with instructions to the endpoint for the case of a miss.
  *
- * @param server the endpoint that is asked
- * @param source the endpoint that a miss is filled from; the server itself for none
- * @param rank rank of the copy in the cache, 1 to 3; 0 caches nothing and changes nothing
- * @param maxAgeUs age of the oldest acceptable copy; 0 for the class's own limit
- * @param coalesce join a fill in progress (request coalescing)
- * @param onlyIfCached the source serves only what it has cached
- * @param staleWhileRevalidate a copy past its fresh time is served, and fetched anew in the background
- * @param timeoutUs the attempt's time-out, more than 0
+ * @param server id of the endpoint that receives the attempt
+ * @param source id of the endpoint that a miss is filled from; the same as {@code server} if there is none
+ * @param rank rank that the copy gets in the cache, 1 to 3; 0 neither stores a copy nor changes an existing one
+ * @param maxAgeUs maximum age of an acceptable copy; 0 if the service class alone limits it
+ * @param coalesce whether a miss may join a fill in progress (request coalescing)
+ * @param onlyIfCached whether the source serves only what it has cached
+ * @param staleWhileRevalidate whether a stale copy may be served while the cache fetches a new one in the background
+ * @param timeoutUs time-out of the attempt, above 0
  */
 public record AttemptPlan(
         String server,
--- a/src/main/java/petrelplank/routing/AttemptPlanner.java
+++ b/src/main/java/petrelplank/routing/AttemptPlanner.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Chooses endpoint, source and fill mode of a request's next attempt. */
+/** Chooses the endpoint, the fill source and the fill mode of the next attempt of a request. */
 final class AttemptPlanner {
     private final boolean directToParents;
     private final EndpointRegistry endpoints;
@@ -27,7 +27,7 @@
         this.copies = copies;
     }
 
-    /** Where the next attempt goes, or why there is none. */
+    /** Returns the route of the next attempt, or the reason why there is none. */
     AttemptRoute plan(RequestState request, long now) {
         request.originAccess = originAccess(request, now);
         return request.isWrite() ? planWrite(request, now) : planRead(request, now);
@@ -41,7 +41,10 @@
         return withheld ? OriginAccess.WITHHELD : OriginAccess.UNRESTRICTED;
     }
 
-    /** A write runs at the origin: straight where that is allowed, else by way of a cache. */
+    /**
+     * Routes a write, which runs at the origin: directly if that is allowed and the origin is usable, else through
+     * another endpoint.
+     */
     private AttemptRoute planWrite(RequestState request, long now) {
         Endpoint origin = endpoints.isOriginUp() ? endpoints.origin() : null;
         Endpoint endpoint;
@@ -58,7 +61,10 @@
         return AttemptRoute.to(endpoint, origin == null ? endpoint : origin, FillMode.NONE);
     }
 
-    /** A read goes to a cache; past the caches where none can take it, and none was passed by for its limit. */
+    /**
+     * Routes a read to a cache. If no cache can take it, it goes directly to the source where that is allowed, unless a
+     * cache was skipped because it is at its limit.
+     */
     private AttemptRoute planRead(RequestState request, long now) {
         Endpoint source = sources.select(request, now);
         Endpoint cache = caches.select(request, now);
@@ -75,7 +81,10 @@
         return AttemptRoute.rejected(TerminationReason.NO_ENDPOINT_AVAILABLE);
     }
 
-    /** A cache without a copy fills it from the source; where no fill may be made, it is asked once for what it has. */
+    /**
+     * Plans a read at a cache. A cache that may lack a copy fills it from the source; where no fill is allowed, the
+     * request gets one lookup of the copies that the cache has.
+     */
     private AttemptRoute planCacheRead(RequestState request, Endpoint cache, Endpoint source) {
         boolean onlyIfCached = request.originAccess.isOnlyIfCached();
         boolean holdsCopy = !onlyIfCached && copies.holds(cache, request.key);
--- a/src/main/java/petrelplank/routing/AttemptRoute.java
+++ b/src/main/java/petrelplank/routing/AttemptRoute.java
@@ -1,12 +1,12 @@
 package petrelplank.routing;
 
 /**
- * Where the next attempt goes, or why there is none.
+ * The route of the next attempt, or the reason why there is none.
  *
- * @param endpoint who is asked; null where there is none
- * @param source who supplies a miss; the endpoint itself for nobody
- * @param fillMode what may be fetched from the source
- * @param rejection why there is no attempt; null where there is one
+ * @param endpoint the endpoint that receives the attempt; null if there is no attempt
+ * @param source the endpoint that a miss is filled from; the same as {@code endpoint} if there is none
+ * @param fillMode what the cache may fetch from the source
+ * @param rejection why there is no attempt; null if there is one
  */
 record AttemptRoute(Endpoint endpoint, Endpoint source, FillMode fillMode, TerminationReason rejection) {
     static AttemptRoute to(Endpoint endpoint, Endpoint source, FillMode fillMode) {
--- a/src/main/java/petrelplank/routing/AttemptSender.java
+++ b/src/main/java/petrelplank/routing/AttemptSender.java
@@ -2,9 +2,9 @@
 
 import petrelplank.routing.Endpoint.Role;
 
-/** Sends an attempt along its route, with the freshness bound, the copy's rank and the time-out that it needs. */
+/** Sends attempts along their routes, with the maximum age and the rank of the copy and the time-out. */
 final class AttemptSender {
-    /** Rank of a copy that is not to be kept. */
+    /** Rank of a response that is not cached. */
     private static final int RANK_NOT_KEPT = 0;
 
     private static final int RANK_FIRST_REQUEST = 1;
@@ -32,7 +32,7 @@
         this.popularity = popularity;
     }
 
-    /** Sends the attempt, and sets a timer for its check. */
+    /** Sends the attempt, and schedules the check for a missing response. */
     void send(RequestState request, AttemptRoute route, long now) {
         AttemptState attempt = attempts.begin(request, route, now);
         actions.send(request.request.id(), plan(request, route, now));
--- a/src/main/java/petrelplank/routing/AttemptState.java
+++ b/src/main/java/petrelplank/routing/AttemptState.java
@@ -1,15 +1,16 @@
 package petrelplank.routing;
 
-/** One attempt in flight. */
+/** An attempt in flight. */
 final class AttemptState {
     final Endpoint endpoint;
-    /** Who supplies a miss; the endpoint itself for nobody. */
+    /** The endpoint that a miss is filled from; the same as {@code endpoint} if there is none. */
     final Endpoint source;
 
     final FillMode fillMode;
     final long sentUs;
+    /** Expected transfer time of the response, as estimated when the attempt was sent. */
     final double transferUs;
-    /** It is the health-check attempt of an ejected endpoint or source. */
+    /** Whether this attempt is the health check of an ejected endpoint or source. */
     final boolean healthCheck;
 
     AttemptState(AttemptRoute route, long sentUs, double transferUs, boolean healthCheck) {
@@ -21,7 +22,7 @@
         this.healthCheck = healthCheck;
     }
 
-    /** Whether it may make a fill that counts under the limit of fills. */
+    /** Whether the attempt may cause a full fill, which counts against the concurrency limit of fills. */
     boolean isFill() {
         return fillMode == FillMode.FULL;
     }
--- a/src/main/java/petrelplank/routing/AttemptStatus.java
+++ b/src/main/java/petrelplank/routing/AttemptStatus.java
@@ -1,30 +1,30 @@
 package petrelplank.routing;
 
-/** How an attempt ended. */
+/** The ways in which an attempt can end. */
 public enum AttemptStatus {
-    /** Served. */
+    /** The endpoint served the response. */
     OK,
-    /** The endpoint answered with an error; the request may have run. */
+    /** The endpoint answered with an error; the request may have been executed. */
     ERROR,
-    /** Rejected by the endpoint or its fill source, or the source was not reached; the request did not run. */
+    /** Rejected by the endpoint or its fill source, or the source was unreachable; the request was not executed. */
     REJECTED,
-    /** No response before the time-out; the request may have run or still run. */
+    /** No response before the time-out; the request may have been executed, or may still be executing. */
     TIMEOUT,
-    /** No connection was made; the request did not run. */
+    /** No connection could be established; the request was not executed. */
     CONNECT_FAILED,
-    /** The connection broke; the request may have run. */
+    /** The connection was reset; the request may have been executed. */
     RESET,
-    /** Cancelled by the router; the request may have run. */
+    /** Cancelled by the router; the request may have been executed. */
     CANCELLED,
-    /** Never sent; the request did not run. */
+    /** Never sent; the request was not executed. */
     NOT_SENT,
-    /** No acceptable copy, and none was filled; the request did not run. */
+    /** The cache has no acceptable copy and filled none; the request was not executed. */
     MISS;
 
     /**
-     * Whether this status proves that the request did not run.
+     * Whether this status proves that the request was not executed.
      *
-     * @return true where nothing can have happened
+     * @return true if the request cannot have been executed
      */
     public boolean neverExecuted() {
         return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT || this == MISS;
--- a/src/main/java/petrelplank/routing/CacheStatus.java
+++ b/src/main/java/petrelplank/routing/CacheStatus.java
@@ -1,36 +1,36 @@
 package petrelplank.routing;
 
-/** What a response tells of a copy or a fill. */
+/** What a response reports about the cached copy or the fill. */
 public enum CacheStatus {
-    /** The response tells nothing. */
+    /** The response reports nothing. */
     NONE,
     /** Served from a copy in the cache. */
     HIT,
-    /** Filled from the source's copy. */
+    /** Filled from a copy at the source. */
     FILLED,
-    /** Filled by way of the origin. */
+    /** Filled with a response that came from the origin. */
     FILLED_FROM_ORIGIN,
-    /** Joined a fill in progress; on a miss: one is in progress. */
+    /** Joined a fill in progress (request coalescing); with a miss: a fill is in progress. */
     COALESCED,
-    /** Served from a copy past its fresh time. */
+    /** Served from a stale copy in the cache. */
     STALE,
     /** The source rejected the fill. */
     SOURCE_REJECTED,
-    /** The source was not reached, broke the connection or was too slow. */
+    /** The source could not be reached, reset the connection or was too slow. */
     SOURCE_UNREACHABLE,
     /** The source has no copy. */
     SOURCE_MISS,
-    /** The cache is at its limit of fills. */
+    /** The cache has reached its limit of concurrent fills. */
     FILL_LIMIT_REACHED,
-    /** The origin failed behind the parent. */
+    /** The origin failed when the parent called it. */
     ORIGIN_FAILED;
 
-    /** Whether the answer came from a copy that the cache had. */
+    /** Whether the response was served from a copy that the cache already had. */
     boolean isCopy() {
         return this == HIT || this == STALE;
     }
 
-    /** Whether the copy came from a source, with a fill of this attempt's own. */
+    /** Whether this attempt caused a fill of its own from a source. */
     boolean isFill() {
         return this == FILLED || this == FILLED_FROM_ORIGIN;
     }
--- a/src/main/java/petrelplank/routing/CacheStatusDetail.java
+++ b/src/main/java/petrelplank/routing/CacheStatusDetail.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** How much responses tell; see {@link CacheStatus}. */
+/** How much of the {@link CacheStatus} responses report. */
 public enum CacheStatusDetail {
-    /** Nothing. */
+    /** Responses report no cache status. */
     NONE,
-    /** Hits and fills, not failures. */
+    /** Responses report hits and fills, but no failures. */
     HITS,
-    /** Everything, also the wait for the source. */
+    /** Responses report every cache status, and the time spent waiting for the source. */
     ALL
 }
--- a/src/main/java/petrelplank/routing/FillMode.java
+++ b/src/main/java/petrelplank/routing/FillMode.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** What the cache may fetch from the attempt's source. */
+/** What a cache may fetch from the source of an attempt. */
 enum FillMode {
-    /** Nothing: it has a copy, or may not fill. */
+    /** Nothing: the cache has a copy, or no fill is allowed. */
     NONE,
-    /** Only what the source holds itself. */
+    /** Only what the source has cached. */
     ONLY_IF_CACHED,
-    /** Also what the source has to fetch from the origin. */
+    /** Anything, including what the source first has to fetch from the origin. */
     FULL
 }
--- a/src/main/java/petrelplank/routing/HedgingPolicy.java
+++ b/src/main/java/petrelplank/routing/HedgingPolicy.java
@@ -5,22 +5,22 @@
 import petrelplank.routing.Endpoint.Role;
 
 /**
- * When an attempt without a response is checked, and when it counts as unresponsive: an estimate of response times
- * and of their deviation, as parts of the latency objective.
+ * Decides when an attempt without a response is checked, and when it counts as unresponsive. It estimates the mean and
+ * the deviation of response delays, as fractions of the latency objective.
  */
 final class HedgingPolicy {
-    /** Weight of a new sample in running means, and least deviation. */
+    /** Weight of a new sample in the running means, and lower bound of the deviation. */
     private static final double SMOOTHING = 0.05;
 
     private static final double INITIAL_DELAY = 0.25;
-    /** Mean deviations beyond transfer time and mean delay after which an attempt is unresponsive. */
+    /** An attempt is unresponsive this many mean deviations after its transfer time and the mean delay. */
     private static final double DEVIATIONS = 6;
 
     private final RoutingPermissions permissions;
     private final Router.Actions actions;
     private final Map<Long, RequestState> requestsByTimer = new HashMap<>();
     private long lastTimer;
-    /** Mean response time beside the transfer, as a part of the objective. */
+    /** Mean response time without the transfer, as a fraction of the latency objective. */
     private double delay = INITIAL_DELAY;
 
     private double delayDeviation = INITIAL_DELAY;
@@ -30,7 +30,7 @@
         this.actions = actions;
     }
 
-    /** Learns from a cache's response. */
+    /** Updates the estimates from a successful response of a cache. */
     void recordOutcome(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
         if (outcome.status() == AttemptStatus.OK && attempt.endpoint.role == Role.EDGE) {
             double part = (outcome.latencyUs() - attempt.transferUs) / request.latencyObjectiveUs();
@@ -40,7 +40,8 @@
     }
 
     /**
-     * The time after which an attempt is unresponsive; longer for one that would be late anyway, and after the first.
+     * Returns the time after which an attempt is unresponsive. It is longer for attempts after the first, and if
+     * another attempt sent at that time could not meet the latency objective.
      */
     double hedgeDelayUs(RequestState request) {
         double objectiveUs = request.latencyObjectiveUs();
@@ -50,7 +51,7 @@
         return firstAttempt && firstUs + request.transferUs <= objectiveUs ? firstUs : firstUs + allowanceUs;
     }
 
-    /** How the outcome stands against the request's latency objective. */
+    /** Compares the outcome of an attempt with the latency objective of its request. */
     Timeliness timeliness(RequestState request, AttemptOutcome outcome) {
         if (outcome.status() == AttemptStatus.OK) {
             return outcome.latencyUs() <= request.latencyObjectiveUs() ? Timeliness.IN_TIME : Timeliness.LATE;
@@ -59,18 +60,20 @@
         return explained ? Timeliness.EXPIRED : Timeliness.FAILED;
     }
 
-    /** Whether one more attempt may be made while one is in flight without a response. */
+    /** Whether the request may get another attempt while one is in flight without a response. */
     boolean mayHedge(RequestState request) {
         return (permissions.hedging() || permissions.cancel())
                 && request.serviceClass.idempotency() == Idempotency.IDEMPOTENT
                 && request.attempts.size() < permissions.maxAttempts();
     }
 
-    /** Sets a timer for the next check of the attempt: at its objective or at its hedge delay. */
+    /** Sets a timer for the next check of the attempt: at its latency objective or its hedge delay. */
     void scheduleCheck(RequestState request, AttemptState attempt, long now) {
         double objectiveUs = request.latencyObjectiveUs();
         long deadlineUs = request.request.deadlineUs();
-        // Guards against a due time past all numbers, which wraps into the past and fires on and on.
+        // Once the objective has passed, the deadline stands for "no check": the due time is then past the deadline.
+        // A larger value, such as Long.MAX_VALUE, would overflow to a time in the past, and the timer would fire again
+        // and again.
         double latestUs = now > attempt.sentUs + objectiveUs ? deadlineUs : objectiveUs;
         double waitUs = Math.min(latestUs, mayHedge(request) ? hedgeDelayUs(request) : latestUs);
         long dueUs = attempt.sentUs + (long) waitUs + 1;
@@ -80,7 +83,7 @@
         }
     }
 
-    /** The request whose check is due with this timer; null where it is none of these timers. */
+    /** Returns and forgets the request whose check is due; null if the timer belongs to no check. */
     RequestState takeDue(long timer) {
         return requestsByTimer.remove(timer);
     }
--- a/src/main/java/petrelplank/routing/Idempotency.java
+++ b/src/main/java/petrelplank/routing/Idempotency.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** Whether requests of a class may run more than once. */
+/** Whether requests of a service class may be executed more than once. */
 public enum Idempotency {
-    /** They may, any number of times. */
+    /** A request may be executed any number of times. */
     IDEMPOTENT,
-    /** Repeats with the same key are dropped inside a scope of endpoints and a window of time. */
+    /** Endpoints drop repeats with the same idempotency key, within a scope of endpoints and a time window. */
     IDEMPOTENT_WITH_KEY,
-    /** They may not: a retry needs proof that no earlier attempt has run. */
+    /** A request may be executed only once: a retry needs proof that no earlier attempt was executed. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/petrelplank/routing/IdempotencyScope.java
+++ b/src/main/java/petrelplank/routing/IdempotencyScope.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** Which endpoints drop the repeats of a request with a key. */
+/** The endpoints among which repeats of a request with the same idempotency key are dropped. */
 public enum IdempotencyScope {
-    /** All of them. */
+    /** All endpoints. */
     ALL,
-    /** Those of one zone. */
+    /** The endpoints of one zone. */
     ZONE,
-    /** Those of one cell. */
+    /** The endpoints of one cell. */
     CELL
 }
--- a/src/main/java/petrelplank/routing/InFlightAttempts.java
+++ b/src/main/java/petrelplank/routing/InFlightAttempts.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Accounts for attempts in flight: places under the limits, budgets of slow start, health-check attempts. */
+/** Accounts for attempts in flight: concurrency limits, slow-start budgets and health checks of ejected endpoints. */
 final class InFlightAttempts {
     private final RoutingPermissions permissions;
     private final Router.Actions actions;
@@ -24,7 +24,7 @@
         this.windowUs = windowUs;
     }
 
-    /** An attempt is about to be sent; earlier ones are cancelled where two may not be in flight together. */
+    /** Registers an attempt that is about to be sent; cancels earlier ones unless hedging is allowed. */
     AttemptState begin(RequestState request, AttemptRoute route, long now) {
         Endpoint endpoint = route.endpoint();
         Endpoint source = route.source();
@@ -47,7 +47,7 @@
         return attempt;
     }
 
-    /** An attempt ended; null where it had ended before. */
+    /** Removes an attempt that has ended and returns its state; null if it had ended before. */
     AttemptState end(RequestState request, int number) {
         AttemptState attempt = request.attempts.set(number, null);
         if (attempt == null) {
@@ -64,7 +64,7 @@
         return attempt;
     }
 
-    /** Cancels all attempts of the request, where that is allowed. */
+    /** Cancels all attempts of the request that are in flight, if cancelling is allowed. */
     void cancelAll(RequestState request) {
         if (!permissions.cancel()) {
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Takes an unresponsive attempt off the limits: a lost response is no load. */
+    /** Marks the attempt as unresponsive and releases its concurrency limits, since a lost response is not load. */
     void markUnresponsive(RequestState request, AttemptState attempt) {
         request.unresponsiveAttempt = attempt;
         limiter.release(attempt);
--- a/src/main/java/petrelplank/routing/PurgeLog.java
+++ b/src/main/java/petrelplank/routing/PurgeLog.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * The last purge of each object and of each surrogate key (a group of objects), for a bounded number of both, and the
- * freshness bound that follows for a request.
+ * The latest purge of each object and of each surrogate key (a group of objects), and the maximum copy age that follows
+ * for a request. Each of the two tables is bounded; the least recently used entry is dropped.
  *
- * <p>A purge is kept past the stated time: a cache may have filled an old copy after it had dropped its own.
+ * <p>A purge stays in effect beyond the platform's purge completion time, because a cache may have filled an old copy
+ * after it had dropped its own.
  */
 final class PurgeLog {
     private static final int MAX_ENTRIES = 1 << 13;
@@ -17,17 +18,21 @@
     private final Map<Long, Long> groups = new LinkedHashMap<>(16, 0.75f, true);
     private final long completionUs;
 
-    /** A log where no older copy is left anywhere {@code completionUs} after a purge. */
+    /**
+     * Creates an empty log.
+     *
+     * @param completionUs time after a purge by which the platform promises that no older copy is left anywhere
+     */
     PurgeLog(long completionUs) {
         this.completionUs = completionUs;
     }
 
-    /** Notes a purge of one object. */
+    /** Records a purge of one object. */
     void recordObject(long object, long purgedUs) {
         record(objects, object, purgedUs);
     }
 
-    /** Notes a purge of all objects of a group. */
+    /** Records a purge of all objects of a group. */
     void recordGroup(int group, long purgedUs) {
         record(groups, (long) group, purgedUs);
     }
@@ -39,13 +44,17 @@
         }
     }
 
-    /** Whether fills of older copies may be under way: twice the stated time, for clocks and late messages. */
+    /**
+     * Whether fills of older copies may still be in progress. Twice the completion time leaves room for clock
+     * differences and late messages.
+     */
     boolean isRecentlyPurged(RoutingRequest request, long now) {
         return now - 2 * completionUs <= lastPurgedUs(request);
     }
 
     /**
-     * Age of the oldest acceptable copy: the class's limit, less what a purge forbids; never 0 (no limit) by a purge.
+     * Returns the maximum age of an acceptable copy: the limit of the service class, or the time since the last purge
+     * if that is shorter. 0 means no limit; after a purge the result is at least 1.
      */
     long maxAgeUs(RequestState request, long now) {
         ServiceClass serviceClass = request.serviceClass;
--- a/src/main/java/petrelplank/routing/RateLimitedLog.java
+++ b/src/main/java/petrelplank/routing/RateLimitedLog.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Log lines for the operators, at most one in each interval: faults come in bursts, and one line tells of them. */
+/** Writes log lines for operators, at most one per interval: faults come in bursts, and one line reports a burst. */
 final class RateLimitedLog {
     private final Router.Actions actions;
     private final double intervalUs;
@@ -11,7 +11,7 @@
         this.intervalUs = intervalUs;
     }
 
-    /** Writes the line, or drops it where the last one is too recent. */
+    /** Writes the line, or drops it if the interval since the last line has not passed. */
     void log(long now, String line) {
         if (now - lastLineUs > intervalUs) {
             lastLineUs = now;
--- a/src/main/java/petrelplank/routing/RequestAdmission.java
+++ b/src/main/java/petrelplank/routing/RequestAdmission.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Takes in a request: its class, its expected transfer time, and the part of the limits that it may use. */
+/** Creates the state of a new request: service class, expected transfer time and share of the concurrency limits. */
 final class RequestAdmission {
-    /** Least part of the limits, for requests of long transfers and for those over a tenant's quota. */
+    /** Lower bound of the share for long transfers, and of the factor for requests over their tenant's quota. */
     private static final double MIN_LIMIT_SHARE = 0.5;
 
     private final RouterSettings settings;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** The state of a new request; null where its class is unknown. */
+    /** Returns the state of a new request; null if its service class is unknown. */
     RequestState admit(RoutingRequest request, long now) {
         Integer classIndex = classIndexes.get(request.serviceClass());
         if (classIndex == null) {
--- a/src/main/java/petrelplank/routing/RequestRouter.java
+++ b/src/main/java/petrelplank/routing/RequestRouter.java
@@ -6,14 +6,14 @@
 import java.util.Objects;
 
 /**
- * The entry points of {@link Router} and the way of one request: {@link #requestReceived}, then attempts until one
- * gives the final answer or none may follow. What is decided on that way is a class of its own for each concern;
- * {@link RouterComponents} puts them together.
+ * The implementation of {@link Router}. It takes each request through its life: {@link #requestReceived}, then attempts
+ * until one brings the final answer or no further attempt is allowed. The decisions on the way are made by one class
+ * for each concern, which {@link RouterComponents} creates.
  */
 public final class RequestRouter implements Router {
-    /** The timer for another call of {@link Actions#watchEndpoints}; attempts' timers count from 1. */
+    /** Token of the timer for the next call of {@link Actions#watchEndpoints}; tokens of attempt timers start at 1. */
     private static final long WATCH_TIMER = 0;
-    /** Retries of the discovery service within the interval in which lists must be asked for. */
+    /** Calls of {@link Actions#watchEndpoints} per poll interval while the discovery service fails. */
     private static final int WATCHES_PER_POLL_INTERVAL = 4;
 
     private final RouterSettings settings;
@@ -34,15 +34,15 @@
     private final Map<String, RequestState> requests = new HashMap<>();
 
     /**
-     * A router for one gateway.
+     * Creates a router for one proxy, and subscribes to the endpoint list if the settings ask for it.
      *
-     * @param settings its settings
-     * @param seed for all random numbers
-     * @param actions what the host does for it
+     * @param settings the settings of the router
+     * @param seed seed of all random numbers
+     * @param actions the actions that the host performs for the router
      */
     public RequestRouter(RouterSettings settings, long seed, Actions actions) {
-        this.settings = Objects.requireNonNull(settings, "settings: missing");
-        this.actions = Objects.requireNonNull(actions, "actions: missing");
+        this.settings = Objects.requireNonNull(settings, "settings must not be null");
+        this.actions = Objects.requireNonNull(actions, "actions must not be null");
         RouterComponents components = new RouterComponents(settings, seed, actions);
         this.endpoints = components.endpoints;
         this.purges = components.purges;
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Sends the next attempt, or gives the final answer at once. */
+    /** Sends the next attempt, or terminates the request if none is allowed. */
     private void attempt(RequestState request, long now) {
         TerminationReason reason = retryPolicy.reasonToStop(request, now);
         if (reason != null) {
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Cancels what is in flight for a client that has left: its work helps nobody, and holds places. */
+    /** Cancels the attempts of a request whose client disconnected: they are useless and count against the limits. */
     @Override
     public void clientDisconnected(long now, String request) {
         RequestState state = requests.get(request);
@@ -189,8 +189,8 @@
     }
 
     /**
-     * The final answer, unless an attempt is still in flight: a rejection with advice where a further request is
-     * harmless, else a failure.
+     * Gives the final answer unless an attempt is still in flight: a rejection with advice on when to retry if the
+     * client can safely repeat the request, else a failure.
      */
     private void terminate(RequestState request, TerminationReason reason) {
         if (request.inFlight > 0) {
--- a/src/main/java/petrelplank/routing/RequestState.java
+++ b/src/main/java/petrelplank/routing/RequestState.java
@@ -3,49 +3,50 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that is not completed, or has attempts in flight. */
+/** The state of a request that has no final answer yet or still has attempts in flight. */
 final class RequestState {
-    /** Errors from so many endpoints are the request's own fault. */
+    /** Once this many attempts end with an error, the request itself is taken for the cause. */
     private static final int ERRORS_OF_ITS_OWN = 3;
 
     final RoutingRequest request;
     final ServiceClass serviceClass;
     final int classIndex;
-    /** The object's part, hashed. */
+    /** Hash of the object and the part of it that is requested. */
     final long key;
-    /** Transfer time at a client's pace: from the size, or the class's mean until a response tells the size. */
+    /** Transfer time at a client's rate: from the size, or the mean of the class until a response tells the size. */
     double transferUs;
-    /** Drawn once, evenly from 0 to 1: rejections and calls of the origin by share go by it. */
+    /** Random number, uniform in 0 to 1, drawn once; decides on rejections and origin calls by share. */
     final double samplingKey;
-    /** Part of the limits that it may use. */
+    /** Share of the concurrency limits that the request may use, up to 1. */
     double limitShare = 1;
-    /** By attempt number; null once an attempt has ended. */
+    /** Attempts by number; null for an attempt that has ended. */
     final List<AttemptState> attempts = new ArrayList<>(2);
-    /** Endpoints that it shall pass by. */
+    /** Endpoints that further attempts avoid, as receivers and as sources. */
     final List<Endpoint> excluded = new ArrayList<>(2);
-    /** Endpoints that answered with an error and no cache status. */
+    /** Endpoints that answered with an error and no cache status, one entry for each such answer. */
     final List<Endpoint> errored = new ArrayList<>(0);
 
+    /** Number of attempts in flight. */
     int inFlight;
-    /** It has its final answer, or needs none. */
+    /** Whether the request has its final answer, or needs none. */
     boolean completed;
 
     OriginAccess originAccess = OriginAccess.UNRESTRICTED;
-    /** A copy past its fresh time will do (stale-if-error). */
+    /** Whether a stale copy is acceptable (stale-if-error). */
     boolean staleAllowed;
-    /** It has had its one lookup in a cache without a fill. */
+    /** Whether the request has used its one cache lookup without a full fill. */
     boolean cacheLookupDone;
-    /** A cache was passed by since it is at its limit. */
+    /** Whether the last selection skipped a cache because it is at its concurrency limit. */
     boolean cacheAtLimit;
-    /** The attempt that counts as unresponsive; it holds no place under the limits. */
+    /** The attempt that counts as unresponsive; it no longer counts against the concurrency limits. */
     AttemptState unresponsiveAttempt;
-    /** A further attempt was made since one was unresponsive. */
+    /** Whether another attempt was made because one was unresponsive. */
     boolean hedged;
-    /** Its attempt's lateness has counted as a failed call of the origin. */
+    /** Whether the attempt in flight has been counted as a failed origin call because it is late. */
     boolean latenessCounted;
-    /** An attempt may have run at the server. */
+    /** Whether an attempt without a successful response may have been executed. */
     boolean mayHaveExecuted;
-    /** When the first attempt that may have run was sent. */
+    /** When the first attempt that may have been executed was sent. */
     long firstExecutionUs;
 
     RequestState(
@@ -58,7 +59,7 @@
         this.samplingKey = samplingKey;
     }
 
-    /** The latency objective, which grows with the transfer time. */
+    /** Returns the latency objective, which grows with the transfer time up to the deadline of the service class. */
     double latencyObjectiveUs() {
         return Math.min(
                 serviceClass.deadlineUs(),
@@ -69,12 +70,13 @@
         return serviceClass.write();
     }
 
-    /** Notes an error; whether it is the one that shows the fault to be the request's own. */
+    /** Records an error; true if it is the one that shows the request itself to be the cause. */
     boolean recordError(Endpoint endpoint) {
         errored.add(endpoint);
         return errored.size() == ERRORS_OF_ITS_OWN;
     }
 
+    /** Whether so many attempts ended with an error that the request itself is taken for the cause. */
     boolean isAtFaultItself() {
         return errored.size() >= ERRORS_OF_ITS_OWN;
     }
--- a/src/main/java/petrelplank/routing/RetryBudget.java
+++ b/src/main/java/petrelplank/routing/RetryBudget.java
@@ -1,13 +1,13 @@
 package petrelplank.routing;
 
-/** Retries in proportion to requests: each request earns a part of one, up to a bound. */
+/** Limits retries to a fraction of requests: each request adds that fraction to the budget, up to a maximum. */
 final class RetryBudget {
     private static final double EARNED_PER_REQUEST = 0.2;
     private static final double MAX_RETRIES = 20;
 
     private double retries = MAX_RETRIES;
 
-    /** A request came in. */
+    /** Adds the share of one request to the budget. */
     void earn() {
         retries = Math.min(MAX_RETRIES, retries + EARNED_PER_REQUEST);
     }
--- a/src/main/java/petrelplank/routing/RetryPolicy.java
+++ b/src/main/java/petrelplank/routing/RetryPolicy.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Whether a request may have one more attempt: its deadline, the bound on attempts, idempotency and the budget. */
+/** Decides whether a request may have another attempt, by deadline, attempt limit, idempotency and retry budget. */
 final class RetryPolicy {
     private final RouterSettings settings;
     private final RetryBudget budget;
@@ -10,7 +10,7 @@
         this.budget = budget;
     }
 
-    /** Why no attempt may be sent now; null where one may. */
+    /** Returns why no attempt may be sent now; null if one may. */
     TerminationReason reasonToStop(RequestState request, long now) {
         if (request.request.deadlineUs() - now <= request.transferUs / 2) {
             return TerminationReason.DEADLINE_TOO_CLOSE;
@@ -21,7 +21,10 @@
         return mayExecuteAgain(request, now) ? null : TerminationReason.MAY_HAVE_EXECUTED;
     }
 
-    /** Takes a retry off the budget; false where the budget, or the request's own errors, forbid it. */
+    /**
+     * Takes a retry from the budget; false if the budget is used up, the last attempt could not be sent, or the request
+     * itself causes the errors. Retries after a miss or a failed connect are free.
+     */
     boolean tryRetry(RequestState request, AttemptStatus status) {
         double cost = status == AttemptStatus.MISS || status == AttemptStatus.CONNECT_FAILED ? 0 : 1;
         if (!budget.canAfford(cost) || status == AttemptStatus.NOT_SENT || request.isAtFaultItself()) {
@@ -31,7 +34,7 @@
         return true;
     }
 
-    /** Notes when the request may first have run at a server. */
+    /** Records when the request may first have been executed by an endpoint. */
     void recordExecution(RequestState request, AttemptState attempt, AttemptStatus status) {
         if (!status.neverExecuted() && status != AttemptStatus.OK && !request.mayHaveExecuted) {
             request.mayHaveExecuted = true;
@@ -39,12 +42,15 @@
         }
     }
 
-    /** Whether a client may send the request again without harm. */
+    /** Whether the client can repeat the request without the risk of a second execution that is not allowed. */
     boolean isSafeForClientToRetry(RequestState request) {
         return !request.mayHaveExecuted || request.serviceClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** A request with a key has to arrive inside its window, connecting included. */
+    /**
+     * Whether another execution is harmless. A request with an idempotency key has to arrive within its window, even if
+     * connecting takes the longest possible time.
+     */
     private boolean mayExecuteAgain(RequestState request, long now) {
         ServiceClass serviceClass = request.serviceClass;
         return isSafeForClientToRetry(request)
--- a/src/main/java/petrelplank/routing/Router.java
+++ b/src/main/java/petrelplank/routing/Router.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * Decides, for one gateway, which cache answers each request and where a miss is filled from.
+ * Decides, inside one proxy, which cache answers each request and which endpoint a miss is filled from.
  *
- * <p>A host (a gateway) makes one instance with its {@link RouterSettings}, a seed and its {@link Actions}, then
- * reports every event as one method call. An instance is not thread-safe: call it from one thread, in the order in
- * which things happened, with a clock that never runs backwards. The instance answers by calling {@link Actions},
- * always before the event method returns and only then; it starts no threads and reads no clock. Instances share
- * nothing.
+ * <p>The host (a proxy) creates one instance with its {@link RouterSettings}, a seed and its {@link Actions}, and
+ * reports every event with one method call. An instance is not thread-safe: it must be called from one thread, in the
+ * order in which the events happened, with a clock that never runs backwards. The instance responds by calling
+ * {@link Actions}, only during an event method and never after it has returned. It starts no threads and reads no
+ * clock. Instances share no state.
  *
- * <p>Order: construct, then {@link #endpointsChanged} with the complete list, then anything. All times are
- * microseconds of the host's clock, all durations microseconds. Every request gets exactly one final answer: an {@link
- * AttemptOutcome} with {@code completed}, {@link Actions#reject} or {@link Actions#fail}. Ids the router no longer
- * holds are ignored.
+ * <p>The first event after construction is {@link #endpointsChanged} with the complete list; after that, events may
+ * come in any order. All times are microseconds of the host's clock, and all durations are microseconds. Every request
+ * gets exactly one final answer, unless its client disconnects: an {@link AttemptOutcome} with {@code completed},
+ * {@link Actions#reject} or {@link Actions#fail}. Events with an id that the router no longer knows are ignored.
  */
 public interface Router {
 
@@ -22,20 +22,21 @@
      * The list of endpoints changed.
      *
      * @param now the clock
-     * @param complete true when {@code members} is the complete list (others are gone), false for changes only
-     * @param members the entries
+     * @param complete true if {@code members} is the complete list, so that all others are removed; false if it has
+     *     changes only
+     * @param members the listed or changed endpoints
      */
     void endpointsChanged(long now, boolean complete, List<EndpointInfo> members);
 
     /**
-     * A call of {@link Actions#watchEndpoints} or {@link Actions#fetchEndpoints} failed, or the subscription broke.
+     * A call of {@link Actions#watchEndpoints} or {@link Actions#fetchEndpoints} failed, or the subscription ended.
      *
      * @param now the clock
      */
     void discoveryFailed(long now);
 
     /**
-     * A client's request came in; exactly one final answer has to follow.
+     * A client's request was received; exactly one final answer has to follow.
      *
      * @param now the clock
      * @param request the request
@@ -46,12 +47,13 @@
      * An attempt ended.
      *
      * @param now the clock
-     * @param outcome how it ended
+     * @param outcome the outcome of the attempt
      */
     void attemptEnded(long now, AttemptOutcome outcome);
 
     /**
-     * The response to a streamed request has begun: it is passed on to the client, and the attempt has no time-out.
+     * The response to a streamed request has begun. It is passed on to the client, and the attempt no longer has a
+     * time-out.
      *
      * @param now the clock
      * @param request the request's id
@@ -68,7 +70,7 @@
     void clientDisconnected(long now, String request);
 
     /**
-     * Older copies of one object must not be served any more.
+     * One object was purged: older copies of it must not be served any more.
      *
      * @param now the clock
      * @param object the object
@@ -77,7 +79,7 @@
     void objectPurged(long now, long object, long ageUs);
 
     /**
-     * Older copies of all objects of a group must not be served any more.
+     * A group of objects was purged: older copies of any of them must not be served any more.
      *
      * @param now the clock
      * @param group the group
@@ -89,81 +91,81 @@
      * A health check ended.
      *
      * @param now the clock
-     * @param server the endpoint that was checked
-     * @param status {@link AttemptStatus#OK} or why not
-     * @param latencyUs how long it took
-     * @param load the load report, in the order of {@link RouterSettings#reportFields}; null when there is none
+     * @param server id of the endpoint that was checked
+     * @param status {@link AttemptStatus#OK}, or how the check failed
+     * @param latencyUs duration of the check
+     * @param load the load report, in the order of {@link RouterSettings#reportFields}; null if there is none
      */
     default void healthChecked(long now, String server, AttemptStatus status, long latencyUs, double[] load) {}
 
     /**
-     * Another gateway sent a gossip message.
+     * Another proxy sent a gossip message.
      *
      * @param now the clock
-     * @param from the sender's number
+     * @param from index of the sending proxy, see {@link RouterSettings#self}
      * @param data the payload
      */
     default void gossipReceived(long now, int from, byte[] data) {}
 
     /**
-     * A timer set by {@link Actions#setTimer} is due.
+     * A timer that was set by {@link Actions#setTimer} is due.
      *
      * @param now the clock
-     * @param token the timer's token
+     * @param token token of the timer
      */
     void timerFired(long now, long token);
 
-    /** What the host does for the router, at once and in the order called. */
+    /** Actions that the host performs for the router, immediately and in the order of the calls. */
     interface Actions {
         /**
-         * Sends an attempt; attempts of a request are numbered from 0 in the order sent.
+         * Sends an attempt. Attempts of a request are numbered from 0 in the order in which they are sent.
          *
          * @param request the request's id
-         * @param plan the attempt
+         * @param plan the attempt to send
          */
         void send(String request, AttemptPlan plan);
 
         /**
-         * Final answer: rejected; another request is harmless.
+         * Gives the final answer: the request is rejected, and the client can safely repeat it.
          *
          * @param request the request's id
-         * @param retryAfterUs when the client should come back; 0 for no advice
+         * @param retryAfterUs time after which the client should retry; 0 for no advice
          */
         void reject(String request, long retryAfterUs);
 
         /**
-         * Final answer: failed; the request may have run.
+         * Gives the final answer: the request has failed, and may have been executed.
          *
          * @param request the request's id
          */
         void fail(String request);
 
         /**
-         * Tells why the request is terminated; its rejection or failure follows before any other action.
+         * Reports why a request is terminated. Its rejection or failure follows before any other action.
          *
          * @param request the request's id
-         * @param reason why
+         * @param reason why the router terminates the request
          */
         default void terminated(String request, TerminationReason reason) {}
 
         /**
-         * An endpoint is ejected until a health-check attempt at it succeeds.
+         * Reports that an endpoint is ejected until a health-check attempt at it succeeds.
          *
-         * @param server the endpoint
-         * @param healthCheck a health-check attempt failed, and it stays ejected
-         * @param pauseUs time to the next health-check attempt
+         * @param server id of the endpoint
+         * @param healthCheck whether the endpoint stays ejected because a health-check attempt failed
+         * @param pauseUs time until the next health-check attempt
          */
         default void ejected(String server, boolean healthCheck, long pauseUs) {}
 
         /**
-         * An ejected endpoint is used again.
+         * Reports that an ejected endpoint is used again.
          *
-         * @param server the endpoint
+         * @param server id of the endpoint
          */
         default void recovered(String server) {}
 
         /**
-         * Stops waiting for an attempt.
+         * Cancels an attempt: the host stops waiting for its response.
          *
          * @param request the request's id
          * @param attempt the attempt's number
@@ -173,36 +175,36 @@
         /**
          * Sends a health check.
          *
-         * @param server the endpoint to check
+         * @param server id of the endpoint to check
          */
         void healthCheck(String server);
 
         /**
          * Sends a gossip message of at most 256 bytes.
          *
-         * @param gateway its number; -1 for all
+         * @param gateway index of the receiving proxy, see {@link RouterSettings#self}; -1 for all proxies
          * @param data the payload
          */
         void gossip(int gateway, byte[] data);
 
         /**
-         * Asks for {@link Router#timerFired} at a time.
+         * Sets a timer, which ends in a call of {@link Router#timerFired}.
          *
-         * @param token handed back
-         * @param atUs when
+         * @param token token that is passed to that call
+         * @param atUs time of the host's clock at which the timer is due
          */
         void setTimer(long token, long atUs);
 
         /** Subscribes to changes of the endpoint list. */
         void watchEndpoints();
 
-        /** Asks for the complete endpoint list once. */
+        /** Requests the complete endpoint list once. */
         void fetchEndpoints();
 
         /**
-         * Writes a log line for the operators.
+         * Writes a log line for operators.
          *
-         * @param line the text
+         * @param line text of the line
          */
         void log(String line);
     }
--- a/src/main/java/petrelplank/routing/RouterComponents.java
+++ b/src/main/java/petrelplank/routing/RouterComponents.java
@@ -3,7 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Makes the parts of a {@link RequestRouter}, one for each concern, in an order in which each knows earlier ones only.
+ * Creates the components of a {@link RequestRouter}, one for each concern. Each depends only on components that were
+ * created before it.
  */
 final class RouterComponents {
     final EndpointRegistry endpoints;
@@ -59,7 +60,7 @@
                 loadReports, transferTimes, hedging, originCalls, limiter, attribution, fillOutcomes, endpointOutcomes);
     }
 
-    /** The time over which rates are taken: by then, requests that were in flight have ended. */
+    /** Returns the window over which rates are measured; no request stays in flight longer. */
     private static double longestDeadlineUs(RouterSettings settings) {
         long longest = 0;
         for (ServiceClass serviceClass : settings.classes()) {
--- a/src/main/java/petrelplank/routing/RoutingRequest.java
+++ b/src/main/java/petrelplank/routing/RoutingRequest.java
@@ -3,16 +3,16 @@
 /**
  * A client's request.
  *
- * @param id the request's id
- * @param object the object asked for
- * @param part which part of it
- * @param group the group that the object belongs to: its surrogate key for purges
- * @param serviceClass the name of its {@link ServiceClass}
- * @param deadlineUs when the client stops waiting
- * @param sizeKb size of the part; 0 where it is not known
- * @param write it is a write
- * @param retry the client marked it as a retry
- * @param tenant the {@link Tenant} that it is counted for; null for none
+ * @param id id of the request
+ * @param object the requested object
+ * @param part the requested part of the object
+ * @param group group that the object belongs to: its surrogate key for purges
+ * @param serviceClass name of the {@link ServiceClass}
+ * @param deadlineUs time at which the client stops waiting
+ * @param sizeKb size of the part; 0 if unknown
+ * @param write whether the request is a write
+ * @param retry whether the client marked the request as a retry
+ * @param tenant name of the {@link Tenant} whose quota the request counts against; null if there is none
  */
 public record RoutingRequest(
         String id,
--- a/src/main/java/petrelplank/routing/TenantQuotas.java
+++ b/src/main/java/petrelplank/routing/TenantQuotas.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Whether a tenant's recent requests at this gateway exceed the gateway's part of the tenant's quota. */
+/** Compares the recent requests of each tenant at this proxy with the proxy's share of the tenant's quota. */
 final class TenantQuotas {
     private static final double US_PER_SECOND = 1e6;
 
@@ -18,7 +18,10 @@
         this.windowUs = windowUs;
     }
 
-    /** Counts a request; whether its tenant is over its quota, chance aside. Unknown tenants have no quota. */
+    /**
+     * Counts a request, and returns whether its tenant is over its quota. One standard deviation of the expected number
+     * of requests is tolerated, so that chance alone seldom exceeds the quota. Unknown tenants have no quota.
+     */
     boolean recordAndCheckOverQuota(String name, long now) {
         Tenant tenant = tenants.get(name);
         if (tenant == null) {
--- a/src/main/java/petrelplank/routing/Timeliness.java
+++ b/src/main/java/petrelplank/routing/Timeliness.java
@@ -1,13 +1,13 @@
 package petrelplank.routing;
 
-/** How an attempt ended against the latency objective of its request. */
+/** The outcome of an attempt compared with the latency objective of its request. */
 enum Timeliness {
     /** A response within the objective. */
     IN_TIME,
-    /** A response beyond the objective. */
+    /** A response after the objective. */
     LATE,
-    /** A time-out so early that usual response times explain it. */
+    /** A time-out before the hedge delay: usual response times explain the missing response. */
     EXPIRED,
-    /** No response, for another reason than load. */
+    /** No response, for a reason other than load. */
     FAILED
 }
--- a/src/main/java/petrelplank/routing/UnresponsiveAttemptDetector.java
+++ b/src/main/java/petrelplank/routing/UnresponsiveAttemptDetector.java
@@ -3,9 +3,12 @@
 import petrelplank.routing.OutlierDetector.Evidence;
 
 /**
- * Hedged requests: once neither size nor usual delay explain a missing response, a second attempt goes out where two
- * may run together, else the first is cancelled. The cache is passed by unless it answered others since, then the
- * source. Under the retry budget; under overload the usual delay rises, and hedging stops by itself.
+ * Detects attempts whose missing response neither the size nor the usual delay explains, and decides whether another
+ * attempt is sent. If hedging is allowed, both are in flight; otherwise the first one is cancelled.
+ *
+ * <p>The new attempt avoids the endpoint of the first unless that has answered other attempts since; then it avoids the
+ * source of the fill if that has not answered since either. It is taken from the retry budget. Under overload the usual
+ * delay rises, so that hedging stops by itself.
  */
 final class UnresponsiveAttemptDetector {
     private static final double HEDGE_COST = 1;
@@ -32,7 +35,7 @@
         this.sources = sources;
     }
 
-    /** A request's check is due; whether another attempt shall be made now. */
+    /** Checks the last attempt of a request, and returns whether another attempt is to be sent now. */
     boolean check(RequestState request, long now) {
         AttemptState attempt = request.attempts.get(request.attempts.size() - 1);
         boolean checked = attempt == null || attempt == request.unresponsiveAttempt;
