--- a/src/test/java/petrelplank/routing/AttemptPlannerTest.java
+++ b/src/test/java/petrelplank/routing/AttemptPlannerTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Attempts where no source is left. */
+/** Planning of attempts when no fill source is left. */
 class AttemptPlannerTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
--- a/src/test/java/petrelplank/routing/HedgingPolicyTest.java
+++ b/src/test/java/petrelplank/routing/HedgingPolicyTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When attempts without a response are checked. */
+/** Timers that check attempts without a response. */
 class HedgingPolicyTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
-    /** Guards against a write later than its objective that sets timers in the past and blocks the event thread. */
+    /** Guards against a write past its latency objective that sets timers in the past, which block the event thread. */
     @Test
     void lateWriteSetsNoTimerInThePast() {
         host.request("note", 5, 0, 3 * S);
--- a/src/test/java/petrelplank/routing/PurgeLogTest.java
+++ b/src/test/java/petrelplank/routing/PurgeLogTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The age of acceptable copies after a purge. */
+/** The maximum age of acceptable copies after a purge. */
 class PurgeLogTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -28,7 +28,7 @@
         assertEquals(0, host.lastPlan().maxAgeUs());
     }
 
-    /** Guards against an old copy that a cache filled from a parent after it had dropped its own. */
+    /** Guards against an old copy that a cache fills from a parent after it has dropped its own. */
     @Test
     void purgeHoldsLongerThanItsCompletionTime() {
         host.router.objectPurged(host.now, 5, 0);
@@ -45,7 +45,7 @@
             host.router.objectPurged(host.now, 1000 + i, 0);
         }
         host.request("video", 5, 4, 4 * S);
-        assertEquals(0, host.lastPlan().maxAgeUs(), "bounded in number");
+        assertEquals(0, host.lastPlan().maxAgeUs(), "purge of object 5 should have been dropped from the full log");
     }
 
     @Test
--- a/src/test/java/petrelplank/routing/RateLimitedLogTest.java
+++ b/src/test/java/petrelplank/routing/RateLimitedLogTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Log lines at intervals. */
+/** The limit of one log line per interval. */
 class RateLimitedLogTest {
     private final RecordingActions actions = new RecordingActions();
     private final RateLimitedLog log = new RateLimitedLog(actions, 100);
--- a/src/test/java/petrelplank/routing/RecordingActions.java
+++ b/src/test/java/petrelplank/routing/RecordingActions.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Records all actions of a router. */
+/** Records all actions of a router, by kind and in order. */
 class RecordingActions implements Router.Actions {
     record Sent(String request, AttemptPlan plan) {}
 
--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The router as a whole: unusual input, disconnected clients, and the same actions for the same events. */
+/** The router as a whole: unusual input, disconnected clients and determinism. */
 class RequestRouterTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
--- a/src/test/java/petrelplank/routing/RetryBudgetTest.java
+++ b/src/test/java/petrelplank/routing/RetryBudgetTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Retries that requests earn. */
+/** The retries that requests add to the budget. */
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
--- a/src/test/java/petrelplank/routing/RetryPolicyTest.java
+++ b/src/test/java/petrelplank/routing/RetryPolicyTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Retries and idempotency. */
+/** Retries of requests with an idempotency key. */
 class RetryPolicyTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A router with a host that records its actions, a clock, and short ways to script events. */
+/** A router whose host records its actions, with a clock and methods that script events. */
 final class RouterFixture extends RecordingActions {
     static final long MS = 1000;
     static final long S = 1000 * MS;
@@ -57,7 +57,7 @@
     Router router;
     long now = 100 * S;
     private int ids;
-    /** The tenant of all further requests. */
+    /** The tenant of all further requests; null for none. */
     String tenant;
 
     static RoutingPermissions permissions() {
@@ -114,7 +114,7 @@
         router = new RequestRouter(settings, 7, this);
     }
 
-    /** Lists the usual endpoints: four caches, a parent at each of two hubs, an origin, a cache elsewhere. */
+    /** Lists four caches, a parent at each of two hubs, an origin, and a cache in another zone. */
     RouterFixture withUsualEndpoints() {
         router.endpointsChanged(
                 now,
@@ -198,7 +198,7 @@
                         sizeKb));
     }
 
-    /** Requests many objects, each answered in time after a fill. */
+    /** Requests the objects from {@code from} to before {@code to}; each attempt fills a copy and responds in time. */
     List<AttemptPlan> fills(int from, int to) {
         List<AttemptPlan> orders = new ArrayList<>();
         for (int i = from; i < to; i++) {
@@ -211,7 +211,7 @@
         return orders;
     }
 
-    /** Lets time pass, and fires the timers that are due in it in order. */
+    /** Advances the clock, and fires the timers that become due in their order. */
     void advance(long durationUs) {
         long endUs = now + durationUs;
         while (!timers.isEmpty()) {
--- a/src/test/java/petrelplank/routing/RoutingPackageTest.java
+++ b/src/test/java/petrelplank/routing/RoutingPackageTest.java
@@ -9,20 +9,24 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The package as a whole. */
+/** Size limits of the source files of the package. */
 class RoutingPackageTest {
     private static final int MAX_LINES = 250;
     private static final int MAX_COLUMNS = 120;
 
-    /** Each concern stays short enough to be read at once. */
+    /** Keeps each file short enough to be read in one go. */
     @Test
     void everyFileOfThePackageIsShort() throws IOException {
         List<Path> files = sourceFiles();
-        assertTrue(files.size() > 1, "found " + files);
+        assertTrue(files.size() > 1, "expected the source files of the package, found " + files);
         for (Path file : files) {
             List<String> lines = Files.readAllLines(file);
-            assertTrue(lines.size() <= MAX_LINES, file + " has " + lines.size() + " lines");
-            assertTrue(lines.stream().allMatch(line -> line.length() <= MAX_COLUMNS), file + " has a long line");
+            assertTrue(
+                    lines.size() <= MAX_LINES,
+                    file + " has " + lines.size() + " lines, the limit is " + MAX_LINES);
+            assertTrue(
+                    lines.stream().allMatch(line -> line.length() <= MAX_COLUMNS),
+                    file + " has a line of more than " + MAX_COLUMNS + " columns");
         }
     }
 
--- a/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
+++ b/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Hedged requests, and retries after a silence. */
+/** Hedged requests, and retries of unresponsive attempts. */
 class UnresponsiveAttemptDetectorTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -78,7 +78,7 @@
         assertEquals(1, host.attempts(id));
     }
 
-    /** Guards against learning of a silent parent by the deadlines of its fills alone, seconds later. */
+    /** Guards against a silent parent that is detected only when its fills reach their deadlines, seconds later. */
     @Test
     void silentParentIsAvoidedOnceItsCachesHaveAnsweredOthers() {
         for (int i = 0; i < 400; i++) {
@@ -93,7 +93,9 @@
                 host.endAttempt(host.request(j), AttemptStatus.OK, CacheStatus.HIT, 30 * MS);
             }
         }
-        assertTrue(toNorth >= 3 && toNorth <= 9, "to the silent hub " + toNorth);
+        assertTrue(
+                toNorth >= 3 && toNorth <= 9,
+                "expected 3 to 9 fills from the silent parent p-north, found " + toNorth);
         assertTrue(host.logLines.stream().anyMatch(l -> l.startsWith("ejected: p-north")), host.logLines.toString());
     }
 }
