--- a/src/main/java/petrelplank/routing/AttemptPlanner.java
+++ b/src/main/java/petrelplank/routing/AttemptPlanner.java
@@ -71,8 +71,8 @@
         if (cache != null) {
             return planCacheRead(request, cache, source);
         }
-        boolean mayBypass = directToParents && !request.originAccess.isOnlyIfCached() && !request.cacheAtLimit;
-        if (mayBypass && source != null && limiter.mayFill(request)) {
+        boolean mayBypassCaches = directToParents && !request.originAccess.isOnlyIfCached() && !request.cacheAtLimit;
+        if (mayBypassCaches && source != null && limiter.mayFill(request)) {
             Endpoint origin = endpoints.origin();
             return origin == null
                     ? AttemptRoute.to(source, source, FillMode.NONE)
@@ -89,27 +89,27 @@
         boolean onlyIfCached = request.originAccess.isOnlyIfCached();
         boolean holdsCopy = !onlyIfCached && copies.holds(cache, request.key);
         if (source == null || !holdsCopy && !limiter.mayFill(request)) {
-            return planLookup(request, cache);
+            return planCacheLookup(request, cache);
         }
         if (holdsCopy) {
             return AttemptRoute.to(cache, source, FillMode.NONE);
         }
         if (onlyIfCached) {
-            noteLookup(request);
+            markLookupDone(request);
             return AttemptRoute.to(cache, source, FillMode.ONLY_IF_CACHED);
         }
         return AttemptRoute.to(cache, source, FillMode.FULL);
     }
 
-    private static AttemptRoute planLookup(RequestState request, Endpoint cache) {
+    private static AttemptRoute planCacheLookup(RequestState request, Endpoint cache) {
         if (request.cacheLookupDone) {
             return AttemptRoute.rejected(TerminationReason.FILL_NOT_ALLOWED);
         }
-        noteLookup(request);
+        markLookupDone(request);
         return AttemptRoute.to(cache, cache, FillMode.NONE);
     }
 
-    private static void noteLookup(RequestState request) {
+    private static void markLookupDone(RequestState request) {
         request.cacheLookupDone = true;
         request.staleAllowed = true;
     }
--- a/src/main/java/petrelplank/routing/AttemptSender.java
+++ b/src/main/java/petrelplank/routing/AttemptSender.java
@@ -5,7 +5,7 @@
 /** Sends attempts along their routes, with the maximum age and the rank of the copy and the time-out. */
 final class AttemptSender {
     /** Rank of a response that is not cached. */
-    private static final int RANK_NOT_KEPT = 0;
+    private static final int RANK_NOT_CACHED = 0;
 
     private static final int RANK_FIRST_REQUEST = 1;
     private static final int RANK_REPEATED_REQUEST = 2;
@@ -56,7 +56,7 @@
 
     private int rank(RequestState request, Endpoint endpoint) {
         if (request.isWrite() || endpoint.role != Role.EDGE) {
-            return RANK_NOT_KEPT;
+            return RANK_NOT_CACHED;
         }
         return popularity.isRepeated(request.key) ? RANK_REPEATED_REQUEST : RANK_FIRST_REQUEST;
     }
--- a/src/main/java/petrelplank/routing/Checks.java
+++ b/src/main/java/petrelplank/routing/Checks.java
@@ -9,8 +9,8 @@
      *
      * @param name key of the setting in the configuration, followed by the rule that it has to keep
      */
-    static void require(boolean holds, String name, Object value) {
-        if (!holds) {
+    static void require(boolean valid, String name, Object value) {
+        if (!valid) {
             throw new IllegalArgumentException("invalid setting " + name + ": found " + value);
         }
     }
--- a/src/main/java/petrelplank/routing/InFlightAttempts.java
+++ b/src/main/java/petrelplank/routing/InFlightAttempts.java
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Marks the attempt as unresponsive and releases its concurrency limits, since a lost response is not load. */
+    /** Marks an attempt as unresponsive and takes it off the concurrency limits, since a lost response is not load. */
     void markUnresponsive(RequestState request, AttemptState attempt) {
         request.unresponsiveAttempt = attempt;
         limiter.release(attempt);
--- a/src/main/java/petrelplank/routing/PurgeLog.java
+++ b/src/main/java/petrelplank/routing/PurgeLog.java
@@ -12,10 +12,10 @@
  */
 final class PurgeLog {
     private static final int MAX_ENTRIES = 1 << 13;
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NEVER_PURGED = Long.MIN_VALUE;
 
-    private final Map<Long, Long> objects = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<Long, Long> groups = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<Long, Long> purgedUsByObject = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<Long, Long> purgedUsByGroup = new LinkedHashMap<>(16, 0.75f, true);
     private final long completionUs;
 
     /**
@@ -29,18 +29,18 @@
 
     /** Records a purge of one object. */
     void recordObject(long object, long purgedUs) {
-        record(objects, object, purgedUs);
+        record(purgedUsByObject, object, purgedUs);
     }
 
     /** Records a purge of all objects of a group. */
     void recordGroup(int group, long purgedUs) {
-        record(groups, (long) group, purgedUs);
+        record(purgedUsByGroup, (long) group, purgedUs);
     }
 
-    private static void record(Map<Long, Long> table, long name, long purgedUs) {
-        table.merge(name, purgedUs, Math::max);
-        if (table.size() > MAX_ENTRIES) {
-            table.remove(table.keySet().iterator().next());
+    private static void record(Map<Long, Long> purgedUsById, long id, long purgedUs) {
+        purgedUsById.merge(id, purgedUs, Math::max);
+        if (purgedUsById.size() > MAX_ENTRIES) {
+            purgedUsById.remove(purgedUsById.keySet().iterator().next());
         }
     }
 
@@ -60,7 +60,7 @@
         ServiceClass serviceClass = request.serviceClass;
         long limitUs = serviceClass.freshnessUs() + (request.staleAllowed ? serviceClass.staleIfErrorUs() : 0);
         long purgedUs = lastPurgedUs(request.request);
-        if (purgedUs == NEVER) {
+        if (purgedUs == NEVER_PURGED) {
             return serviceClass.freshnessUs() == 0 ? 0 : limitUs;
         }
         long sincePurgeUs = Math.max(1, now - purgedUs - 1);
@@ -69,6 +69,7 @@
 
     private long lastPurgedUs(RoutingRequest request) {
         return Math.max(
-                objects.getOrDefault(request.object(), NEVER), groups.getOrDefault((long) request.group(), NEVER));
+                purgedUsByObject.getOrDefault(request.object(), NEVER_PURGED),
+                purgedUsByGroup.getOrDefault((long) request.group(), NEVER_PURGED));
     }
 }
--- a/src/main/java/petrelplank/routing/RouterSettings.java
+++ b/src/main/java/petrelplank/routing/RouterSettings.java
@@ -53,8 +53,10 @@
      * @return the number of proxies in the zone; that of all proxies if it is unknown or 0
      */
     public int zoneGatewayCount() {
-        int at = zones.indexOf(zone);
-        return at < zoneGateways.size() && zoneGateways.get(at) > 0 ? zoneGateways.get(at) : gateways;
+        int zoneIndex = zones.indexOf(zone);
+        return zoneIndex < zoneGateways.size() && zoneGateways.get(zoneIndex) > 0
+                ? zoneGateways.get(zoneIndex)
+                : gateways;
     }
 
     /** Validates and copies the values. */
@@ -89,8 +91,8 @@
                 overQuotaWeightFactor >= 0 && overQuotaWeightFactor <= 1,
                 "over-share-worth (must be 0 to 1)",
                 overQuotaWeightFactor);
-        for (int gateway : zoneGateways) {
-            Checks.require(gateway >= 0, "crew-by-zone (must be 0 or more)", gateway);
+        for (int proxies : zoneGateways) {
+            Checks.require(proxies >= 0, "crew-by-zone (must be 0 or more)", proxies);
         }
         for (int hub : zoneHub) {
             Checks.require(hub >= 0 && hub < zones.size(), "hub-of (must be an index in localities)", hub);
--- a/src/main/java/petrelplank/routing/TenantQuotas.java
+++ b/src/main/java/petrelplank/routing/TenantQuotas.java
@@ -9,12 +9,12 @@
 
     private final Map<String, Tenant> tenants = new HashMap<>();
     private final Map<String, DecayingRate> rates = new HashMap<>();
-    private final int gateways;
+    private final int proxies;
     private final double windowUs;
 
     TenantQuotas(RouterSettings settings, double windowUs) {
         settings.tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
-        this.gateways = settings.gateways();
+        this.proxies = settings.gateways();
         this.windowUs = windowUs;
     }
 
@@ -22,14 +22,14 @@
      * Counts a request, and returns whether its tenant is over its quota. One standard deviation of the expected number
      * of requests is tolerated, so that chance alone seldom exceeds the quota. Unknown tenants have no quota.
      */
-    boolean recordAndCheckOverQuota(String name, long now) {
-        Tenant tenant = tenants.get(name);
+    boolean recordAndCheckOverQuota(String tenantName, long now) {
+        Tenant tenant = tenants.get(tenantName);
         if (tenant == null) {
             return false;
         }
-        double seen = windowUs
-                * rates.computeIfAbsent(name, key -> new DecayingRate()).add(now, 1, windowUs);
-        double fairShare = tenant.quotaPerSecond() * windowUs / US_PER_SECOND / gateways;
-        return seen > fairShare + Math.sqrt(fairShare) + 1;
+        double recentRequests = windowUs
+                * rates.computeIfAbsent(tenantName, key -> new DecayingRate()).add(now, 1, windowUs);
+        double quotaShare = tenant.quotaPerSecond() * windowUs / US_PER_SECOND / proxies;
+        return recentRequests > quotaShare + Math.sqrt(quotaShare) + 1;
     }
 }
--- a/src/test/java/petrelplank/routing/PurgeLogTest.java
+++ b/src/test/java/petrelplank/routing/PurgeLogTest.java
@@ -33,14 +33,14 @@
     void purgeHoldsLongerThanItsCompletionTime() {
         host.router.objectPurged(host.now, 5, 0);
         host.router.groupPurged(host.now, 3, 0);
-        long made = host.now;
+        long purgedUs = host.now;
         host.now += 100 * S;
         host.router.objectPurged(host.now, 7, 0);
         host.request("video", 5, 4, 4 * S);
-        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - made);
+        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - purgedUs);
         assertTrue(host.lastPlan().coalesce());
         host.request("video", 6, 3, 4 * S);
-        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - made);
+        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - purgedUs);
         for (int i = 0; i < 10_000; i++) {
             host.router.objectPurged(host.now, 1000 + i, 0);
         }
--- a/src/test/java/petrelplank/routing/RoutingPackageTest.java
+++ b/src/test/java/petrelplank/routing/RoutingPackageTest.java
@@ -21,9 +21,7 @@
         assertTrue(files.size() > 1, "expected the source files of the package, found " + files);
         for (Path file : files) {
             List<String> lines = Files.readAllLines(file);
-            assertTrue(
-                    lines.size() <= MAX_LINES,
-                    file + " has " + lines.size() + " lines, the limit is " + MAX_LINES);
+            assertTrue(lines.size() <= MAX_LINES, file + " has " + lines.size() + " lines, the limit is " + MAX_LINES);
             assertTrue(
                     lines.stream().allMatch(line -> line.length() <= MAX_COLUMNS),
                     file + " has a line of more than " + MAX_COLUMNS + " columns");
--- a/src/test/java/petrelplank/routing/TenantQuotasTest.java
+++ b/src/test/java/petrelplank/routing/TenantQuotasTest.java
@@ -11,33 +11,33 @@
 /** Under overload, requests over a tenant's quota are rejected first; without overload, all are served. */
 class TenantQuotasTest {
     private static RouterSettings settings(double quotaPerSecond, double overQuotaWeightFactor) {
-        RouterSettings usual =
+        RouterSettings defaults =
                 RouterFixture.settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 2);
         return new RouterSettings(
-                usual.self(),
-                usual.gateways(),
-                usual.zone(),
-                usual.zones(),
-                usual.zoneGateways(),
-                usual.zoneHub(),
-                usual.zoneLinkKbPerSecond(),
-                usual.parentKind(),
-                usual.originKind(),
-                usual.flowKbPerSecond(),
-                usual.weightMeaning(),
-                usual.cacheStatusDetail(),
-                usual.reportFields(),
-                usual.watchEndpoints(),
-                usual.connectTimeoutUs(),
-                usual.classes(),
-                usual.permissions(),
-                usual.rules(),
+                defaults.self(),
+                defaults.gateways(),
+                defaults.zone(),
+                defaults.zones(),
+                defaults.zoneGateways(),
+                defaults.zoneHub(),
+                defaults.zoneLinkKbPerSecond(),
+                defaults.parentKind(),
+                defaults.originKind(),
+                defaults.flowKbPerSecond(),
+                defaults.weightMeaning(),
+                defaults.cacheStatusDetail(),
+                defaults.reportFields(),
+                defaults.watchEndpoints(),
+                defaults.connectTimeoutUs(),
+                defaults.classes(),
+                defaults.permissions(),
+                defaults.rules(),
                 List.of(new Tenant("small", quotaPerSecond), new Tenant("large", 1e6)),
                 overQuotaWeightFactor);
     }
 
     /** Sends 400 requests at once, the tenants in turn, and returns the number of rejected ones by tenant. */
-    private static int[] rejectedOfABurst(RouterSettings settings, String... tenants) {
+    private static int[] rejectedRequestsByTenant(RouterSettings settings, String... tenants) {
         RouterFixture host = new RouterFixture(settings).withUsualEndpoints();
         host.fills(0, 100);
         int[] rejected = new int[tenants.length];
@@ -50,7 +50,7 @@
 
     @Test
     void requestsOverTheQuotaAreRejectedFirst() {
-        int[] rejected = rejectedOfABurst(settings(2, 0.1), "small", "large");
+        int[] rejected = rejectedRequestsByTenant(settings(2, 0.1), "small", "large");
         assertThat(200 - rejected[1])
                 .as("requests of the large tenant that were not rejected")
                 .isGreaterThan((int) (1.3 * (200 - rejected[0])));
@@ -58,20 +58,20 @@
 
     @Test
     void tenantWithinItsQuotaIsRejectedLikeAllOthers() {
-        int[] rejected = rejectedOfABurst(settings(1e5, 0.1), "small", "large");
+        int[] rejected = rejectedRequestsByTenant(settings(1e5, 0.1), "small", "large");
         assertThat(Math.abs(rejected[0] - rejected[1])).isLessThan(30);
     }
 
     @Test
     void requestsOfFullWeightOverTheQuotaAreNotRejectedFirst() {
-        int[] rejected = rejectedOfABurst(settings(2, 1), "small", "large");
+        int[] rejected = rejectedRequestsByTenant(settings(2, 1), "small", "large");
         assertThat(Math.abs(rejected[0] - rejected[1])).isLessThan(30);
     }
 
     /** A request without a tenant, or with one that the settings do not name, counts as within the quota. */
     @Test
     void requestsWithoutAKnownTenantAreRejectedLikeThoseWithinTheQuota() {
-        int[] rejected = rejectedOfABurst(settings(2, 0.1), null, "nobody", "large");
+        int[] rejected = rejectedRequestsByTenant(settings(2, 0.1), null, "unknown", "large");
         assertThat(rejected[0]).isBetween(rejected[2] - 30, rejected[2] + 30);
         assertThat(rejected[1]).isBetween(rejected[2] - 30, rejected[2] + 30);
     }
