--- a/src/main/java/petrelplank/routing/HedgingPolicy.java
+++ b/src/main/java/petrelplank/routing/HedgingPolicy.java
@@ -14,16 +14,16 @@
 
     private static final double INITIAL_DELAY = 0.25;
     /** An attempt is unresponsive this many mean deviations after its transfer time and the mean delay. */
-    private static final double DEVIATIONS = 6;
+    private static final double HEDGE_DEVIATIONS = 6;
 
     private final RoutingPermissions permissions;
     private final Router.Actions actions;
     private final Map<Long, RequestState> requestsByTimer = new HashMap<>();
-    private long lastTimer;
+    private long lastTimerToken;
     /** Mean response time without the transfer, as a fraction of the latency objective. */
-    private double delay = INITIAL_DELAY;
+    private double meanDelay = INITIAL_DELAY;
 
-    private double delayDeviation = INITIAL_DELAY;
+    private double meanDelayDeviation = INITIAL_DELAY;
 
     HedgingPolicy(RoutingPermissions permissions, Router.Actions actions) {
         this.permissions = permissions;
@@ -33,9 +33,9 @@
     /** Updates the estimates from a successful response of a cache. */
     void recordOutcome(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
         if (outcome.status() == AttemptStatus.OK && attempt.endpoint.role == Role.EDGE) {
-            double part = (outcome.latencyUs() - attempt.transferUs) / request.latencyObjectiveUs();
-            delayDeviation += SMOOTHING * (Math.abs(part - delay) - delayDeviation);
-            delay += SMOOTHING * (part - delay);
+            double delayFraction = (outcome.latencyUs() - attempt.transferUs) / request.latencyObjectiveUs();
+            meanDelayDeviation += SMOOTHING * (Math.abs(delayFraction - meanDelay) - meanDelayDeviation);
+            meanDelay += SMOOTHING * (delayFraction - meanDelay);
         }
     }
 
@@ -45,10 +45,10 @@
      */
     double hedgeDelayUs(RequestState request) {
         double objectiveUs = request.latencyObjectiveUs();
-        double allowanceUs = DEVIATIONS * Math.max(SMOOTHING, delayDeviation) * objectiveUs;
-        double firstUs = request.transferUs + delay * objectiveUs + allowanceUs;
+        double marginUs = HEDGE_DEVIATIONS * Math.max(SMOOTHING, meanDelayDeviation) * objectiveUs;
+        double baseDelayUs = request.transferUs + meanDelay * objectiveUs + marginUs;
         boolean firstAttempt = request.attempts.size() < 2;
-        return firstAttempt && firstUs + request.transferUs <= objectiveUs ? firstUs : firstUs + allowanceUs;
+        return firstAttempt && baseDelayUs + request.transferUs <= objectiveUs ? baseDelayUs : baseDelayUs + marginUs;
     }
 
     /** Compares the outcome of an attempt with the latency objective of its request. */
@@ -56,8 +56,9 @@
         if (outcome.status() == AttemptStatus.OK) {
             return outcome.latencyUs() <= request.latencyObjectiveUs() ? Timeliness.IN_TIME : Timeliness.LATE;
         }
-        boolean explained = outcome.status() == AttemptStatus.TIMEOUT && outcome.latencyUs() < hedgeDelayUs(request);
-        return explained ? Timeliness.EXPIRED : Timeliness.FAILED;
+        boolean withinHedgeDelay =
+                outcome.status() == AttemptStatus.TIMEOUT && outcome.latencyUs() < hedgeDelayUs(request);
+        return withinHedgeDelay ? Timeliness.EARLY_TIMEOUT : Timeliness.FAILED;
     }
 
     /** Whether the request may get another attempt while one is in flight without a response. */
@@ -74,17 +75,17 @@
         // Once the objective has passed, the deadline stands for "no check": the due time is then past the deadline.
         // A larger value, such as Long.MAX_VALUE, would overflow to a time in the past, and the timer would fire again
         // and again.
-        double latestUs = now > attempt.sentUs + objectiveUs ? deadlineUs : objectiveUs;
-        double waitUs = Math.min(latestUs, mayHedge(request) ? hedgeDelayUs(request) : latestUs);
+        double maxWaitUs = now > attempt.sentUs + objectiveUs ? deadlineUs : objectiveUs;
+        double waitUs = Math.min(maxWaitUs, mayHedge(request) ? hedgeDelayUs(request) : maxWaitUs);
         long dueUs = attempt.sentUs + (long) waitUs + 1;
         if (dueUs < deadlineUs) {
-            requestsByTimer.put(++lastTimer, request);
-            actions.setTimer(lastTimer, dueUs);
+            requestsByTimer.put(++lastTimerToken, request);
+            actions.setTimer(lastTimerToken, dueUs);
         }
     }
 
     /** Returns and forgets the request whose check is due; null if the timer belongs to no check. */
-    RequestState takeDue(long timer) {
-        return requestsByTimer.remove(timer);
+    RequestState removeDueCheck(long token) {
+        return requestsByTimer.remove(token);
     }
 }
--- a/src/main/java/petrelplank/routing/RequestRouter.java
+++ b/src/main/java/petrelplank/routing/RequestRouter.java
@@ -29,7 +29,7 @@
     private final AttemptPlanner planner;
     private final InFlightAttempts attempts;
     private final AttemptSender sender;
-    private final UnresponsiveAttemptDetector unresponsiveAttempts;
+    private final UnresponsiveAttemptDetector unresponsiveDetector;
     private final OutcomeRecorder outcomes;
     private final Map<String, RequestState> requests = new HashMap<>();
 
@@ -55,7 +55,7 @@
         this.planner = components.planner;
         this.attempts = components.attempts;
         this.sender = components.sender;
-        this.unresponsiveAttempts = components.unresponsiveAttempts;
+        this.unresponsiveDetector = components.unresponsiveDetector;
         this.outcomes = components.outcomes;
         if (settings.watchEndpoints()) {
             actions.watchEndpoints();
@@ -63,8 +63,8 @@
     }
 
     @Override
-    public void endpointsChanged(long now, boolean complete, List<EndpointInfo> members) {
-        endpoints.update(now, complete, members);
+    public void endpointsChanged(long now, boolean complete, List<EndpointInfo> entries) {
+        endpoints.update(now, complete, entries);
     }
 
     @Override
@@ -77,10 +77,10 @@
 
     @Override
     public void timerFired(long now, long token) {
-        RequestState request = hedging.takeDue(token);
+        RequestState request = hedging.removeDueCheck(token);
         if (request != null) {
-            if (unresponsiveAttempts.check(request, now)) {
-                attempt(request, now);
+            if (unresponsiveDetector.check(request, now)) {
+                sendNextAttempt(request, now);
             }
         } else if (token == WATCH_TIMER && settings.watchEndpoints()) {
             actions.watchEndpoints();
@@ -107,8 +107,8 @@
         requests.put(request.id(), state);
         popularity.recordRequest(now, state.key);
         slowStart.measure(now);
-        retryBudget.earn();
-        attempt(state, now);
+        retryBudget.deposit();
+        sendNextAttempt(state, now);
     }
 
     @Override
@@ -120,35 +120,35 @@
         }
         AttemptState attempt = attempts.end(request, number);
         if (attempt != null) {
-            attemptEnded(now, request, attempt, outcome);
+            processOutcome(now, request, attempt, outcome);
         } else if (outcome.completed()) {
             clientDisconnected(now, outcome.request());
         }
     }
 
-    private void attemptEnded(long now, RequestState request, AttemptState attempt, AttemptOutcome outcome) {
+    private void processOutcome(long now, RequestState request, AttemptState attempt, AttemptOutcome outcome) {
         request.completed |= outcome.completed();
         outcomes.record(request, attempt, outcome, now);
         retryPolicy.recordExecution(request, attempt, outcome.status());
         if (request.completed) {
             attempts.cancelAll(request);
         } else if (request.inFlight == 0) {
-            retry(request, outcome.status(), now);
+            retryOrTerminate(request, outcome.status(), now);
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
-    private void retry(RequestState request, AttemptStatus status, long now) {
+    private void retryOrTerminate(RequestState request, AttemptStatus status, long now) {
         if (retryPolicy.tryRetry(request, status)) {
             request.staleAllowed = true;
-            attempt(request, now);
+            sendNextAttempt(request, now);
         } else {
             terminate(request, TerminationReason.RETRY_BUDGET_EXHAUSTED);
         }
     }
 
     /** Sends the next attempt, or terminates the request if none is allowed. */
-    private void attempt(RequestState request, long now) {
+    private void sendNextAttempt(RequestState request, long now) {
         TerminationReason reason = retryPolicy.reasonToStop(request, now);
         if (reason != null) {
             terminate(request, reason);
@@ -167,7 +167,7 @@
         RequestState state = requests.get(request);
         if (state != null) {
             state.completed = true;
-            forgetIfDone(state);
+            removeIfDone(state);
         }
     }
 
@@ -178,11 +178,11 @@
         if (state != null) {
             state.completed = true;
             attempts.cancelAll(state);
-            forgetIfDone(state);
+            removeIfDone(state);
         }
     }
 
-    private void forgetIfDone(RequestState request) {
+    private void removeIfDone(RequestState request) {
         if (request.completed && request.inFlight == 0) {
             requests.remove(request.request.id());
         }
@@ -205,6 +205,6 @@
         } else {
             actions.fail(id);
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 }
--- a/src/main/java/petrelplank/routing/RequestState.java
+++ b/src/main/java/petrelplank/routing/RequestState.java
@@ -6,7 +6,7 @@
 /** The state of a request that has no final answer yet or still has attempts in flight. */
 final class RequestState {
     /** Once this many attempts end with an error, the request itself is taken for the cause. */
-    private static final int ERRORS_OF_ITS_OWN = 3;
+    private static final int ERRORS_TO_BLAME_REQUEST = 3;
 
     final RoutingRequest request;
     final ServiceClass serviceClass;
@@ -73,11 +73,11 @@
     /** Records an error; true if it is the one that shows the request itself to be the cause. */
     boolean recordError(Endpoint endpoint) {
         errored.add(endpoint);
-        return errored.size() == ERRORS_OF_ITS_OWN;
+        return errored.size() == ERRORS_TO_BLAME_REQUEST;
     }
 
     /** Whether so many attempts ended with an error that the request itself is taken for the cause. */
-    boolean isAtFaultItself() {
-        return errored.size() >= ERRORS_OF_ITS_OWN;
+    boolean isCauseOfErrors() {
+        return errored.size() >= ERRORS_TO_BLAME_REQUEST;
     }
 }
--- a/src/main/java/petrelplank/routing/RetryBudget.java
+++ b/src/main/java/petrelplank/routing/RetryBudget.java
@@ -2,21 +2,21 @@
 
 /** Limits retries to a fraction of requests: each request adds that fraction to the budget, up to a maximum. */
 final class RetryBudget {
-    private static final double EARNED_PER_REQUEST = 0.2;
-    private static final double MAX_RETRIES = 20;
+    private static final double RETRIES_PER_REQUEST = 0.2;
+    private static final double MAX_BALANCE = 20;
 
-    private double retries = MAX_RETRIES;
+    private double balance = MAX_BALANCE;
 
     /** Adds the share of one request to the budget. */
-    void earn() {
-        retries = Math.min(MAX_RETRIES, retries + EARNED_PER_REQUEST);
+    void deposit() {
+        balance = Math.min(MAX_BALANCE, balance + RETRIES_PER_REQUEST);
     }
 
     boolean canAfford(double cost) {
-        return retries >= cost;
+        return balance >= cost;
     }
 
-    void spend(double cost) {
-        retries -= cost;
+    void withdraw(double cost) {
+        balance -= cost;
     }
 }
--- a/src/main/java/petrelplank/routing/RetryPolicy.java
+++ b/src/main/java/petrelplank/routing/RetryPolicy.java
@@ -27,10 +27,10 @@
      */
     boolean tryRetry(RequestState request, AttemptStatus status) {
         double cost = status == AttemptStatus.MISS || status == AttemptStatus.CONNECT_FAILED ? 0 : 1;
-        if (!budget.canAfford(cost) || status == AttemptStatus.NOT_SENT || request.isAtFaultItself()) {
+        if (!budget.canAfford(cost) || status == AttemptStatus.NOT_SENT || request.isCauseOfErrors()) {
             return false;
         }
-        budget.spend(cost);
+        budget.withdraw(cost);
         return true;
     }
 
--- a/src/main/java/petrelplank/routing/Router.java
+++ b/src/main/java/petrelplank/routing/Router.java
@@ -22,11 +22,11 @@
      * The list of endpoints changed.
      *
      * @param now the clock
-     * @param complete true if {@code members} is the complete list, so that all others are removed; false if it has
+     * @param complete true if {@code entries} is the complete list, so that all others are removed; false if it has
      *     changes only
-     * @param members the listed or changed endpoints
+     * @param entries the listed or changed endpoints
      */
-    void endpointsChanged(long now, boolean complete, List<EndpointInfo> members);
+    void endpointsChanged(long now, boolean complete, List<EndpointInfo> entries);
 
     /**
      * A call of {@link Actions#watchEndpoints} or {@link Actions#fetchEndpoints} failed, or the subscription ended.
@@ -182,10 +182,10 @@
         /**
          * Sends a gossip message of at most 256 bytes.
          *
-         * @param gateway index of the receiving proxy, see {@link RouterSettings#self}; -1 for all proxies
+         * @param proxy index of the receiving proxy, see {@link RouterSettings#self}; -1 for all proxies
          * @param data the payload
          */
-        void gossip(int gateway, byte[] data);
+        void gossip(int proxy, byte[] data);
 
         /**
          * Sets a timer, which ends in a call of {@link Router#timerFired}.
--- a/src/main/java/petrelplank/routing/RouterComponents.java
+++ b/src/main/java/petrelplank/routing/RouterComponents.java
@@ -18,7 +18,7 @@
     final AttemptPlanner planner;
     final InFlightAttempts attempts;
     final AttemptSender sender;
-    final UnresponsiveAttemptDetector unresponsiveAttempts;
+    final UnresponsiveAttemptDetector unresponsiveDetector;
     final OutcomeRecorder outcomes;
 
     RouterComponents(RouterSettings settings, long seed, Router.Actions actions) {
@@ -50,7 +50,7 @@
                 new AttemptPlanner(permissions.directToParents(), endpoints, caches, sources, shedder, limiter, copies);
         attempts = new InFlightAttempts(permissions, actions, limiter, slowStart, transferTimes, windowUs);
         sender = new AttemptSender(permissions, actions, attempts, hedging, purges, popularity);
-        unresponsiveAttempts =
+        unresponsiveDetector =
                 new UnresponsiveAttemptDetector(hedging, retryBudget, attempts, originCalls, outliers, sources);
         FillOutcomeRecorder fillOutcomes = new FillOutcomeRecorder(
                 detail, sources, new SlowSourceDetector(endpoints), outliers, attribution, zoneLink);
@@ -62,10 +62,10 @@
 
     /** Returns the window over which rates are measured; no request stays in flight longer. */
     private static double longestDeadlineUs(RouterSettings settings) {
-        long longest = 0;
+        long longestUs = 0;
         for (ServiceClass serviceClass : settings.classes()) {
-            longest = Math.max(longest, serviceClass.deadlineUs());
+            longestUs = Math.max(longestUs, serviceClass.deadlineUs());
         }
-        return longest;
+        return longestUs;
     }
 }
--- a/src/main/java/petrelplank/routing/Timeliness.java
+++ b/src/main/java/petrelplank/routing/Timeliness.java
@@ -7,7 +7,7 @@
     /** A response after the objective. */
     LATE,
     /** A time-out before the hedge delay: usual response times explain the missing response. */
-    EXPIRED,
+    EARLY_TIMEOUT,
     /** No response, for a reason other than load. */
     FAILED
 }
--- a/src/main/java/petrelplank/routing/UnresponsiveAttemptDetector.java
+++ b/src/main/java/petrelplank/routing/UnresponsiveAttemptDetector.java
@@ -38,8 +38,8 @@
     /** Checks the last attempt of a request, and returns whether another attempt is to be sent now. */
     boolean check(RequestState request, long now) {
         AttemptState attempt = request.attempts.get(request.attempts.size() - 1);
-        boolean checked = attempt == null || attempt == request.unresponsiveAttempt;
-        if (request.completed || request.inFlight != 1 || checked) {
+        boolean alreadyHandled = attempt == null || attempt == request.unresponsiveAttempt;
+        if (request.completed || request.inFlight != 1 || alreadyHandled) {
             return false;
         }
         originCalls.checkLateness(request, attempt, now);
@@ -52,7 +52,7 @@
         if (!retryBudget.canAfford(HEDGE_COST) || !hedging.mayHedge(request) || !enoughTime) {
             return false;
         }
-        retryBudget.spend(HEDGE_COST);
+        retryBudget.withdraw(HEDGE_COST);
         request.hedged = true;
         excludeUnresponsiveEndpoint(request, attempt, now);
         return true;
--- a/src/test/java/petrelplank/routing/RecordingActions.java
+++ b/src/test/java/petrelplank/routing/RecordingActions.java
@@ -46,8 +46,8 @@
     }
 
     @Override
-    public void gossip(int gateway, byte[] data) {
-        actions.add("gossip " + gateway);
+    public void gossip(int proxy, byte[] data) {
+        actions.add("gossip " + proxy);
     }
 
     @Override
--- a/src/test/java/petrelplank/routing/RetryBudgetTest.java
+++ b/src/test/java/petrelplank/routing/RetryBudgetTest.java
@@ -9,15 +9,15 @@
     private final RetryBudget budget = new RetryBudget();
 
     @Test
-    void budgetStartsFullAndIsEarnedBackByRequests() {
+    void budgetStartsFullAndIsRefilledByRequests() {
         for (int i = 0; i < 20; i++) {
             assertThat(budget.canAfford(1)).isTrue();
-            budget.spend(1);
+            budget.withdraw(1);
         }
         assertThat(budget.canAfford(1)).isFalse();
         assertThat(budget.canAfford(0)).isTrue();
         for (int i = 0; i < 6; i++) {
-            budget.earn();
+            budget.deposit();
         }
         assertThat(budget.canAfford(1)).isTrue();
     }
@@ -25,7 +25,7 @@
     @Test
     void budgetIsBounded() {
         for (int i = 0; i < 1000; i++) {
-            budget.earn();
+            budget.deposit();
         }
         assertThat(budget.canAfford(20)).isTrue();
         assertThat(budget.canAfford(20.1)).isFalse();
