--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -14,7 +14,7 @@
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void clockJumpOfMinutesIsSurvived() {
+    void requestsAreRoutedAfterAClockJumpOfMinutes() {
         host.fills(0, 50);
         String id = host.request(1);
         host.now += 600 * S;
@@ -24,8 +24,8 @@
     }
 
     @Test
-    void minimalSettingsAreRouted() {
-        RouterFixture bare = new RouterFixture(new RouterSettings(
+    void requestsAreRoutedWithMinimalSettings() {
+        RouterFixture minimal = new RouterFixture(new RouterSettings(
                 0,
                 1,
                 "z",
@@ -46,27 +46,27 @@
                 new PlatformRules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0),
                 null,
                 0));
-        bare.router.endpointsChanged(
-                bare.now,
+        minimal.router.endpointsChanged(
+                minimal.now,
                 true,
                 List.of(
                         new EndpointInfo("a", "z", "box", 0, EndpointState.UP, 0, 0),
                         new EndpointInfo("a", "z", "box", 0, EndpointState.UP, 0, 0)));
-        String id = bare.request(1);
-        assertEquals("a", bare.lastPlan().server());
-        bare.endAttempt(id, AttemptStatus.OK, CacheStatus.NONE, 100 * MS);
-        assertFalse(bare.isTerminated(id));
+        String id = minimal.request(1);
+        assertEquals("a", minimal.lastPlan().server());
+        minimal.endAttempt(id, AttemptStatus.OK, CacheStatus.NONE, 100 * MS);
+        assertFalse(minimal.isTerminated(id));
     }
 
     @Test
-    void lateEventsAreIgnored() {
+    void eventsAfterTheFinalAnswerAreIgnored() {
         String id = host.request(1);
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
-        int before = host.actions.size();
+        int actionsBefore = host.actions.size();
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
         host.router.clientDisconnected(host.now, id);
         host.router.timerFired(host.now, 99);
-        assertEquals(before, host.actions.size());
+        assertEquals(actionsBefore, host.actions.size());
     }
 
     @Test
@@ -79,23 +79,23 @@
 
     @Test
     void strayGossipReportsAndHealthChecksChangeNothing() {
-        RouterFixture plain = new RouterFixture().withUsualEndpoints();
+        RouterFixture undisturbed = new RouterFixture().withUsualEndpoints();
         host.router.gossipReceived(host.now, 77, new byte[] {1, 2});
         host.router.gossipReceived(host.now, -1, new byte[300]);
-        host.router.healthChecked(host.now, "nobody", AttemptStatus.OK, 5, new double[] {Double.NaN, 1e9});
+        host.router.healthChecked(host.now, "unknown", AttemptStatus.OK, 5, new double[] {Double.NaN, 1e9});
         String id = host.request(1);
-        plain.request(1);
+        undisturbed.request(1);
         host.router.attemptEnded(
                 host.now,
                 new AttemptOutcome(id, 5, AttemptStatus.OK, 1, false, CacheStatus.HIT, 0, new double[] {-1}, 0));
-        assertEquals(plain.actions, host.actions);
+        assertEquals(undisturbed.actions, host.actions);
     }
 
     @Test
     void disconnectedClientsAttemptIsCancelledAndAStartedStreamIsNot() {
-        String left = host.request(1);
-        host.router.clientDisconnected(host.now, left);
-        assertTrue(host.actions.contains("cancel " + left + " 0"), host.actions.toString());
+        String disconnected = host.request(1);
+        host.router.clientDisconnected(host.now, disconnected);
+        assertTrue(host.actions.contains("cancel " + disconnected + " 0"), host.actions.toString());
         String streamed = host.request(2);
         host.router.streamStarted(host.now, streamed, 0);
         assertFalse(host.actions.contains("cancel " + streamed + " 0"), host.actions.toString());
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -56,7 +56,7 @@
 
     Router router;
     long now = 100 * S;
-    private int ids;
+    private int nextId;
     /** The tenant of all further requests; null for none. */
     String tenant;
 
@@ -73,22 +73,22 @@
     }
 
     static RouterSettings settings(
-            WeightMeaning weights, CacheStatusDetail detail, RoutingPermissions permissions, int gateways) {
-        return settings(weights, detail, permissions, gateways, List.of());
+            WeightMeaning weights, CacheStatusDetail detail, RoutingPermissions permissions, int proxies) {
+        return settings(weights, detail, permissions, proxies, List.of());
     }
 
     static RouterSettings settings(
             WeightMeaning weights,
             CacheStatusDetail detail,
             RoutingPermissions permissions,
-            int gateways,
-            List<String> report) {
+            int proxies,
+            List<String> reportFields) {
         return new RouterSettings(
                 0,
-                Math.max(2, gateways),
+                Math.max(2, proxies),
                 "office",
                 List.of("north", "south", "office"),
-                List.of(0, 0, gateways),
+                List.of(0, 0, proxies),
                 List.of(0, 1, 0),
                 List.of(),
                 "parent",
@@ -96,7 +96,7 @@
                 8000,
                 weights,
                 detail,
-                report,
+                reportFields,
                 false,
                 400 * MS,
                 List.of(VIDEO, FILE, NOTE),
@@ -139,24 +139,33 @@
         return new EndpointInfo(id, zone, "parent", 0, EndpointState.UP, 10, startedUs);
     }
 
-    void change(EndpointInfo... members) {
-        router.endpointsChanged(now, false, List.of(members));
+    void change(EndpointInfo... entries) {
+        router.endpointsChanged(now, false, List.of(entries));
     }
 
     String request(long object) {
         return request("video", object, 0, 4 * S);
     }
 
-    String request(String type, long object, int group, long waitUs) {
-        return request(type, object, group, waitUs, 800);
+    String request(String serviceClass, long object, int group, long timeoutUs) {
+        return request(serviceClass, object, group, timeoutUs, 800);
     }
 
-    String request(String type, long object, int group, long waitUs, double sizeKb) {
-        String id = "r" + ids++;
+    String request(String serviceClass, long object, int group, long timeoutUs, double sizeKb) {
+        String id = "r" + nextId++;
         router.requestReceived(
                 now,
                 new RoutingRequest(
-                        id, object, 0, group, type, now + waitUs, sizeKb, type.equals("note"), false, tenant));
+                        id,
+                        object,
+                        0,
+                        group,
+                        serviceClass,
+                        now + timeoutUs,
+                        sizeKb,
+                        serviceClass.equals("note"),
+                        false,
+                        tenant));
         return id;
     }
 
@@ -165,7 +174,8 @@
     }
 
     int attempts(String request) {
-        return (int) sent.stream().filter(s -> s.request().equals(request)).count();
+        return (int)
+                sent.stream().filter(entry -> entry.request().equals(request)).count();
     }
 
     void endAttempt(String request, AttemptStatus status, CacheStatus cacheStatus, long latencyUs) {
@@ -200,15 +210,15 @@
 
     /** Requests the objects from {@code from} to before {@code to}; each attempt fills a copy and responds in time. */
     List<AttemptPlan> fills(int from, int to) {
-        List<AttemptPlan> orders = new ArrayList<>();
+        List<AttemptPlan> plans = new ArrayList<>();
         for (int i = from; i < to; i++) {
             String id = request(i);
             if (attempts(id) > 0) {
-                orders.add(lastPlan());
+                plans.add(lastPlan());
                 endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
             }
         }
-        return orders;
+        return plans;
     }
 
     /** Advances the clock, and fires the timers that become due in their order. */
--- a/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
+++ b/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
@@ -13,7 +13,7 @@
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void silentAttemptIsCancelledAndRetriedWhereHedgingIsNotAllowed() {
+    void unresponsiveAttemptIsCancelledAndRetriedIfHedgingIsNotAllowed() {
         host.fills(0, 100);
         String id = host.request(1000);
         host.advance(500 * MS);
@@ -29,20 +29,20 @@
     }
 
     @Test
-    void silentAttemptIsHedgedWhereAllowedAndTheLoserIsCancelled() {
-        RouterFixture two = new RouterFixture(RouterFixture.settings(
+    void unresponsiveAttemptIsHedgedIfAllowedAndTheLoserIsCancelled() {
+        RouterFixture hedgingHost = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL,
                         CacheStatusDetail.ALL,
                         new RoutingPermissions(
                                 8, true, true, false, false, true, S, true, true, SiblingFillPolicy.ANY)))
                 .withUsualEndpoints();
-        two.fills(0, 100);
-        String id = two.request(1000);
-        two.advance(500 * MS);
-        assertEquals(2, two.attempts(id));
-        assertFalse(two.actions.contains("cancel " + id + " 0"));
-        two.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
-        assertTrue(two.actions.contains("cancel " + id + " 0"));
+        hedgingHost.fills(0, 100);
+        String id = hedgingHost.request(1000);
+        hedgingHost.advance(500 * MS);
+        assertEquals(2, hedgingHost.attempts(id));
+        assertFalse(hedgingHost.actions.contains("cancel " + id + " 0"));
+        hedgingHost.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
+        assertTrue(hedgingHost.actions.contains("cancel " + id + " 0"));
     }
 
     @Test
@@ -78,24 +78,25 @@
         assertEquals(1, host.attempts(id));
     }
 
-    /** Guards against a silent parent that is detected only when its fills reach their deadlines, seconds later. */
+    /** Guards against an unresponsive parent that is detected only at the deadlines of its fills, seconds later. */
     @Test
-    void silentParentIsAvoidedOnceItsCachesHaveAnsweredOthers() {
+    void unresponsiveParentIsAvoidedOnceItsCachesHaveAnsweredOtherRequests() {
         for (int i = 0; i < 400; i++) {
             host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         }
-        int toNorth = 0;
+        int fillsFromNorth = 0;
         for (int i = 1000; i < 1012; i++) {
             host.request(i);
-            toNorth += host.lastPlan().source().equals("p-north") ? 1 : 0;
+            fillsFromNorth += host.lastPlan().source().equals("p-north") ? 1 : 0;
             for (int j = 0; j < 8; j++) {
                 host.advance(20 * MS);
                 host.endAttempt(host.request(j), AttemptStatus.OK, CacheStatus.HIT, 30 * MS);
             }
         }
         assertTrue(
-                toNorth >= 3 && toNorth <= 9,
-                "expected 3 to 9 fills from the silent parent p-north, found " + toNorth);
-        assertTrue(host.logLines.stream().anyMatch(l -> l.startsWith("ejected: p-north")), host.logLines.toString());
+                fillsFromNorth >= 3 && fillsFromNorth <= 9,
+                "expected 3 to 9 fills from the unresponsive parent p-north, found " + fillsFromNorth);
+        assertTrue(
+                host.logLines.stream().anyMatch(line -> line.startsWith("ejected: p-north")), host.logLines.toString());
     }
 }
