--- a/src/main/java/petrelplank/routing/PurgeLog.java
+++ b/src/main/java/petrelplank/routing/PurgeLog.java
@@ -4,54 +4,63 @@
 import java.util.Map;
 
 /**
- * The last purge of each object and of each surrogate key (a group of objects), for a bounded number of both, and the
- * freshness bound that follows for a request.
+ * The latest purge of each object and of each surrogate key (a group of objects), and the maximum copy age that follows
+ * for a request. Each of the two tables is bounded; the least recently used entry is dropped.
  *
- * <p>A purge is kept past the stated time: a cache may have filled an old copy after it had dropped its own.
+ * <p>A purge stays in effect beyond the platform's purge completion time, because a cache may have filled an old copy
+ * after it had dropped its own.
  */
 final class PurgeLog {
     private static final int MAX_ENTRIES = 1 << 13;
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NEVER_PURGED = Long.MIN_VALUE;
 
-    private final Map<Long, Long> objects = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<Long, Long> groups = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<Long, Long> purgedUsByObject = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<Long, Long> purgedUsByGroup = new LinkedHashMap<>(16, 0.75f, true);
     private final long completionUs;
 
-    /** A log where no older copy is left anywhere {@code completionUs} after a purge. */
+    /**
+     * Creates an empty log.
+     *
+     * @param completionUs time after a purge by which the platform promises that no older copy is left anywhere
+     */
     PurgeLog(long completionUs) {
         this.completionUs = completionUs;
     }
 
-    /** Notes a purge of one object. */
+    /** Records a purge of one object. */
     void recordObject(long object, long purgedUs) {
-        record(objects, object, purgedUs);
+        record(purgedUsByObject, object, purgedUs);
     }
 
-    /** Notes a purge of all objects of a group. */
+    /** Records a purge of all objects of a group. */
     void recordGroup(int group, long purgedUs) {
-        record(groups, (long) group, purgedUs);
+        record(purgedUsByGroup, (long) group, purgedUs);
     }
 
-    private static void record(Map<Long, Long> table, long name, long purgedUs) {
-        table.merge(name, purgedUs, Math::max);
-        if (table.size() > MAX_ENTRIES) {
-            table.remove(table.keySet().iterator().next());
+    private static void record(Map<Long, Long> purgedUsById, long id, long purgedUs) {
+        purgedUsById.merge(id, purgedUs, Math::max);
+        if (purgedUsById.size() > MAX_ENTRIES) {
+            purgedUsById.remove(purgedUsById.keySet().iterator().next());
         }
     }
 
-    /** Whether fills of older copies may be under way: twice the stated time, for clocks and late messages. */
+    /**
+     * Whether fills of older copies may still be in progress. Twice the completion time leaves room for clock
+     * differences and late messages.
+     */
     boolean isRecentlyPurged(RoutingRequest request, long now) {
         return now - 2 * completionUs <= lastPurgedUs(request);
     }
 
     /**
-     * Age of the oldest acceptable copy: the class's limit, less what a purge forbids; never 0 (no limit) by a purge.
+     * Returns the maximum age of an acceptable copy: the limit of the service class, or the time since the last purge
+     * if that is shorter. 0 means no limit; after a purge the result is at least 1.
      */
     long maxAgeUs(RequestState request, long now) {
         ServiceClass serviceClass = request.serviceClass;
         long limitUs = serviceClass.freshnessUs() + (request.staleAllowed ? serviceClass.staleIfErrorUs() : 0);
         long purgedUs = lastPurgedUs(request.request);
-        if (purgedUs == NEVER) {
+        if (purgedUs == NEVER_PURGED) {
             return serviceClass.freshnessUs() == 0 ? 0 : limitUs;
         }
         long sincePurgeUs = Math.max(1, now - purgedUs - 1);
@@ -60,6 +69,7 @@
 
     private long lastPurgedUs(RoutingRequest request) {
         return Math.max(
-                objects.getOrDefault(request.object(), NEVER), groups.getOrDefault((long) request.group(), NEVER));
+                purgedUsByObject.getOrDefault(request.object(), NEVER_PURGED),
+                purgedUsByGroup.getOrDefault((long) request.group(), NEVER_PURGED));
     }
 }
--- a/src/main/java/petrelplank/routing/RequestRouter.java
+++ b/src/main/java/petrelplank/routing/RequestRouter.java
@@ -6,14 +6,14 @@
 import java.util.Objects;
 
 /**
- * The entry points of {@link Router} and the way of one request: {@link #requestReceived}, then attempts until one
- * gives the final answer or none may follow. What is decided on that way is a class of its own for each concern;
- * {@link RouterComponents} puts them together.
+ * The implementation of {@link Router}. It takes each request through its life: {@link #requestReceived}, then attempts
+ * until one brings the final answer or no further attempt is allowed. The decisions on the way are made by one class
+ * for each concern, which {@link RouterComponents} creates.
  */
 public final class RequestRouter implements Router {
-    /** The timer for another call of {@link Actions#watchEndpoints}; attempts' timers count from 1. */
+    /** Token of the timer for the next call of {@link Actions#watchEndpoints}; tokens of attempt timers start at 1. */
     private static final long WATCH_TIMER = 0;
-    /** Retries of the discovery service within the interval in which lists must be asked for. */
+    /** Calls of {@link Actions#watchEndpoints} per poll interval while the discovery service fails. */
     private static final int WATCHES_PER_POLL_INTERVAL = 4;
 
     private final RouterSettings settings;
@@ -29,20 +29,20 @@
     private final AttemptPlanner planner;
     private final InFlightAttempts attempts;
     private final AttemptSender sender;
-    private final UnresponsiveAttemptDetector unresponsiveAttempts;
+    private final UnresponsiveAttemptDetector unresponsiveDetector;
     private final OutcomeRecorder outcomes;
     private final Map<String, RequestState> requests = new HashMap<>();
 
     /**
-     * A router for one gateway.
+     * Creates a router for one proxy, and subscribes to the endpoint list if the settings ask for it.
      *
-     * @param settings its settings
-     * @param seed for all random numbers
-     * @param actions what the host does for it
+     * @param settings the settings of the router
+     * @param seed seed of all random numbers
+     * @param actions the actions that the host performs for the router
      */
     public RequestRouter(RouterSettings settings, long seed, Actions actions) {
-        this.settings = Objects.requireNonNull(settings, "settings: missing");
-        this.actions = Objects.requireNonNull(actions, "actions: missing");
+        this.settings = Objects.requireNonNull(settings, "settings must not be null");
+        this.actions = Objects.requireNonNull(actions, "actions must not be null");
         RouterComponents components = new RouterComponents(settings, seed, actions);
         this.endpoints = components.endpoints;
         this.purges = components.purges;
@@ -55,7 +55,7 @@
         this.planner = components.planner;
         this.attempts = components.attempts;
         this.sender = components.sender;
-        this.unresponsiveAttempts = components.unresponsiveAttempts;
+        this.unresponsiveDetector = components.unresponsiveDetector;
         this.outcomes = components.outcomes;
         if (settings.watchEndpoints()) {
             actions.watchEndpoints();
@@ -63,8 +63,8 @@
     }
 
     @Override
-    public void endpointsChanged(long now, boolean complete, List<EndpointInfo> members) {
-        endpoints.update(now, complete, members);
+    public void endpointsChanged(long now, boolean complete, List<EndpointInfo> entries) {
+        endpoints.update(now, complete, entries);
     }
 
     @Override
@@ -77,10 +77,10 @@
 
     @Override
     public void timerFired(long now, long token) {
-        RequestState request = hedging.takeDue(token);
+        RequestState request = hedging.removeDueCheck(token);
         if (request != null) {
-            if (unresponsiveAttempts.check(request, now)) {
-                attempt(request, now);
+            if (unresponsiveDetector.check(request, now)) {
+                sendNextAttempt(request, now);
             }
         } else if (token == WATCH_TIMER && settings.watchEndpoints()) {
             actions.watchEndpoints();
@@ -107,8 +107,8 @@
         requests.put(request.id(), state);
         popularity.recordRequest(now, state.key);
         slowStart.measure(now);
-        retryBudget.earn();
-        attempt(state, now);
+        retryBudget.deposit();
+        sendNextAttempt(state, now);
     }
 
     @Override
@@ -120,35 +120,35 @@
         }
         AttemptState attempt = attempts.end(request, number);
         if (attempt != null) {
-            attemptEnded(now, request, attempt, outcome);
+            processOutcome(now, request, attempt, outcome);
         } else if (outcome.completed()) {
             clientDisconnected(now, outcome.request());
         }
     }
 
-    private void attemptEnded(long now, RequestState request, AttemptState attempt, AttemptOutcome outcome) {
+    private void processOutcome(long now, RequestState request, AttemptState attempt, AttemptOutcome outcome) {
         request.completed |= outcome.completed();
         outcomes.record(request, attempt, outcome, now);
         retryPolicy.recordExecution(request, attempt, outcome.status());
         if (request.completed) {
             attempts.cancelAll(request);
         } else if (request.inFlight == 0) {
-            retry(request, outcome.status(), now);
+            retryOrTerminate(request, outcome.status(), now);
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
-    private void retry(RequestState request, AttemptStatus status, long now) {
+    private void retryOrTerminate(RequestState request, AttemptStatus status, long now) {
         if (retryPolicy.tryRetry(request, status)) {
             request.staleAllowed = true;
-            attempt(request, now);
+            sendNextAttempt(request, now);
         } else {
             terminate(request, TerminationReason.RETRY_BUDGET_EXHAUSTED);
         }
     }
 
-    /** Sends the next attempt, or gives the final answer at once. */
-    private void attempt(RequestState request, long now) {
+    /** Sends the next attempt, or terminates the request if none is allowed. */
+    private void sendNextAttempt(RequestState request, long now) {
         TerminationReason reason = retryPolicy.reasonToStop(request, now);
         if (reason != null) {
             terminate(request, reason);
@@ -167,30 +167,30 @@
         RequestState state = requests.get(request);
         if (state != null) {
             state.completed = true;
-            forgetIfDone(state);
+            removeIfDone(state);
         }
     }
 
-    /** Cancels what is in flight for a client that has left: its work helps nobody, and holds places. */
+    /** Cancels the attempts of a request whose client disconnected: they are useless and count against the limits. */
     @Override
     public void clientDisconnected(long now, String request) {
         RequestState state = requests.get(request);
         if (state != null) {
             state.completed = true;
             attempts.cancelAll(state);
-            forgetIfDone(state);
+            removeIfDone(state);
         }
     }
 
-    private void forgetIfDone(RequestState request) {
+    private void removeIfDone(RequestState request) {
         if (request.completed && request.inFlight == 0) {
             requests.remove(request.request.id());
         }
     }
 
     /**
-     * The final answer, unless an attempt is still in flight: a rejection with advice where a further request is
-     * harmless, else a failure.
+     * Gives the final answer unless an attempt is still in flight: a rejection with advice on when to retry if the
+     * client can safely repeat the request, else a failure.
      */
     private void terminate(RequestState request, TerminationReason reason) {
         if (request.inFlight > 0) {
@@ -205,6 +205,6 @@
         } else {
             actions.fail(id);
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 }
--- a/src/test/java/petrelplank/routing/PurgeLogTest.java
+++ b/src/test/java/petrelplank/routing/PurgeLogTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The age of acceptable copies after a purge. */
+/** The maximum age of acceptable copies after a purge. */
 class PurgeLogTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -28,24 +28,24 @@
         assertEquals(0, host.lastPlan().maxAgeUs());
     }
 
-    /** Guards against an old copy that a cache filled from a parent after it had dropped its own. */
+    /** Guards against an old copy that a cache fills from a parent after it has dropped its own. */
     @Test
     void purgeHoldsLongerThanItsCompletionTime() {
         host.router.objectPurged(host.now, 5, 0);
         host.router.groupPurged(host.now, 3, 0);
-        long made = host.now;
+        long purgedUs = host.now;
         host.now += 100 * S;
         host.router.objectPurged(host.now, 7, 0);
         host.request("video", 5, 4, 4 * S);
-        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - made);
+        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - purgedUs);
         assertTrue(host.lastPlan().coalesce());
         host.request("video", 6, 3, 4 * S);
-        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - made);
+        assertTrue(host.lastPlan().maxAgeUs() > 99 * S && host.lastPlan().maxAgeUs() < host.now - purgedUs);
         for (int i = 0; i < 10_000; i++) {
             host.router.objectPurged(host.now, 1000 + i, 0);
         }
         host.request("video", 5, 4, 4 * S);
-        assertEquals(0, host.lastPlan().maxAgeUs(), "bounded in number");
+        assertEquals(0, host.lastPlan().maxAgeUs(), "purge of object 5 should have been dropped from the full log");
     }
 
     @Test
