--- a/src/main/java/petrelplank/routing/CacheSelector.java
+++ b/src/main/java/petrelplank/routing/CacheSelector.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * Selects the cache for a request by weighted rendezvous hashing of the object's part over the eligible caches. A
- * popular object is widened to two or three caches, of which the least loaded takes it. The share of a cache in slow
- * start rises in a line; one with no budget left passes to the next, one at its limit to those with room.
+ * Selects the cache for a request by weighted rendezvous hashing of the object part over the eligible caches. A popular
+ * object is spread over two or three caches, and the least loaded of them takes the request. The weight of a cache in
+ * slow start rises linearly. A cache without slow-start budget is skipped for the next one in the order; a cache at its
+ * concurrency limit is skipped for caches that report spare capacity.
  */
 final class CacheSelector {
-    /** An object takes a cache more whenever its share of requests, times the caches, passes this. */
+    /** An object gets an additional cache for each multiple of this in its share of requests times the cache count. */
     private static final double SHARE_PER_CACHE = 0.15;
 
     private static final int MAX_WIDTH = 3;
@@ -32,7 +33,10 @@
         this.transferTimes = transferTimes;
     }
 
-    /** The cache for the next attempt; null where none may take it. Notes whether one was passed by at its limit. */
+    /**
+     * Returns the cache for the next attempt, or null if none can take it. Sets {@code request.cacheAtLimit} if a cache
+     * was skipped because it is at its concurrency limit.
+     */
     Endpoint select(RequestState request, long now) {
         List<Endpoint> caches = byScore(request, now);
         request.cacheAtLimit = false;
@@ -65,7 +69,7 @@
         return caches;
     }
 
-    /** Whether a cache may take objects of those at their limit: it is known to have room. */
+    /** Whether the cache may take over objects of a cache at its limit: it must report spare capacity. */
     private static boolean tellsOfRoom(Endpoint cache) {
         return !(cache.reportedLoad.inFlight < 0 || cache.reportedLoad.inFlight > cache.weight);
     }
--- a/src/main/java/petrelplank/routing/ConcurrencyLimit.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimit.java
@@ -1,22 +1,23 @@
 package petrelplank.routing;
 
 /**
- * How many attempts may be in flight at once (AIMD): grows with each response in time while it is used, shrinks with
- * each late one. Several gateways share what it protects.
+ * An adaptive limit on attempts in flight (additive increase, multiplicative decrease). It grows with each timely
+ * response while at least half of it is in use, and shrinks with each late one. Several proxies share the protected
+ * resource, so each has its part of the limit.
  */
 final class ConcurrencyLimit {
-    /** First limit, over all gateways that share it. */
+    /** Initial limit, summed over all proxies that share the resource. */
     private static final double INITIAL = 32;
 
     private static final double MINIMUM = 4;
-    /** Steps that keep about one response in twenty late. */
+    /** Together with {@code INCREASE}, this balances at about one late response in twenty. */
     private static final double DECREASE_FACTOR = 0.9;
 
     private static final double INCREASE = 0.05;
 
     private final double gateways;
     private double limit;
-    /** It shrinks no further. */
+    /** The limit does not shrink below this. */
     private double minimum;
 
     int inFlight;
@@ -27,14 +28,15 @@
         this.minimum = MINIMUM / gateways;
     }
 
-    /** Sets what is known to fit over all gateways: it shrinks no further than that. */
+    /** Sets the known capacity of the resource, shared by all proxies; the limit does not shrink below it. */
     void setKnownCapacity(double capacity) {
         minimum = Math.max(MINIMUM, capacity) / gateways;
     }
 
     /**
-     * Whether one more attempt of the request fits. The sampling key rounds a fractional limit; where many gateways
-     * share it, one standard deviation more is allowed, so that chance alone rejects nothing.
+     * Whether one more attempt of the request fits. The request's sampling key rounds a fractional limit up or down at
+     * random. If many proxies share the resource, one standard deviation is added, so that random variation in the
+     * number of requests alone causes no rejections.
      */
     boolean hasRoom(RequestState request) {
         double others = 1 - 1 / gateways;
@@ -42,7 +44,7 @@
         return inFlight + request.samplingKey < limit * share + others * others * Math.sqrt(limit * share);
     }
 
-    /** An attempt under this limit ended, in time or late. */
+    /** Adjusts the limit after an attempt that was subject to it ended in time or late. */
     void adapt(boolean inTime) {
         if (!inTime) {
             limit = Math.max(minimum, limit * Math.pow(DECREASE_FACTOR, Math.sqrt(gateways)));
--- a/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
@@ -1,8 +1,9 @@
 package petrelplank.routing;
 
 /**
- * Adaptive concurrency: once responses come late, less is let out at once, to the cache where it was a copy, into the
- * zone where it was a fill. Silence is not load, nor is what is late while reports show room.
+ * Adaptive concurrency limits: late responses lower the number of attempts that may be in flight. A late cache hit
+ * lowers the limit of that cache, a late fill the limit of fills into the zone. A missing response is no sign of load,
+ * and neither is a late one while load reports show spare capacity.
  */
 final class ConcurrencyLimiter {
     private final ZoneLink zoneLink;
@@ -13,29 +14,29 @@
         this.fills = new ConcurrencyLimit(zoneGateways);
     }
 
-    /** Whether one more fill fits: under the limit, or the zone's link was last reported to have room. */
+    /** Whether one more fill may start: it fits under the limit, or the zone's link last reported spare capacity. */
     boolean mayFill(RequestState request) {
         return fills.hasRoom(request) || zoneLink.hasReportedRoom();
     }
 
-    /** Whether the cache may take one more attempt of the request. */
+    /** Whether the cache may take one more attempt of the request: it fits under the limit, or reports show room. */
     static boolean mayTake(Endpoint cache, RequestState request) {
         return cache.limit.hasRoom(request) || cache.hasRoomSinceReport();
     }
 
-    /** The attempt takes its place under the limits. */
+    /** Counts the attempt as in flight under the limits that apply to it. */
     void acquire(AttemptState attempt) {
         attempt.endpoint.limit.inFlight++;
         fills.inFlight += attempt.isFill() ? 1 : 0;
     }
 
-    /** The attempt gives its place back. */
+    /** Undoes {@link #acquire}. */
     void release(AttemptState attempt) {
         attempt.endpoint.limit.inFlight--;
         fills.inFlight -= attempt.isFill() ? 1 : 0;
     }
 
-    /** Adapts the limit that the attempt was under; a late response counts only where no report shows room. */
+    /** Adapts the limit that applied to the attempt; a late response counts only if no report shows spare capacity. */
     void adapt(AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
         boolean overLink = isFillOverLink(attempt, outcome);
         Endpoint endpoint = attempt.endpoint;
@@ -47,7 +48,8 @@
     }
 
     /**
-     * Whether the zone's link, and not the cache, tells of the attempt's time: it was a fill, and the cache not full.
+     * Whether the zone's link rather than the cache determined the attempt's latency: the attempt was a fill, and
+     * either the link's use is reported or the cache was not overloaded.
      */
     private boolean isFillOverLink(AttemptState attempt, AttemptOutcome outcome) {
         CacheStatus cacheStatus = outcome.cacheStatus();
--- a/src/main/java/petrelplank/routing/DecayingRate.java
+++ b/src/main/java/petrelplank/routing/DecayingRate.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** An exponentially decaying rate: amount per microsecond over about the last {@code windowUs}. */
+/** An exponentially decaying rate: the amount per microsecond over roughly the last {@code windowUs}. */
 final class DecayingRate {
     private double sum;
     private long updatedUs;
@@ -8,7 +8,7 @@
     /**
      * Adds an amount.
      *
-     * @return the rate with it
+     * @return the rate including this amount
      */
     double add(long now, double amount, double windowUs) {
         sum = sum * Math.exp((updatedUs - now) / windowUs) + amount;
@@ -16,7 +16,10 @@
         return sum / windowUs;
     }
 
-    /** The rate now. It stores the decayed sum: decay in two steps differs from one by a rounding. */
+    /**
+     * Returns the current rate. This also stores the decayed sum, so reading affects the rounding of later results:
+     * decay in two steps differs from decay in one step by a rounding error.
+     */
     double read(long now, double windowUs) {
         return add(now, 0, windowUs);
     }
--- a/src/main/java/petrelplank/routing/EjectionBackoff.java
+++ b/src/main/java/petrelplank/routing/EjectionBackoff.java
@@ -1,6 +1,9 @@
 package petrelplank.routing;
 
-/** Pauses of an ejected endpoint before its next health-check attempt: they double with each failed one, to a bound. */
+/**
+ * Exponential backoff between the health-check attempts of an ejected endpoint: the pause doubles with each failed
+ * attempt, up to a maximum.
+ */
 final class EjectionBackoff {
     private static final double FIRST_PAUSE_IN_CONNECT_TIMEOUTS = 2;
     private static final double MAX_PAUSE_IN_CONNECT_TIMEOUTS = 16;
--- a/src/main/java/petrelplank/routing/EjectionState.java
+++ b/src/main/java/petrelplank/routing/EjectionState.java
@@ -1,14 +1,14 @@
 package petrelplank.routing;
 
-/** What the {@link OutlierDetector} keeps for an endpoint. */
+/** The state that the {@link OutlierDetector} keeps for each endpoint. */
 final class EjectionState {
-    /** Failures in a row. */
+    /** Consecutive failures. */
     int failures;
 
     boolean ejected;
-    /** The last failure was that no connection was made. */
+    /** Whether the last failure was a failed connection attempt. */
     boolean unreachable;
-    /** When the next health-check attempt may go out. */
+    /** Time from which the next health-check attempt may be sent. */
     long healthCheckAtUs;
 
     long pauseUs;
--- a/src/main/java/petrelplank/routing/EligibleEndpoints.java
+++ b/src/main/java/petrelplank/routing/EligibleEndpoints.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /**
- * The endpoints that may be offered to a request: the ready ones. Where fewer than half of those that are up are ready,
- * they share the fault, and all that are up are offered; not so parents where cache statuses tell the origin's failures
- * from theirs, nor caches that were not reached, where requests may pass them by.
+ * The endpoints that may serve a request: those that are up and ready. If fewer than half of the endpoints that are up
+ * are ready, a common cause is more likely than so many separate faults, and all that are up stay eligible. There are
+ * two exceptions: parents, if cache statuses distinguish failures of the origin from theirs; and caches that cannot be
+ * connected to, if requests may bypass the caches.
  */
 final class EligibleEndpoints {
     private final EndpointRegistry endpoints;
@@ -21,7 +22,7 @@
         this.originFailuresReported = settings.cacheStatusDetail() == CacheStatusDetail.ALL;
     }
 
-    /** The caches that may take the request, in a list of its own. */
+    /** Returns the caches that may take the request, as a new list. */
     List<Endpoint> edges(RequestState request, long now) {
         List<Endpoint> up = up(endpoints.edges(), request);
         if (directToParents) {
@@ -30,13 +31,13 @@
         return readyUnlessMostFail(up, now);
     }
 
-    /** The parents that may fill a miss of the request, in a list of its own. */
+    /** Returns the parents from which a miss of the request may be filled, as a new list. */
     List<Endpoint> parents(RequestState request, long now) {
         List<Endpoint> up = up(endpoints.parents(), request);
         return originFailuresReported ? ready(up, now) : readyUnlessMostFail(up, now);
     }
 
-    /** Whether the origin may take a call of the request. */
+    /** Whether the request may be sent to the origin. */
     boolean isOriginEligible(RequestState request, long now) {
         Endpoint origin = endpoints.origin();
         return origin != null && outliers.isReady(origin, now) && !request.excluded.contains(origin);
--- a/src/main/java/petrelplank/routing/Endpoint.java
+++ b/src/main/java/petrelplank/routing/Endpoint.java
@@ -1,37 +1,37 @@
 package petrelplank.routing;
 
-/** A listed server, and the state that each concern keeps for it. */
+/** A server in the list of the discovery service, with the state that the routing classes keep for it. */
 final class Endpoint {
-    /** What an endpoint is to this gateway. */
+    /** The role of an endpoint from the point of view of this proxy. */
     enum Role {
-        /** A cache of this gateway's zone: it takes requests. */
+        /** A cache in this proxy's zone, which takes requests. */
         EDGE,
-        /** A cache that others fill their misses from. */
+        /** A cache that other caches fill their misses from. */
         PARENT,
         /** The origin. */
         ORIGIN,
-        /** A cache of another zone. */
+        /** A cache in another zone. */
         OTHER
     }
 
     final String id;
     final long hash;
     Role role;
-    /** Steps along the ring of hubs from this gateway's hub. */
+    /** Steps along the ring of hubs from this proxy's hub. */
     int hubDistance;
 
     EndpointState state;
     double weight;
     long startedUs;
-    /** When it last answered an attempt of this gateway. */
+    /** Time of its last response to an attempt of this proxy. */
     long lastResponseUs;
-    /** When attempts at it were last reset. */
+    /** Time at which a connection to it was last reset. */
     long lastResetUs;
-    /** Transfer time of this gateway's attempts in flight at it. */
+    /** Sum of the transfer times of this proxy's attempts in flight at it. */
     double inFlightTransferUs;
-    /** Rendezvous score for the request at hand; the least comes first. */
+    /** Rendezvous score for the current request; the endpoint with the lowest score comes first. */
     double rendezvousScore;
-    /** Recent fill time over transfer time, for parents. */
+    /** Moving average of fill time divided by transfer time; for parents only. */
     double fillSlowness = 1;
 
     final ConcurrencyLimit limit;
@@ -47,7 +47,7 @@
         this.limit = limit;
     }
 
-    /** It runs anew: what was known of the process that ran before counts no longer. */
+    /** Discards the state of the previous process after the endpoint has restarted. */
     void restarted(long atUs) {
         startedUs = atUs;
         slowStartBucket.reset();
@@ -59,12 +59,15 @@
         return state == EndpointState.UP;
     }
 
-    /** Whether its last load report tells of room for more. */
+    /** Whether its last load report shows spare capacity. */
     boolean hasReportedRoom() {
         return reportedLoad.inFlight >= 0 && reportedLoad.inFlight < ReportedLoad.OVERLOAD * weight;
     }
 
-    /** Whether the last report, and what was sent since, show room: limits lag, and gateways come and go. */
+    /**
+     * Whether the last load report, plus the attempts sent since, shows spare capacity. Concurrency limits adapt too
+     * slowly when proxies start or stop, so this overrides them.
+     */
     boolean hasRoomSinceReport() {
         return reportedLoad.inFlight >= 0
                 && reportedLoad.inFlight + Math.max(0, limit.inFlight - reportedLoad.ownInFlightAtReport) < weight;
--- a/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
@@ -3,7 +3,10 @@
 import petrelplank.routing.Endpoint.Role;
 import petrelplank.routing.OutlierDetector.Evidence;
 
-/** What an outcome says of the endpoint that was asked, and which endpoints the request shall pass by from now on. */
+/**
+ * Updates the state of the endpoint that an attempt was sent to, and excludes endpoints from the request's further
+ * attempts.
+ */
 final class EndpointOutcomeRecorder {
     private final long connectTimeoutUs;
     private final OutlierDetector outliers;
@@ -18,7 +21,7 @@
         this.copies = copies;
     }
 
-    /** Takes in the outcome of an attempt that was sent and not cancelled. */
+    /** Records the outcome of an attempt that was sent and not cancelled. */
     void record(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
         boolean sourceFailed = attempt.source != attempt.endpoint
                 && attribution.isSourceAtFault(outcome)
@@ -48,7 +51,8 @@
 
     private void recordConnectFailure(AttemptState attempt, long now) {
         Endpoint endpoint = attempt.endpoint;
-        // Guards a good cache whose table of connections is full: it answers on those it has.
+        // A healthy cache whose connection table is full refuses new connections but still answers on existing ones; it
+        // must not be ejected at once.
         boolean unresponsive = now - endpoint.lastResponseUs > connectTimeoutUs;
         Evidence evidence = unresponsive ? Evidence.CONCLUSIVE : Evidence.INCONCLUSIVE;
         outliers.recordFailure(endpoint, now, evidence, attempt.healthCheck);
@@ -56,7 +60,8 @@
     }
 
     private void recordReset(AttemptState attempt, long now) {
-        // Guards good endpoints: a connection that breaks ends all attempts on it, and that is one failure.
+        // A broken connection ends all attempts on it; they count as one failure, so that a single broken connection
+        // does not eject a healthy endpoint.
         if (attempt.sentUs > attempt.endpoint.lastResetUs || attempt.healthCheck) {
             attempt.endpoint.lastResetUs = now;
             outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
--- a/src/main/java/petrelplank/routing/EndpointRegistry.java
+++ b/src/main/java/petrelplank/routing/EndpointRegistry.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import petrelplank.routing.Endpoint.Role;
 
-/** The listed endpoints, their roles and their distance from this gateway. */
+/** The listed endpoints with their roles and their distance from this proxy. */
 final class EndpointRegistry {
     private final RouterSettings settings;
     private final CopyLocations copies;
@@ -24,7 +24,7 @@
         this.loadReports = loadReports;
     }
 
-    /** The caches of this gateway's zone. */
+    /** Returns the caches in this proxy's zone. */
     List<Endpoint> edges() {
         return edges;
     }
@@ -33,7 +33,7 @@
         return parents;
     }
 
-    /** The origin; null where none is listed. */
+    /** Returns the origin, or null if none is listed. */
     Endpoint origin() {
         return origin;
     }
@@ -42,12 +42,12 @@
         return origin != null && origin.isUp();
     }
 
-    /** When the first list came; the largest value before. */
+    /** Returns the time at which the first list was received, or {@link Long#MAX_VALUE} before that. */
     long firstUpdateUs() {
         return firstUpdateUs;
     }
 
-    /** Takes in a list of changes, or a complete list: what is missing in that is gone. */
+    /** Applies a list of changes or a complete list; endpoints that are missing from a complete list are removed. */
     void update(long now, boolean complete, List<EndpointInfo> changes) {
         firstUpdateUs = Math.min(firstUpdateUs, now);
         if (complete) {
@@ -69,8 +69,8 @@
         }
         endpoint.state = info.state();
         endpoint.weight = settings.weightMeaning() != WeightMeaning.NONE && info.weight() > 0 ? info.weight() : 1;
-        // Guards against a limit that stays low after an overload has ended: where reports tell requests in flight, its
-        // capacity is known.
+        // Keeps the limit from staying low after an overload has ended: if load reports include the requests in flight,
+        // the weight is the endpoint's capacity.
         endpoint.limit.setKnownCapacity(loadReports.tellInFlight() ? ReportedLoad.OVERLOAD * endpoint.weight : 0);
         endpoint.hubDistance = hubDistance(info.zone());
         endpoint.role = role(info);
@@ -100,7 +100,7 @@
         return info.zone().equals(settings.zone()) ? Role.EDGE : Role.OTHER;
     }
 
-    /** Steps along the ring of hubs from this gateway's hub; 0 where hubs are not known. */
+    /** Returns the steps along the ring of hubs from this proxy's hub to the zone's hub, or 0 if hubs are unknown. */
     private int hubDistance(String zone) {
         int ownIndex = settings.zones().indexOf(settings.zone());
         int zoneIndex = settings.zones().indexOf(zone);
--- a/src/main/java/petrelplank/routing/EndpointState.java
+++ b/src/main/java/petrelplank/routing/EndpointState.java
@@ -4,7 +4,7 @@
 public enum EndpointState {
     /** Running. */
     UP,
-    /** Finishes its requests; takes no new ones. */
+    /** Completes its requests in flight and takes no new ones. */
     DRAINING,
     /** No longer listed. */
     REMOVED
--- a/src/main/java/petrelplank/routing/FailureAttribution.java
+++ b/src/main/java/petrelplank/routing/FailureAttribution.java
@@ -1,11 +1,11 @@
 package petrelplank.routing;
 
-/** Whose fault a failed attempt is: the endpoint's, its source's or the origin's. */
+/** Attributes a failed attempt to the endpoint, to its fill source or to the origin. */
 final class FailureAttribution {
-    /** A rejection slower than this multiple of the quickest response may have come from the source. */
+    /** A rejection that took longer than this multiple of the fastest response may have come from the source. */
     private static final double SLOW_REJECTION = 4;
 
-    /** Whether cache statuses report failures of sources and of the origin. */
+    /** Whether cache statuses report failures of fill sources and of the origin. */
     private final boolean failuresReported;
 
     private double quickestResponseUs = Double.MAX_VALUE;
@@ -14,12 +14,15 @@
         this.failuresReported = detail == CacheStatusDetail.ALL;
     }
 
-    /** An endpoint answered in so much time beside the transfer. */
+    /** Records an endpoint's response time, excluding the transfer time. */
     void recordResponseTime(double responseUs) {
         quickestResponseUs = Math.min(quickestResponseUs, Math.max(1, responseUs));
     }
 
-    /** Whether the source failed; without a status of it, a rejection too quick to have involved it is the cache's. */
+    /**
+     * Whether the source is at fault. If the response does not say, a rejection too fast to have involved the source is
+     * attributed to the cache.
+     */
     boolean isSourceAtFault(AttemptOutcome outcome) {
         return switch (outcome.cacheStatus()) {
             case SOURCE_REJECTED, SOURCE_UNREACHABLE, ORIGIN_FAILED -> true;
@@ -34,7 +37,7 @@
                 && outcome.latencyUs() > SLOW_REJECTION * quickestResponseUs;
     }
 
-    /** Whether the origin may have rejected a call, by way of a source or not. */
+    /** Whether the origin may have rejected the call, directly or through a source. */
     boolean mayBeOriginRejection(AttemptOutcome outcome) {
         boolean unknown = !failuresReported
                 && (outcome.status() == AttemptStatus.REJECTED || outcome.status() == AttemptStatus.ERROR);
--- a/src/main/java/petrelplank/routing/FillOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/FillOutcomeRecorder.java
@@ -3,7 +3,7 @@
 import petrelplank.routing.Endpoint.Role;
 import petrelplank.routing.OutlierDetector.Evidence;
 
-/** Learns from attempts that named a source: the source's value, its pace and its failures. */
+/** Learns from attempts with a fill source: the source's Q value, its transfer rate and its failures. */
 final class FillOutcomeRecorder {
     private final CacheStatusDetail detail;
     private final FillSourceSelector sources;
@@ -27,7 +27,7 @@
         this.zoneLink = zoneLink;
     }
 
-    /** Takes in the outcome of an attempt. */
+    /** Records the outcome of an attempt; one without a separate source at a cache is ignored. */
     void record(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
         if (attempt.source == attempt.endpoint && attempt.endpoint.role == Role.EDGE) {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Whether the response came by way of the source; taken for granted where statuses tell nothing. */
+    /** Whether the response came through the source; assumed if cache statuses are not reported. */
     private boolean isFill(AttemptOutcome outcome) {
         return outcome.cacheStatus().isFill()
                 || detail == CacheStatusDetail.NONE && outcome.cacheStatus() == CacheStatus.NONE;
@@ -65,7 +65,10 @@
         }
     }
 
-    /** Unknown where sizes are, and for fills by way of the origin, whose link may be the slow one. */
+    /**
+     * Whether the fill shows the source's transfer rate. It does not if the size is unknown, or if the fill came from
+     * the origin, because then the origin's link may be the slow one.
+     */
     private static boolean isPaceKnown(RequestState request, AttemptOutcome outcome) {
         return !(request.request.sizeKb() + outcome.sizeKb() <= 0)
                 && outcome.cacheStatus() != CacheStatus.FILLED_FROM_ORIGIN;
--- a/src/main/java/petrelplank/routing/FillSourceSelector.java
+++ b/src/main/java/petrelplank/routing/FillSourceSelector.java
@@ -6,18 +6,18 @@
 import petrelplank.routing.Endpoint.Role;
 
 /**
- * Selects whom a miss is filled from by Q-learning: the eligible parent with the object group's highest value, or any
- * at a small exploring share; the origin only where no parent is eligible or all values are below zero. Ties go to the
- * nearest hub, then by rendezvous hash.
+ * Selects the source from which a miss is filled, by Q-learning: the eligible parent with the highest value for the
+ * object's group or, for a small share of fills, any eligible parent. The origin is the source only if no parent is
+ * eligible or all values are negative. Ties are broken by the distance to the parent's hub, then by rendezvous hash.
  */
 final class FillSourceSelector {
-    /** Payoff of a fill before load; a failed one pays as much less than nothing. */
+    /** Reward of a fill without load; a failed fill has the negative of this as its reward. */
     private static final double FILL_PAYOFF = 1000;
-    /** Most that load takes off a fill's payoff. */
+    /** Largest deduction from the reward of a fill because of load. */
     private static final double MAX_LOAD_PENALTY = 100;
-    /** Values this close tie: the noise of a few fills. */
+    /** Values this close to each other count as equal: a few fills alone cause such differences. */
     private static final double TIE = MAX_LOAD_PENALTY / 5;
-    /** Share of fills that go to any eligible parent, to learn its value anew. */
+    /** Share of fills that go to a random eligible parent, to keep its learned value up to date. */
     private static final double EXPLORATION_SHARE = 0.02;
 
     private final EligibleEndpoints eligible;
@@ -33,7 +33,7 @@
         this.random = random;
     }
 
-    /** The source for the next attempt; null where there is none. */
+    /** Returns the fill source for the next attempt, or null if there is none. */
     Endpoint select(RequestState request, long now) {
         long object = request.request.object();
         int group = QTable.groupOf(object);
@@ -59,13 +59,13 @@
                 .get();
     }
 
-    /** Learns from a fill; the wait is what load adds, since size is not load. */
+    /** Learns from a successful fill. Load is measured by the wait for the source, which excludes the transfer time. */
     void recordFill(Endpoint source, RequestState request, double waitUs) {
         double load = Math.min(1, waitUs / request.serviceClass.latencyObjectiveUs());
         learn(source, request, FILL_PAYOFF - MAX_LOAD_PENALTY * load);
     }
 
-    /** Learns from a fill that failed by the source's fault. */
+    /** Learns from a fill that failed because of the source. */
     void recordFailure(Endpoint source, RequestState request) {
         learn(source, request, -FILL_PAYOFF);
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The mean of the learned values, which stands for those not learned yet. */
+    /** Returns the mean of the learned values, which is the default for values that are not learned yet. */
     private static double meanValue(List<Endpoint> parents, int group) {
         return parents.stream()
                 .filter(parent -> parent.qTable.isLearned(group))
--- a/src/main/java/petrelplank/routing/Hash.java
+++ b/src/main/java/petrelplank/routing/Hash.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Hash functions, the same at every gateway. */
+/** Hash functions that give the same results in every proxy. */
 public final class Hash {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -8,10 +8,10 @@
     private Hash() {}
 
     /**
-     * Spreads the bits of a number (the finalizer of SplitMix64).
+     * Hashes a number by mixing its bits (the finalizer of SplitMix64).
      *
-     * @param number the number
-     * @return its hash; 0 for 0
+     * @param number the number to hash
+     * @return the hash; 0 for 0
      */
     public static long mix(long number) {
         long hash = (number ^ (number >>> 30)) * 0xbf58476d1ce4e5b9L;
@@ -19,7 +19,7 @@
         return hash ^ (hash >>> 31);
     }
 
-    /** Hashes a text (FNV-1a over its characters). */
+    /** Hashes a string (FNV-1a over its UTF-16 code units instead of bytes). */
     static long fnv(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -29,10 +29,10 @@
     }
 
     /**
-     * A hash as a number.
+     * Maps a hash to the open interval from 0 to 1.
      *
-     * @param hash spread evenly
-     * @return above 0 and below 1
+     * @param hash a uniformly distributed hash
+     * @return a number above 0 and below 1
      */
     public static double unit(long hash) {
         return ((hash >>> 11) + 0.5) / (1L << 53);
--- a/src/main/java/petrelplank/routing/LoadReports.java
+++ b/src/main/java/petrelplank/routing/LoadReports.java
@@ -2,13 +2,16 @@
 
 import petrelplank.routing.Endpoint.Role;
 
-/** Reads the load reports that come with responses: requests in flight, else the share used, and the link's use. */
+/**
+ * Reads the load reports in responses: the requests in flight or, if those are not reported, the share of capacity in
+ * use; and the use of the zone's link.
+ */
 final class LoadReports {
     private static final String IN_FLIGHT_FIELD = "concurrent";
     private static final String SHARE_USED_FIELD = "load_share";
     private static final String LINK_USE_FIELD = "x1";
     private static final int NOT_REPORTED = -1;
-    /** Share used above which a cache counts as overloaded, since the share hides what waits. */
+    /** Share in use above which a cache counts as overloaded, because the share does not include queued requests. */
     private static final double FULL_SHARE = 0.9;
 
     private final ZoneLink zoneLink;
@@ -26,12 +29,12 @@
         this.linkUseIndex = settings.reportFields().indexOf(LINK_USE_FIELD);
     }
 
-    /** Whether reports tell the requests in flight. */
+    /** Whether load reports include the requests in flight. */
     boolean tellInFlight() {
         return inFlightIndex >= 0;
     }
 
-    /** Takes in a cache's report; null where the response had none. */
+    /** Records a cache's load report, which is null if the response had none. */
     void record(Endpoint endpoint, double[] load) {
         if (load == null || endpoint.role != Role.EDGE) {
             return;
--- a/src/main/java/petrelplank/routing/ObjectPopularity.java
+++ b/src/main/java/petrelplank/routing/ObjectPopularity.java
@@ -1,13 +1,13 @@
 package petrelplank.routing;
 
-/** Request counts by object in a table of fixed size, halved at intervals so that they follow the recent past. */
+/** Request counts by object in a table of fixed size; they are halved at intervals, so recent requests dominate. */
 final class ObjectPopularity {
     private static final int CELLS = 1 << 13;
-    /** The table is indexed by a key's bits from this one on. */
+    /** Lowest bit of the key that is part of the table index. */
     private static final int KEY_SHIFT = 20;
-    /** Fewer requests than these tell nothing of an object's share. */
+    /** Fewer requests than this are too few to estimate an object's share. */
     private static final int MIN_COUNT = 4;
-    /** Above this count an object was asked for more than once of late. */
+    /** An object with a count above this was requested more than once recently. */
     private static final double REPEATED_COUNT = 1.5;
 
     private final float[] counts = new float[CELLS];
@@ -32,13 +32,13 @@
         total++;
     }
 
-    /** The object's share of recent requests, from 0 to 1; 0 until there are enough to tell. */
+    /** Returns the object's share of recent requests, from 0 to 1; 0 while there are too few to estimate it. */
     double share(long key) {
         int cell = cell(key);
         return counts[cell] < MIN_COUNT ? 0 : counts[cell] / total;
     }
 
-    /** Whether the object was requested more than once of late. */
+    /** Whether the object was requested more than once recently. */
     boolean isRepeated(long key) {
         return counts[cell(key)] > REPEATED_COUNT;
     }
--- a/src/main/java/petrelplank/routing/OriginAccess.java
+++ b/src/main/java/petrelplank/routing/OriginAccess.java
@@ -1,14 +1,17 @@
 package petrelplank.routing;
 
-/** Whether a request may call the origin while the {@link OriginLoadShedder} limits calls. */
+/** Whether a request may call the origin, which the {@link OriginLoadShedder} decides during an overload. */
 enum OriginAccess {
     /** Calls are not limited. */
     UNRESTRICTED,
-    /** Its attempts take only what parents hold. */
+    /** The request may not call the origin: its attempts are served only from caches and parents. */
     WITHHELD,
-    /** It was drawn to call the origin with its next attempt, after one with only what parents hold. */
+    /**
+     * The request was sampled after a miss at a parent: its next attempt may call the origin. The attempt that has just
+     * ended was still limited to cached copies.
+     */
     SAMPLED,
-    /** It was drawn, and its attempts may call the origin. */
+    /** The request was sampled, and its attempts may call the origin. */
     GRANTED;
 
     boolean isOnlyIfCached() {
--- a/src/main/java/petrelplank/routing/OriginCallMonitor.java
+++ b/src/main/java/petrelplank/routing/OriginCallMonitor.java
@@ -2,16 +2,19 @@
 
 import petrelplank.routing.Endpoint.Role;
 
-/** Judges from attempts whether they called the origin, and reports to the {@link OriginLoadShedder} how calls went. */
+/**
+ * Infers from the outcomes of attempts whether they called the origin, and reports to the {@link OriginLoadShedder}
+ * whether those calls succeeded.
+ */
 final class OriginCallMonitor {
-    /** Part of the latency objective: calls that wait longer tell of a queue at the origin. */
+    /** Fraction of the latency objective; a call that waits longer than this indicates a queue at the origin. */
     private static final double QUEUEING_WAIT = 0.5;
 
     private final EndpointRegistry endpoints;
     private final OriginLoadShedder shedder;
     private final FailureAttribution attribution;
     private final ZoneLink zoneLink;
-    /** Whether cache statuses report fills by way of the origin, and waits for the source. */
+    /** Whether cache statuses report fills from the origin, and responses report the wait for the source. */
     private final boolean originFillsReported;
 
     OriginCallMonitor(
@@ -27,7 +30,7 @@
         this.originFillsReported = detail == CacheStatusDetail.ALL;
     }
 
-    /** An attempt has no response yet: its lateness is held against the origin once. */
+    /** Checks an attempt that has no response yet; if it is late, this counts once as a failed call of the origin. */
     void checkLateness(RequestState request, AttemptState attempt, long now) {
         if (!request.latenessCounted
                 && mayCall(request, attempt)
@@ -37,7 +40,12 @@
         }
     }
 
-    /** Takes in an outcome; whether it came late or failed behind the origin, and so tells nothing of own limits. */
+    /**
+     * Records an outcome.
+     *
+     * @return whether the origin caused the delay or failure, in which case the outcome must not change the concurrency
+     *     limits of this proxy
+     */
     boolean recordOutcome(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness, long now) {
         boolean linkCongested = isOriginLinkCongested(request, attempt, outcome, timeliness);
@@ -53,12 +61,15 @@
         return originAtFault;
     }
 
-    /** While calls are limited, only those of requests that may make them tell of the origin. */
+    /** Whether the call counts: during load shedding, only calls of sampled requests and writes do. */
     private boolean mayCount(RequestState request, long now) {
         return request.originAccess.isSampled() || request.isWrite() || !shedder.isShedding(now);
     }
 
-    /** Whether an attempt calls the origin as far as one knows; where statuses report it, fills wait for the status. */
+    /**
+     * Whether an attempt may call the origin, as far as this is known before its outcome. If cache statuses report calls
+     * of the origin, a fill from a parent is assumed not to call it until its status says so.
+     */
     private boolean mayCall(RequestState request, AttemptState attempt) {
         boolean mayFillThere = attempt.source == endpoints.origin() || !originFillsReported;
         return request.isWrite() || attempt.isFill() && mayFillThere;
@@ -73,8 +84,8 @@
     }
 
     /**
-     * Guards the origin's link: under congestion a first byte comes soon, then little, or nothing while others are
-     * served.
+     * Whether the origin's link is congested: the first byte of a fill arrives soon but the rest arrives slowly, or no
+     * response arrives at all while cache and source answer other requests.
      */
     private boolean isOriginLinkCongested(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
@@ -89,7 +100,8 @@
     }
 
     /**
-     * After an attempt with only what parents hold, the request's sampling key tells whether it may call the origin.
+     * After a miss at a parent that could serve only cached copies, decides by the request's sampling key whether the
+     * request may call the origin.
      */
     private void sampleAfterMiss(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
         if (request.originAccess.isOnlyIfCached()
@@ -100,12 +112,15 @@
         }
     }
 
-    /** Whether a late fill was late behind its source: by its reported wait, or since the zone's link has room. */
+    /**
+     * Whether the delay of a late fill arose at or behind its source and not on the zone's link: the reported wait for
+     * the source is most of the latency or, if waits are not reported, the zone's link is mostly unused.
+     */
     private boolean isLinkFree(AttemptOutcome outcome, long now) {
         return originFillsReported ? 2 * outcome.sourceWaitUs() > outcome.latencyUs() : zoneLink.isLittleUsed(now);
     }
 
-    /** Whether the call was answered so soon that no queue has formed at the origin. */
+    /** Whether the response came soon enough to rule out a queue at the origin. */
     private static boolean isPrompt(RequestState request, AttemptOutcome outcome) {
         double waitUs = outcome.sourceWaitUs() > 0 ? outcome.sourceWaitUs() : outcome.latencyUs() - request.transferUs;
         return waitUs <= QUEUEING_WAIT * request.latencyObjectiveUs();
--- a/src/main/java/petrelplank/routing/OriginLoadShedder.java
+++ b/src/main/java/petrelplank/routing/OriginLoadShedder.java
@@ -1,14 +1,14 @@
 package petrelplank.routing;
 
 /**
- * Protects the origin when it is slow or rejects calls: while calls go badly, or wait so long that those behind them
- * will, the share of misses that may call it is cut; it doubles with time and with each call served well. The rest
- * takes what parents hold; writes go on.
+ * Sheds load from the origin when it is slow or rejects calls. The share of misses that may call the origin is halved
+ * when too many calls fail, or wait so long that the calls queued behind them will fail. It doubles over time and with
+ * each successful call. All other misses are served only from copies that parents hold. Writes are never shed.
  */
 final class OriginLoadShedder {
-    /** Calls over those served well above which the origin is overloaded. */
+    /** Ratio of all calls to successful ones above which the origin counts as overloaded. */
     private static final double OVERLOAD_RATIO = 1.5;
-    /** What a cut leaves of the share. */
+    /** Factor by which the share is multiplied on overload. */
     private static final double CUT_FACTOR = 0.5;
 
     private static final double MIN_SHARE = 0.02;
@@ -20,13 +20,13 @@
     private double share = 1;
     private long shareSetUs;
 
-    /** A shedder whose share doubles in half the {@code windowUs}. */
+    /** Creates a shedder whose share doubles every half of {@code windowUs}. */
     OriginLoadShedder(double windowUs, RateLimitedLog log) {
         this.windowUs = windowUs;
         this.log = log;
     }
 
-    /** The share of misses that may call the origin now. */
+    /** Returns the share of misses that may call the origin now. */
     double share(long now) {
         return share >= 1 ? 1 : Math.min(1, share * Math.pow(2, 2 * (now - shareSetUs) / windowUs));
     }
@@ -35,12 +35,12 @@
         return share(now) < 1;
     }
 
-    /** Whether the request is among those that may call the origin. */
+    /** Whether the request belongs to the sample that may call the origin. */
     boolean isSampled(RequestState request, long now) {
         return request.samplingKey < share(now);
     }
 
-    /** A call of the origin ended, or is late. */
+    /** Records a call of the origin that has ended or is late. */
     void recordCall(long now, boolean servedWell) {
         share = servedWell ? Math.min(1, share / CUT_FACTOR) : share;
         double rateWindowUs = windowUs / 2;
@@ -52,7 +52,7 @@
             shareSetUs = now;
             calls.clear();
             served.clear();
-            log.log(now, "origin overloaded: called for one miss in " + Math.round(1 / share));
+            log.log(now, "origin overloaded: it is called for at most one miss in " + Math.round(1 / share));
         }
     }
 }
--- a/src/main/java/petrelplank/routing/OutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/OutcomeRecorder.java
@@ -1,6 +1,6 @@
 package petrelplank.routing;
 
-/** Hands the outcome of an attempt to all concerns that learn from it, in a fixed order. */
+/** Passes the outcome of an attempt to all components that learn from it, in a fixed order. */
 final class OutcomeRecorder {
     private final LoadReports loadReports;
     private final TransferTimeEstimator transferTimes;
@@ -30,7 +30,7 @@
         this.endpointOutcomes = endpointOutcomes;
     }
 
-    /** Takes in the outcome of an attempt that has just ended. */
+    /** Records the outcome of an attempt that has just ended. */
     void record(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
         loadReports.record(attempt.endpoint, outcome.load());
         transferTimes.recordOutcome(request, attempt.endpoint, outcome);
--- a/src/main/java/petrelplank/routing/OutlierDetector.java
+++ b/src/main/java/petrelplank/routing/OutlierDetector.java
@@ -1,15 +1,16 @@
 package petrelplank.routing;
 
 /**
- * Ejects endpoints that fail: after one conclusive failure or several others in a row, until a health-check attempt (a
- * client's request that is sent to the ejected endpoint after a pause) succeeds.
+ * Ejects failing endpoints: after one conclusive failure, or after several consecutive inconclusive ones. An endpoint
+ * stays ejected until a health-check attempt succeeds, which is a client's request that is sent to the ejected endpoint
+ * after a pause.
  */
 final class OutlierDetector {
-    /** How much one failure says of an endpoint. */
+    /** How strongly one failure indicates that the endpoint is faulty. */
     enum Evidence {
-        /** It is enough to eject the endpoint. */
+        /** One such failure ejects the endpoint. */
         CONCLUSIVE,
-        /** Several in a row are needed. */
+        /** Only several consecutive failures eject the endpoint. */
         INCONCLUSIVE
     }
 
@@ -26,14 +27,20 @@
         this.log = log;
     }
 
-    /** Up and not ejected; an ejected endpoint whose pause is over is ready for one health-check attempt at a time. */
+    /**
+     * Whether the endpoint may be sent an attempt: it is up, and either not ejected, or its pause is over and no
+     * health-check attempt is in flight.
+     */
     boolean isReady(Endpoint endpoint, long now) {
         EjectionState ejection = endpoint.ejection;
         return endpoint.isUp()
                 && (!ejection.ejected || (now >= ejection.healthCheckAtUs && !ejection.healthCheckInFlight));
     }
 
-    /** An attempt failed by the endpoint's fault; for an ejected one only health-check attempts count. */
+    /**
+     * Records an attempt that failed because of the endpoint. For an ejected endpoint, only a failed health-check
+     * attempt extends the ejection.
+     */
     void recordFailure(Endpoint endpoint, long now, Evidence evidence, boolean healthCheck) {
         EjectionState ejection = endpoint.ejection;
         ejection.failures++;
@@ -50,11 +57,11 @@
         ejection.healthCheckAtUs = now + ejection.pauseUs;
         actions.ejected(endpoint.id, ejection.ejected, ejection.pauseUs);
         String event = ejection.ejected ? "health check failed: " : "ejected: ";
-        log.log(now, event + endpoint.id + ", ms " + ejection.pauseUs / US_PER_MS);
+        log.log(now, event + endpoint.id + ", next health check in " + ejection.pauseUs / US_PER_MS + " ms");
         ejection.ejected = true;
     }
 
-    /** A failure proved to be the request's own. */
+    /** Withdraws a recorded failure that turned out to be caused by the request itself. */
     void pardonFailure(Endpoint endpoint, long now) {
         EjectionState ejection = endpoint.ejection;
         ejection.failures = Math.max(0, ejection.failures - 1);
@@ -63,7 +70,7 @@
         }
     }
 
-    /** An attempt succeeded: an ejected endpoint is used again. */
+    /** Records a successful attempt, which ends an ejection. */
     void recordSuccess(Endpoint endpoint, long now) {
         endpoint.ejection.failures = 0;
         if (endpoint.ejection.ejected) {
--- a/src/main/java/petrelplank/routing/PlatformRules.java
+++ b/src/main/java/petrelplank/routing/PlatformRules.java
@@ -1,21 +1,23 @@
 package petrelplank.routing;
 
 /**
- * Figures of the platform's rules: draining, slow start, overload, purges, discovery.
+ * The platform's rules for draining, slow start, overload, purges and discovery.
  *
- * @param drainGraceUs nothing new may be sent to a draining or removed endpoint after this
- * @param slowStartFrom least part of its capacity with which a cache starts
- * @param slowStartUs after this a cache has all of its capacity
- * @param overloadMultiple a cache in slow start that is sent more than this multiple of its present capacity
- * @param overloadUs for this long fails
- * @param parentSlowStartFrom as {@code slowStartFrom}, for parents
- * @param parentSlowStartUs as {@code slowStartUs}, for parents
- * @param parentOverloadMultiple as {@code overloadMultiple}, for parents
- * @param originOverloadMultiple overload at which the origin stops serving for a while; 0 for none
- * @param originOverloadUs how long the origin withstands that
- * @param purgeGraceUs time in which a purge has to take effect
- * @param purgeDoneUs after this no older copy is left anywhere
- * @param pollIntervalUs where the endpoint list has to be polled: the longest interval
+ * @param drainGraceUs time after which no new attempt may be sent to a draining or removed endpoint
+ * @param slowStartFrom the fraction of its capacity that a cache has when it starts
+ * @param slowStartUs time from its start after which a cache has its full capacity
+ * @param overloadMultiple a cache in slow start fails if it is sent more than this multiple of its current capacity
+ *     for {@code overloadUs}; 0 for no limit
+ * @param overloadUs how long a cache in slow start withstands an overload; 0 for no limit
+ * @param parentSlowStartFrom like {@code slowStartFrom}, for parents
+ * @param parentSlowStartUs like {@code slowStartUs}, for parents
+ * @param parentOverloadMultiple like {@code overloadMultiple}, for parents
+ * @param originOverloadMultiple the multiple of its capacity at which the origin stops serving for a while; 0 for no
+ *     limit
+ * @param originOverloadUs how long the origin withstands that overload
+ * @param purgeGraceUs time within which a purge has to take effect
+ * @param purgeDoneUs time after which no copy older than the purge is left anywhere
+ * @param pollIntervalUs the longest interval between polls of the endpoint list, if it has to be polled
  */
 public record PlatformRules(
         long drainGraceUs,
@@ -31,23 +33,26 @@
         long purgeGraceUs,
         long purgeDoneUs,
         long pollIntervalUs) {
-    /** Checks the values. */
+    /** Checks that the values are in range. */
     public PlatformRules {
         Checks.require(drainGraceUs >= 0, "drainGraceUs (must be 0 or more)", drainGraceUs);
-        Checks.require(slowStartFrom >= 0 && slowStartFrom <= 1, "coldFrom (must be 0 to 1)", slowStartFrom);
-        Checks.require(slowStartUs >= 0, "warmUs (must be 0 or more)", slowStartUs);
-        Checks.require(overloadMultiple >= 0, "fallMultiple (must be 0 or more)", overloadMultiple);
-        Checks.require(overloadUs >= 0, "fallUs (must be 0 or more)", overloadUs);
+        Checks.require(
+                slowStartFrom >= 0 && slowStartFrom <= 1, "slowStartFrom (must be between 0 and 1)", slowStartFrom);
+        Checks.require(slowStartUs >= 0, "slowStartUs (must be 0 or more)", slowStartUs);
+        Checks.require(overloadMultiple >= 0, "overloadMultiple (must be 0 or more)", overloadMultiple);
+        Checks.require(overloadUs >= 0, "overloadUs (must be 0 or more)", overloadUs);
         Checks.require(
                 parentSlowStartFrom >= 0 && parentSlowStartFrom <= 1,
-                "parentColdFrom (must be 0 to 1)",
+                "parentSlowStartFrom (must be between 0 and 1)",
                 parentSlowStartFrom);
-        Checks.require(parentSlowStartUs >= 0, "parentWarmUs (must be 0 or more)", parentSlowStartUs);
-        Checks.require(parentOverloadMultiple >= 0, "parentFallMultiple (must be 0 or more)", parentOverloadMultiple);
-        Checks.require(originOverloadMultiple >= 0, "originFallMultiple (must be 0 or more)", originOverloadMultiple);
-        Checks.require(originOverloadUs >= 0, "originFallUs (must be 0 or more)", originOverloadUs);
+        Checks.require(parentSlowStartUs >= 0, "parentSlowStartUs (must be 0 or more)", parentSlowStartUs);
+        Checks.require(
+                parentOverloadMultiple >= 0, "parentOverloadMultiple (must be 0 or more)", parentOverloadMultiple);
+        Checks.require(
+                originOverloadMultiple >= 0, "originOverloadMultiple (must be 0 or more)", originOverloadMultiple);
+        Checks.require(originOverloadUs >= 0, "originOverloadUs (must be 0 or more)", originOverloadUs);
         Checks.require(purgeGraceUs >= 0, "purgeGraceUs (must be 0 or more)", purgeGraceUs);
         Checks.require(purgeDoneUs >= 0, "purgeDoneUs (must be 0 or more)", purgeDoneUs);
-        Checks.require(pollIntervalUs >= 0, "askEveryUs (must be 0 or more)", pollIntervalUs);
+        Checks.require(pollIntervalUs >= 0, "pollIntervalUs (must be 0 or more)", pollIntervalUs);
     }
 }
--- a/src/main/java/petrelplank/routing/QTable.java
+++ b/src/main/java/petrelplank/routing/QTable.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
-/** One parent's row of the Q table: the learned value of filling from it, by object group. */
+/** One parent's row of the Q table: the learned value of filling from this parent, for each object group. */
 final class QTable {
-    /** Few object groups, so that each learns within seconds. */
+    /** Number of object groups; a small number, so that each group gets enough fills to be learned within seconds. */
     static final int GROUPS = 16;
 
     private static final double LEARNING_RATE = 0.1;
@@ -10,7 +10,7 @@
     private final double[] values = new double[GROUPS];
     private final boolean[] learned = new boolean[GROUPS];
 
-    /** The group of an object. */
+    /** Returns the group of an object. */
     static int groupOf(long object) {
         return (int) Long.remainderUnsigned(Hash.mix(object), GROUPS);
     }
@@ -27,7 +27,10 @@
         return learned[group] ? values[group] : fallback;
     }
 
-    /** Moves a value by a part towards the payoff; parents pass nothing back, so there is no value to come. */
+    /**
+     * Moves the group's value towards the reward by the learning rate. There is no discounted future value, because a
+     * fill leads to no further decision.
+     */
     void learn(int group, double payoff, double fallback) {
         values[group] = value(group, fallback);
         values[group] += LEARNING_RATE * (payoff - values[group]);
--- a/src/main/java/petrelplank/routing/ReportedLoad.java
+++ b/src/main/java/petrelplank/routing/ReportedLoad.java
@@ -1,12 +1,15 @@
 package petrelplank.routing;
 
-/** What an endpoint last reported of its load. */
+/** The load that an endpoint last reported. */
 final class ReportedLoad {
-    /** Requests in flight per unit of weight, and link use, above which a late response is taken for overload. */
+    /** Requests in flight per unit of weight, or link use, above which a late response is attributed to overload. */
     static final double OVERLOAD = 1.5;
 
-    /** Requests in flight as last reported; -1 before, and where it is not reported. */
+    /** Requests in flight as last reported; -1 before the first report, and if reports do not include it. */
     double inFlight = -1;
-    /** Own attempts in flight when that report first came; later responses repeat it until it is refreshed. */
+    /**
+     * This proxy's attempts in flight when the current value was first reported. Later responses repeat the value until
+     * the endpoint measures it again, and do not change this count.
+     */
     int ownInFlightAtReport;
 }
--- a/src/main/java/petrelplank/routing/SiblingFillPolicy.java
+++ b/src/main/java/petrelplank/routing/SiblingFillPolicy.java
@@ -1,10 +1,10 @@
 package petrelplank.routing;
 
-/** Which caches may be the source of a fill. */
+/** Which other caches may be the source of a cache's fill. */
 public enum SiblingFillPolicy {
-    /** No cache. */
+    /** None. */
     NONE,
-    /** Caches of the gateway's zone. */
+    /** Caches in the proxy's zone. */
     OWN_ZONE,
     /** Any cache. */
     ANY
--- a/src/main/java/petrelplank/routing/SlowSourceDetector.java
+++ b/src/main/java/petrelplank/routing/SlowSourceDetector.java
@@ -1,17 +1,18 @@
 package petrelplank.routing;
 
 /**
- * Detects parents that send slowly, which first-byte time hides: a parent's fills take, for their size, longer than
- * late ones may and twice as long as the best ready peer's; if all are slow, the fault is another's.
+ * Detects parents with a low transfer rate, which the time to the first byte does not show. A parent is slow if its
+ * fills take too long for their size, and more than twice as long as those of the best other parent that is up and not
+ * ejected. If all parents are slow, the cause lies elsewhere and none is reported.
  */
 final class SlowSourceDetector {
-    /** Fill time over transfer time above which a fill is too slow. */
+    /** Ratio of fill time to transfer time above which a fill is too slow. */
     static final double TOO_SLOW = 2;
 
     private static final double SLOWER_THAN_BEST_PEER = 2;
-    /** Weight of a new sample in the mean, for large fills. */
+    /** Weight of a new sample in the moving average, for fills of at least {@code FULL_SAMPLE_US}. */
     private static final double SMOOTHING = 0.2;
-    /** Fills of this transfer time or more count in full. */
+    /** Fills with a shorter transfer time than this have a proportionally lower weight. */
     private static final double FULL_SAMPLE_US = 200_000;
 
     private final EndpointRegistry endpoints;
@@ -20,12 +21,12 @@
         this.endpoints = endpoints;
     }
 
-    /** How much longer than at a client's pace the bytes took to come. */
+    /** Returns the latency without the wait for the source, divided by the transfer time at a client's rate. */
     static double slowness(RequestState request, AttemptOutcome outcome) {
         return (outcome.latencyUs() - outcome.sourceWaitUs()) / request.transferUs;
     }
 
-    /** Takes in a fill from a parent; whether the parent is too slow now. */
+    /** Records a fill from a parent, and returns whether the parent is now too slow. */
     boolean recordFill(Endpoint parent, RequestState request, AttemptOutcome outcome) {
         double sampleWeight = SMOOTHING * Math.min(1, request.transferUs / FULL_SAMPLE_US);
         parent.fillSlowness += sampleWeight * (slowness(request, outcome) - parent.fillSlowness);
--- a/src/main/java/petrelplank/routing/SlowStart.java
+++ b/src/main/java/petrelplank/routing/SlowStart.java
@@ -3,14 +3,18 @@
 import petrelplank.routing.Endpoint.Role;
 
 /**
- * Slow start of endpoints that have just started: a token bucket in transfer time for each, sized so that all gateways
- * together stay under the stated multiple of the endpoint's least capacity. All that is sent to it or names it as the
- * source counts. Without weights, capacity is what warm endpoints take from this gateway.
+ * Slow start of endpoints that have just started. Each has a token bucket of transfer time, sized so that all proxies
+ * together stay below the multiple of the endpoint's current capacity that overloads it. Every attempt that is sent to
+ * the endpoint, or names it as fill source, is charged. Without weights, the capacity is estimated from the load that
+ * this proxy sends to endpoints that have finished slow start.
  */
 final class SlowStart {
-    /** Part of the overload rule that is used, as burst and as rate each: under a half, so that both together fit. */
+    /**
+     * Fraction of the load allowed by the overload rule that is used, for the burst and for the rate each. Below one
+     * half, so that burst and rate together stay within the rule.
+     */
     private static final double MARGIN = 0.45;
-    /** The limit of an endpoint that is warm, or that no rule limits. */
+    /** The limit of an endpoint that has finished slow start or that no rule limits. */
     private static final double UNLIMITED = Double.MAX_VALUE;
 
     private final RouterSettings settings;
@@ -31,7 +35,10 @@
         this.zoneGateways = settings.zoneGatewayCount();
     }
 
-    /** Part of its capacity that an endpoint can be trusted with: the stated least, rising in a line to all. */
+    /**
+     * Returns the fraction of its capacity that an endpoint has now: the configured initial fraction at its start,
+     * rising linearly to 1.
+     */
     double capacityFraction(Endpoint endpoint, long now) {
         boolean parent = endpoint.role == Role.PARENT;
         long durationUs = parent ? rules.parentSlowStartUs() : rules.slowStartUs();
@@ -42,19 +49,19 @@
         return from + (1 - from) * Math.max(0, now - endpoint.startedUs) / durationUs;
     }
 
-    /** Whether the endpoint's budget has room for so much transfer time. */
+    /** Whether the endpoint's budget covers the transfer time. */
     boolean canAfford(Endpoint endpoint, double transferUs, long now) {
         return !refill(endpoint, now) || endpoint.slowStartBucket.holds(transferUs);
     }
 
-    /** Takes the transfer time off the endpoint's budget, also where there is less left. */
+    /** Deducts the transfer time from the endpoint's budget, which may become negative. */
     void charge(Endpoint endpoint, double transferUs, long now) {
         if (refill(endpoint, now)) {
             endpoint.slowStartBucket.take(transferUs);
         }
     }
 
-    /** Learns what warm endpoints take from this gateway, for sites that tell no weights. */
+    /** Measures the load that this proxy sends to endpoints after their slow start; used if weights are unknown. */
     void measure(long now) {
         edgeRate = endpoints.edges().stream()
                 .filter(edge -> capacityFraction(edge, now) >= 1)
@@ -67,19 +74,21 @@
         }
     }
 
-    /** Refills the endpoint's bucket; false where it has no limit. */
+    /** Refills the endpoint's bucket; returns false if the endpoint has no limit. */
     private boolean refill(Endpoint endpoint, long now) {
         double limit = limit(endpoint, now);
         if (limit == UNLIMITED) {
             return false;
         }
         double capacityUs = limit * rules.overloadUs();
-        // Guards against gateways that restart together, and would bring a burst each.
+        // An endpoint that started before this proxy knew it gets no initial burst: if several proxies restarted
+        // together, each would send one.
         double initialUs = endpoint.startedUs < endpoints.firstUpdateUs() ? 0 : capacityUs;
         endpoint.slowStartBucket.refill(now, limit, capacityUs, initialUs);
         return true;
     }
 
+    /** Returns the transfer time that may be sent to the endpoint per unit of time, or {@link #UNLIMITED}. */
     private double limit(Endpoint endpoint, long now) {
         double fraction = capacityFraction(endpoint, now);
         boolean parent = endpoint.role == Role.PARENT;
@@ -90,7 +99,7 @@
         return MARGIN * multiple * fraction * capacityShare(endpoint, parent);
     }
 
-    /** This gateway's share of the endpoint's capacity. */
+    /** Returns this proxy's share of the endpoint's capacity. */
     private double capacityShare(Endpoint endpoint, boolean parent) {
         return settings.weightMeaning() != WeightMeaning.NONE
                 ? endpoint.weight / (parent ? settings.gateways() : zoneGateways)
--- a/src/main/java/petrelplank/routing/TokenBucket.java
+++ b/src/main/java/petrelplank/routing/TokenBucket.java
@@ -1,13 +1,14 @@
 package petrelplank.routing;
 
-/** A token bucket in transfer time; below 0 where more was taken than it held. */
+/** A token bucket whose tokens are microseconds of transfer time; its level may become negative. */
 final class TokenBucket {
     private double tokensUs;
-    /** When it was last refilled; 0 before its first use. */
+    /** Time of the last refill; 0 before the first one. */
     private long refilledUs;
 
     /**
-     * Adds what the rate earned since the last refill, up to the capacity; a new bucket starts with the initial fill.
+     * Adds the tokens accrued at the rate since the last refill, up to the capacity. The first refill sets the level to
+     * the initial value instead.
      */
     void refill(long now, double rate, double capacityUs, double initialUs) {
         tokensUs = refilledUs == 0 ? initialUs : Math.min(capacityUs, tokensUs + rate * (now - refilledUs));
@@ -22,7 +23,7 @@
         tokensUs -= transferUs;
     }
 
-    /** The next refill starts anew. */
+    /** Makes the next refill the first one again. */
     void reset() {
         refilledUs = 0;
     }
--- a/src/main/java/petrelplank/routing/TransferTimeEstimator.java
+++ b/src/main/java/petrelplank/routing/TransferTimeEstimator.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Transfer times at a client's pace: from the size where it is known, else the mean of the service class, which is
- * learned from responses.
+ * Estimates the transfer time of a response at a client's rate: from its size if that is known, otherwise from the mean
+ * of the service class, which is learned from responses.
  */
 final class TransferTimeEstimator {
-    /** Weight of a new sample in a mean. */
+    /** Weight of a new sample in a moving average. */
     private static final double SMOOTHING = 0.05;
-    /** A class's first estimate, as a part of its latency objective. */
+    /** Initial estimate for a class, as a fraction of its latency objective. */
     private static final double INITIAL_PART_OF_OBJECTIVE = 1 / 4.0;
 
     private static final double US_PER_SECOND = 1e6;
@@ -29,14 +29,18 @@
         return classMeanUs[classIndex];
     }
 
-    /** The transfer time of a new request, which counts into its class's mean. */
+    /** Returns the estimated transfer time of a new request, and adds it to the mean of the class. */
     double recordRequest(int classIndex, double sizeKb) {
         double transferUs = transferUs(sizeKb, classMeanUs[classIndex]);
         addSample(classIndex, transferUs);
         return transferUs;
     }
 
-    /** Learns where the request's size is unknown: from the response's size, or from hits at caches with room. */
+    /**
+     * Updates the request's transfer time from the size of the response. If the size was not known from the request,
+     * also updates the mean of the class, from the size of the response or from the latency of a hit at a cache with
+     * spare capacity.
+     */
     void recordOutcome(RequestState request, Endpoint endpoint, AttemptOutcome outcome) {
         boolean unhindered = endpoint.hasReportedRoom() && outcome.cacheStatus() == CacheStatus.HIT;
         boolean informative = outcome.sizeKb() > 0 || unhindered;
--- a/src/main/java/petrelplank/routing/WeightMeaning.java
+++ b/src/main/java/petrelplank/routing/WeightMeaning.java
@@ -2,12 +2,12 @@
 
 /** What an endpoint's weight means. */
 public enum WeightMeaning {
-    /** Nothing: all endpoints are alike. */
+    /** Weights have no meaning: all endpoints count as equal. */
     NONE,
-    /** The capacity of its outgoing link, in responses at full pace. */
+    /** The capacity of the endpoint's outgoing link, in concurrent responses at full rate. */
     NOMINAL,
-    /** The same, roughly. */
+    /** The same, but only approximately. */
     ROUGH,
-    /** The same over its load some time ago. */
+    /** The same, divided by the endpoint's load some time ago. */
     LIVE
 }
--- a/src/main/java/petrelplank/routing/ZoneLink.java
+++ b/src/main/java/petrelplank/routing/ZoneLink.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
-/** The link into this gateway's zone: its use as caches report it, and the rate of this gateway's fills over it. */
+/** The network link into this proxy's zone: its use as caches report it, and the rate of this proxy's fills over it. */
 final class ZoneLink {
-    /** Link use below which late fills are not the link's fault. */
+    /** Link use below which the link cannot be the cause of late fills. */
     private static final double LOW_USE = 0.5;
 
     private static final double UNKNOWN = -1;
@@ -10,9 +10,9 @@
     private final DecayingRate fills = new DecayingRate();
     private final double windowUs;
     private final double zoneGateways;
-    /** Transfers at full pace that fit into it; 0 where that is not known. */
+    /** Capacity of the link in concurrent transfers at full rate; 0 if unknown. */
     private final double capacity;
-    /** Transfers over those that fit at full pace, as last reported; below 0 where that is unknown. */
+    /** Transfers on the link divided by its capacity, as last reported; negative if unknown. */
     private double reportedUse = UNKNOWN;
 
     ZoneLink(RouterSettings settings, double windowUs) {
@@ -23,12 +23,12 @@
         this.capacity = known ? settings.zoneLinkKbPerSecond().get(zone) / settings.flowKbPerSecond() : 0;
     }
 
-    /** A response reported the link's use; below 0 where it did not. */
+    /** Records the link use from a response's load report; negative if it was not reported. */
     void report(double use) {
         reportedUse = use;
     }
 
-    /** The reported use; below 0 where it is not known. */
+    /** Returns the last reported use; negative if unknown. */
     double reportedUse() {
         return reportedUse;
     }
@@ -37,22 +37,22 @@
         return reportedUse >= 0;
     }
 
-    /** Whether the link was last reported to have room for more fills. */
+    /** Whether the last report showed spare capacity on the link. */
     boolean hasReportedRoom() {
         return reportedUse >= 0 && reportedUse < 1;
     }
 
-    /** A fill of so much transfer time came over the link. */
+    /** Records a fill that came over the link. */
     void recordFill(long now, double transferUs) {
         fills.add(now, transferUs, windowUs);
     }
 
-    /** Transfer time of this gateway's fills per unit of time. */
+    /** Returns the transfer time of this proxy's fills per unit of time, which is their mean concurrency. */
     double fillRate(long now) {
         return fills.read(now, windowUs);
     }
 
-    /** Whether the fills of all the zone's gateways, taken to be like this one's, leave the link mostly unused. */
+    /** Whether the link is mostly unused, assuming that all proxies in the zone fill at the same rate as this one. */
     boolean isLittleUsed(long now) {
         return fillRate(now) * zoneGateways < LOW_USE * capacity;
     }
