--- a/src/main/java/petrelplank/routing/OriginCallMonitor.java
+++ b/src/main/java/petrelplank/routing/OriginCallMonitor.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Whether an attempt may call the origin, as far as this is known before its outcome. If cache statuses report calls
-     * of the origin, a fill from a parent is assumed not to call it until its status says so.
+     * Whether an attempt may call the origin, as far as this is known before its outcome. If cache statuses report
+     * calls of the origin, a fill from a parent is assumed not to call it until its status says so.
      */
     private boolean mayCall(RequestState request, AttemptState attempt) {
         boolean mayFillThere = attempt.source == endpoints.origin() || !originFillsReported;
--- a/src/test/java/petrelplank/routing/CacheSelectorTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which cache is asked: rendezvous hashing, popular objects, caches at their limit. */
+/** Tests which cache is selected: rendezvous hashing, popular objects, caches at their concurrency limit. */
 class CacheSelectorTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -23,7 +23,7 @@
         assertTrue(servers.size() >= 2 && servers.size() <= 3, servers.toString());
     }
 
-    /** Guards against rejections at a cache that is at its limit while its neighbours have room. */
+    /** Guards against rejecting the requests of a cache at its limit while other caches have spare capacity. */
     @Test
     void cacheAtItsLimitPassesRequestsOnlyToCachesThatReportRoom() {
         assertTrue(serversOfTheObjectsOfACacheAtItsLimit(new double[] {1, 0.5, 0.5})
--- a/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How many attempts are in flight at once. */
+/** Tests how many attempts may be in flight at once. */
 class ConcurrencyLimiterTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -17,7 +17,7 @@
         for (int i = 0; i < 400; i++) {
             host.request(i);
         }
-        assertTrue(host.rejected.size() > 200, "rejected " + host.rejected.size());
+        assertTrue(host.rejected.size() > 200, "rejected " + host.rejected.size() + " of 400, expected more than 200");
         assertEquals(S, host.retryAfter.get(0));
         assertEquals(400, host.sent.size() + host.rejected.size());
     }
@@ -49,10 +49,13 @@
         long looks = host.sent.stream()
                 .filter(s -> s.plan().server().equals(s.plan().source()))
                 .count();
-        assertTrue(looks >= 15, "looks " + looks);
+        assertTrue(looks >= 15, "cache lookups without a fill: " + looks + ", expected at least 15");
     }
 
-    /** Guards against rejections without load: where sizes are not told, large objects are late by the class's mean. */
+    /**
+     * Guards against rejections without load: if sizes are unknown, the transfer time of large objects is
+     * underestimated, and their responses count as late.
+     */
     @Test
     void lateResponsesShrinkNothingWhileReportsShowRoom() {
         assertTrue(lookupsAfterLateFills(1.2) < 5);
@@ -73,7 +76,9 @@
             large += big && host.rejected.contains(id) ? 1 : 0;
             usual += !big && host.rejected.contains(id) ? 1 : 0;
         }
-        assertTrue(200 - usual > 1.3 * (200 - large), large + " large, " + usual + " usual rejected");
+        assertTrue(
+                200 - usual > 1.3 * (200 - large),
+                "of 200 requests each, rejected " + large + " for large parts and " + usual + " for usual ones");
     }
 
     @Test
@@ -101,7 +106,7 @@
         for (int i = 0; i < 100; i++) {
             sent += many.attempts(many.request(i)) > 0 ? 1 : 0;
         }
-        assertTrue(sent > 0 && sent * 40 < 1000, "each of 40 lets out " + sent);
+        assertTrue(sent > 0 && sent * 40 < 1000, "one of 40 proxies sent " + sent + " attempts, expected 1 to 24");
     }
 
     @Test
@@ -112,14 +117,17 @@
         assertEquals(1, none.attempts(none.request(1)));
     }
 
-    /** Guards against rejections by gateways with few places for fills each while the zone's link is half empty. */
+    /**
+     * Guards against rejections while the zone's link is half empty, by proxies whose own limits allow only a few fills
+     * each.
+     */
     @Test
     void fillsContinueWhileTheLinkIsReportedToHaveRoom() {
         assertEquals(0, lookupsOfABurst(0.5));
         assertTrue(lookupsOfABurst(1.2) > 10);
     }
 
-    /** A response late for its class may be in time for its size: the objective grows with the transfer time. */
+    /** The latency objective grows with the transfer time, so that a slow response may be in time for its size. */
     @Test
     void largeResponsesInTimeForTheirSizeShrinkNothing() {
         assertTrue(lookupsAfterFillsOf(800) >= 15);
@@ -187,7 +195,7 @@
                 .withUsualEndpoints();
     }
 
-    /** Guards against rejections for seconds after an overload, by a limit that shrank below the cache's capacity. */
+    /** Guards against rejections for seconds after an overload, because the limit shrank below the cache's capacity. */
     @Test
     void limitShrinksNoFurtherThanTheKnownCapacity() {
         RouterFixture told = new RouterFixture(RouterFixture.settings(
@@ -204,7 +212,9 @@
         for (int i = 1000; i < 1100; i++) {
             told.request(i);
         }
-        assertTrue(told.sent.size() - before >= 16, "let out " + (told.sent.size() - before));
+        assertTrue(
+                told.sent.size() - before >= 16,
+                "sent " + (told.sent.size() - before) + " attempts, expected at least 16");
     }
 
     @Test
--- a/src/test/java/petrelplank/routing/CopyLocationsTest.java
+++ b/src/test/java/petrelplank/routing/CopyLocationsTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which cache is known to hold an object. */
+/** Tests which cache is known to hold an object. */
 class CopyLocationsTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
--- a/src/test/java/petrelplank/routing/DecayingRateTest.java
+++ b/src/test/java/petrelplank/routing/DecayingRateTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A rate over a window. */
+/** Tests a rate over a window. */
 class DecayingRateTest {
     private static final double WINDOW_US = 1000;
 
--- a/src/test/java/petrelplank/routing/EjectionBackoffTest.java
+++ b/src/test/java/petrelplank/routing/EjectionBackoffTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Pauses between health-check attempts. */
+/** Tests the pauses between health-check attempts. */
 class EjectionBackoffTest {
     private final EjectionBackoff backoff = new EjectionBackoff(100);
 
--- a/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
+++ b/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
@@ -8,11 +8,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are offered while many of them fail. */
+/** Tests which endpoints are eligible while many of them fail. */
 class EligibleEndpointsTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
-    /** Guards against trying one dead cache after the other, and rejections for seconds, where all caches are lost. */
+    /**
+     * If no cache can be reached, requests bypass the caches. Guards against trying one unreachable cache after the
+     * other for each request, and against rejecting requests for seconds.
+     */
     @Test
     void zoneWithUnreachableCachesUsesParentsDirectlyAndChecksItsCachesAtTimes() {
         Set<String> caches = Set.of("a", "b", "c", "d");
@@ -29,6 +32,6 @@
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
         }
         assertEquals(60, direct);
-        assertTrue(tried >= 4 && tried <= 8, "tried " + tried);
+        assertTrue(tried >= 4 && tried <= 8, "attempts at unreachable caches: " + tried + ", expected 4 to 8");
     }
 }
--- a/src/test/java/petrelplank/routing/EndpointRegistryTest.java
+++ b/src/test/java/petrelplank/routing/EndpointRegistryTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints the list offers. */
+/** Tests which endpoints are used after changes of the endpoint list. */
 class EndpointRegistryTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Repeated and unknown ids, and an endpoint that is removed and returns, lose no other endpoint. */
+    /** Repeated ids, unknown ids and an endpoint that is removed and listed again must not affect other endpoints. */
     @Test
     void listsWithRepeatedAndUnknownIdsAreAccepted() {
         host.change(
--- a/src/test/java/petrelplank/routing/FailureAttributionTest.java
+++ b/src/test/java/petrelplank/routing/FailureAttributionTest.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Whose fault a failure is. */
+/** Tests to which endpoint a failure is attributed. */
 class FailureAttributionTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
--- a/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which source a miss is filled from. */
+/** Tests the source from which a miss is filled. */
 class FillSourceSelectorTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -16,7 +16,7 @@
         long near = host.fills(0, 200).stream()
                 .filter(o -> o.source().equals("p-north"))
                 .count();
-        assertTrue(near > 180, "near " + near);
+        assertTrue(near > 180, "fills from the nearest parent: " + near + " of 200, expected more than 180");
     }
 
     @Test
@@ -33,7 +33,7 @@
             host.request(i);
             bad += host.lastPlan().source().equals("p-north") ? 1 : 0;
         }
-        assertTrue(bad <= 1, "bad " + bad);
+        assertTrue(bad <= 1, "attempts with the failing parent: " + bad + " of 10, expected at most 1");
     }
 
     @Test
--- a/src/test/java/petrelplank/routing/LoadReportsTest.java
+++ b/src/test/java/petrelplank/routing/LoadReportsTest.java
@@ -8,23 +8,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What load reports tell of room. */
+/** Tests how load reports show spare capacity. */
 class LoadReportsTest {
-    /** Guards against rejections by limits that lag when clients of stopped gateways come to this one. */
+    /** Guards against rejections by limits that grow too slowly when clients of stopped proxies move to this one. */
     @Test
     void reportedRoomOverridesALimitThatLags() {
         assertTrue(sentAtOnceAfterAReportOf(2) >= 40);
         assertTrue(sentAtOnceAfterAReportOf(70) < 25);
     }
 
-    /** Guards against rejections where reports tell the share used, and neither requests in flight nor link use. */
+    /** Guards against rejections if reports contain only the share in use, and not requests in flight or link use. */
     @Test
     void shareUsedTellsOfRoomWhereRequestsInFlightAreNotReported() {
         assertTrue(sentAtOnceAfterAReportOf(0.1, "load_share") >= 40);
         assertTrue(sentAtOnceAfterAReportOf(0.97, "load_share") < 25);
     }
 
-    /** Late fills at a cache that is full tell nothing of the link: others may still fill. */
+    /** Late fills at an overloaded cache say nothing about the zone's link, so fills by other caches may go on. */
     @Test
     void lateFillsAtAFullCacheDoNotShrinkTheLimitOfFills() {
         assertEquals(0, lookupsAfterLateFills("load_share", 0.97));
--- a/src/test/java/petrelplank/routing/ObjectPopularityTest.java
+++ b/src/test/java/petrelplank/routing/ObjectPopularityTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Shares of objects in recent requests. */
+/** Tests the shares of objects in recent requests. */
 class ObjectPopularityTest {
     private static final long HALVING_US = 1000;
     private static final long KEY = Hash.mix(1);
--- a/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
+++ b/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
@@ -8,8 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The origin's link is narrow: where too many fills share it, each is slow though its first byte came soon, and fills
- * of disconnected clients go on. Without this detection, goodput from the origin fell to a fiftieth.
+ * Tests the detection of congestion on the origin's link. If too many fills share that link, each is slow although its
+ * first byte arrives soon, and fills for disconnected clients go on. Without this detection, goodput from the origin
+ * fell to a fiftieth.
  */
 class OriginCallMonitorTest {
     private final RouterFixture host = new RouterFixture(RouterFixture.settings(
@@ -19,10 +20,10 @@
                     2,
                     List.of("concurrent", "x0", "x1")))
             .withUsualEndpoints();
-    /** Use of the zone's link in all reports. */
+    /** Use of the zone's link in all load reports. */
     private double linkUse = 0.4;
 
-    /** A fill ends after {@code latencyUs}, its first byte after {@code waitUs}. */
+    /** Ends a fill after {@code latencyUs}, with its first byte after {@code waitUs}. */
     private void endAttempt(String id, AttemptStatus status, CacheStatus cacheStatus, long latencyUs, long waitUs) {
         host.now += latencyUs;
         host.router.attemptEnded(
@@ -39,7 +40,7 @@
                         0));
     }
 
-    /** Of ten more misses, how many may not call the origin. */
+    /** Requests ten more objects, and returns how many of them may not call the origin. */
     private long withheldOfTen() {
         int before = host.sent.size();
         for (int i = 10_000; i < 10_010; i++) {
@@ -51,7 +52,7 @@
                 .count();
     }
 
-    /** One fill in two comes from the origin, in {@code slowUs}; the others come in {@code usualUs}. */
+    /** Every other fill comes from the origin and takes {@code slowUs}; the others take {@code usualUs}. */
     private void fills(long slowUs, long usualUs) {
         for (int i = 0; i < 40; i++) {
             String id = host.request(i);
@@ -79,7 +80,7 @@
         assertThat(withheldOfTen()).isZero();
     }
 
-    /** Where the zone's own link is reported as full, that explains slow fills. */
+    /** If the zone's own link is reported as congested, that explains slow fills. */
     @Test
     void congestionOfTheZonesOwnLinkIsNotTheOriginsFault() {
         linkUse = 6;
@@ -87,13 +88,13 @@
         assertThat(host.logLines).noneMatch(line -> line.startsWith("origin overloaded"));
     }
 
-    /** No response before the deadline, while cache and parent answered others: the origin is overloaded. */
+    /** If a fill times out while cache and parent answer other requests, the origin is overloaded. */
     @Test
     void fillsThatTimeOutWhileCacheAndParentServeOthersCutTheOriginsShare() {
         assertThat(withheldAfterTimeOuts(true)).isGreaterThanOrEqualTo(4);
     }
 
-    /** A cache or a parent that answers nobody is at fault itself. */
+    /** A cache or parent that answers no requests at all is at fault itself. */
     @Test
     void fillsThatTimeOutAtASilentCacheAreNotTheOriginsFault() {
         assertThat(withheldAfterTimeOuts(false)).isZero();
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many misses may call an overloaded origin. */
+/** Tests how many misses may call an overloaded origin. */
 class OriginLoadShedderTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -30,7 +30,7 @@
                     : 0;
             writes += hits.attempts(hits.request("note", i, 0, 3 * S)) > 0 ? 1 : 0;
         }
-        assertTrue(held >= 10, "held " + held);
+        assertTrue(held >= 10, "misses that may not call the origin: " + held + " of 20, expected at least 10");
         assertEquals(20, writes);
         hits.now += 60 * S;
         hits.request(5000);
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Guards against a share that stays low for seconds after the origin has recovered: one gateway of a large fleet
-     * makes few calls.
+     * Guards against a share that stays low for seconds after the origin has recovered: a single proxy of a large fleet
+     * makes few calls, so each successful one has to raise the share.
      */
     @Test
     void successfulCallsRaiseTheOriginsShareFasterThanTime() {
@@ -60,12 +60,13 @@
                 host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MS);
             }
         }
-        assertTrue(host.now - from < 3 * S, "took " + (host.now - from));
+        assertTrue(host.now - from < 3 * S, "recovery took us " + (host.now - from) + ", expected less than " + 3 * S);
         assertEquals(0, onlyIfCachedOfTen(2000));
     }
 
     /**
-     * Guards against a queue at the origin: once calls come late, those of a second wait behind them and are late too.
+     * Guards against a queue at the origin: once calls are late, the calls of about a second have queued behind them and
+     * will be late as well.
      */
     @Test
     void waitOfMoreThanHalfTheObjectiveIsTakenForAQueueAtTheOrigin() {
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Ejection and recovery of endpoints. */
+/** Tests ejection and recovery of endpoints. */
 class OutlierDetectorTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -36,7 +36,7 @@
         assertEquals(1, trials);
     }
 
-    /** One bad response or reset ends all attempts on a connection, and is one failure of the cache. */
+    /** A malformed response or a reset ends all attempts on a connection, and counts as one failure of the cache. */
     @Test
     void attemptsResetTogetherAreOneFailure() {
         for (int i = 0; i < 10; i++) {
@@ -59,7 +59,7 @@
         assertEquals(1, host.logLines.size(), host.logLines.toString());
     }
 
-    /** Guards against bad clients whose requests fail at every endpoint. */
+    /** Guards against ejections caused by faulty clients, whose requests fail at every endpoint. */
     @Test
     void requestThatAllEndpointsFailIsTerminatedAndEjectsNone() {
         for (int i = 0; i < 8; i++) {
@@ -76,7 +76,7 @@
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 
-    /** A cache whose connection table is full fails new connects, and answers on those it has. */
+    /** A cache whose connection table is full refuses new connections, but still answers on existing ones. */
     @Test
     void failedConnectDoesNotEjectACacheThatAnswersOthers() {
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/petrelplank/routing/PlatformRulesTest.java
+++ b/src/test/java/petrelplank/routing/PlatformRulesTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks of values. */
+/** Tests the validation of platform rules. */
 class PlatformRulesTest {
     @Test
     void badValueIsNamedInTheMessage() {
--- a/src/test/java/petrelplank/routing/QTableTest.java
+++ b/src/test/java/petrelplank/routing/QTableTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Learned values of one parent. */
+/** Tests the learned values of one parent. */
 class QTableTest {
     private final QTable table = new QTable();
 
--- a/src/test/java/petrelplank/routing/SlowSourceDetectorTest.java
+++ b/src/test/java/petrelplank/routing/SlowSourceDetectorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Parents that send slowly. */
+/** Tests the detection of parents with a low transfer rate. */
 class SlowSourceDetectorTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -21,10 +21,10 @@
             slow += north ? 1 : 0;
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, north ? 500 * MS : 120 * MS);
         }
-        assertTrue(slow < 40, "slow " + slow);
+        assertTrue(slow < 40, "fills from the slow parent: " + slow + " of 60, expected less than 40");
     }
 
-    /** Guards against the ejection of healthy parents, which overloads the rest. */
+    /** Guards against the ejection of healthy parents, which would overload the remaining ones. */
     @Test
     void largeObjectsOfUnknownSizeDoNotMakeAParentSlow() {
         int near = 0;
@@ -33,12 +33,13 @@
             near += host.lastPlan().source().equals("p-north") ? 1 : 0;
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 500 * MS);
         }
-        assertTrue(near > 50, "near " + near);
+        assertTrue(near > 50, "fills from the nearest parent: " + near + " of 60, expected more than 50");
         assertEquals(List.of(), host.logLines);
     }
 
     /**
-     * A parent with a full link sends at a twentieth of its pace; first bytes come at once, and responses tell sizes.
+     * A parent with a congested link sends at a twentieth of its usual rate, although first bytes arrive at once. Sizes
+     * are known from responses only.
      */
     @Test
     void slowParentIsAvoidedWhereOnlyResponsesTellSizes() {
@@ -49,7 +50,7 @@
             slow += north ? 1 : 0;
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, north ? 600 * MS : 120 * MS, null, 800);
         }
-        assertTrue(slow < 40, "slow " + slow);
+        assertTrue(slow < 40, "fills from the slow parent: " + slow + " of 60, expected less than 40");
         int near = 0;
         RouterFixture large = new RouterFixture().withUsualEndpoints();
         for (int i = 0; i < 60; i++) {
@@ -57,6 +58,6 @@
             near += large.lastPlan().source().equals("p-north") ? 1 : 0;
             large.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 600 * MS, null, 4000);
         }
-        assertTrue(near > 50, "near " + near);
+        assertTrue(near > 50, "fills from the nearest parent: " + near + " of 60, expected more than 50");
     }
 }
--- a/src/test/java/petrelplank/routing/SlowStartFleetTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartFleetTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A cache in slow start under the sum of what all gateways of its zone send, in simulated time. It is counted at
- * the cache, in any window of the rule's length, against what the settings allow it by the window's end.
+ * Tests a cache in slow start under the combined load of all proxies in its zone, in simulated time. The attempts that
+ * arrive at the cache in any window of the rule's length are compared with what the rule allows at the window's end.
  */
 class SlowStartFleetTest {
     private static final long MS = RouterFixture.MS;
@@ -64,7 +64,7 @@
         worst = Math.max(worst, window.size() - most - 2 * Math.sqrt(most) - 2);
     }
 
-    /** All gateways request far more than the cache has capacity for; a share of them restarts, several times. */
+    /** All proxies together request far more than the cache can serve; some of them restart several times. */
     @ParameterizedTest
     @CsvSource({"2, 0.7", "20, 0.7", "30, 0.7", "100, 0.7", "30, 0.1", "100, 0.1"})
     void sumOfAllGatewaysStaysWithinTheBudget(int gateways, double restarted) {
@@ -83,13 +83,15 @@
                 }
             }
             for (int i = 0; i < ASKED_EACH_STEP; i++) {
-                // Some gateways get several times the mean.
+                // The product of two random numbers is uneven: some proxies get several times the mean.
                 int at = (int) (gateways * random.nextDouble() * random.nextDouble());
                 request(fleet.get(at), now, object++);
             }
         }
-        assertThat(worst).as("over the budget and chance").isNegative();
-        assertThat(sent).as("sent to the cache in slow start at all").isGreaterThan(gateways);
+        assertThat(worst)
+                .as("attempts above the budget plus random variation, in the worst window")
+                .isNegative();
+        assertThat(sent).as("attempts sent to the cache in slow start").isGreaterThan(gateways);
     }
 
     private void request(RouterFixture host, long now, long object) {
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Budgets of endpoints that have just started. */
+/** Tests the budgets of endpoints that have just started. */
 class SlowStartTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -26,9 +26,10 @@
             }
             host.now += MS / 2;
         }
-        // two gateways, one second, five links at a fifth (a little more by then), overload multiple 2.5 in two seconds
+        // Two proxies share a weight of 5; the capacity is a fifth at first and at most a quarter after one second. The
+        // overload multiple is 2.5 within two seconds.
         assertTrue(work > 0);
-        assertTrue(work <= 2.5 * 5 * 0.25 * 2 * S / 2, "work " + work);
+        assertTrue(work <= 2.5 * 5 * 0.25 * 2 * S / 2, "transfer time sent to the cache in us: " + work);
     }
 
     @Test
@@ -43,7 +44,7 @@
         for (AttemptPlan o : host.fills(100, 160)) {
             warm += o.source().equals("p-north") ? 1 : 0;
         }
-        assertTrue(cold < warm / 2, cold + " then " + warm);
+        assertTrue(cold < warm / 2, "fills from the parent: " + cold + " in slow start, " + warm + " afterwards");
     }
 
     @Test
@@ -56,7 +57,7 @@
         assertTrue(host.sent.size() > 0 && host.rejected.size() > 0);
     }
 
-    /** A drain while most of the zone is in slow start does not exceed the budgets of the other caches. */
+    /** If a cache drains while the rest of the zone is in slow start, the budgets of the rest are not exceeded. */
     @Test
     void drainWhileMostOfTheZoneIsInSlowStartKeepsTheBudgetsOfTheRest() {
         host.change(cache("a", host.now), cache("b", host.now), cache("c", host.now));
@@ -68,13 +69,15 @@
             host.now += 2 * MS;
         }
         for (String cold : List.of("a", "b", "c")) {
-            // Two gateways share it: 0.45 of 2.5 times a fifth of five transfers, for 2 s and the 0.6 s that went by.
+            // Two proxies share a weight of 5, with a capacity of at most a quarter. Each uses 0.45 of the overload
+            // multiple 2.5: as a burst of 2 s, and as the rate during the 0.6 s of the test.
             long work = host.sent.stream()
                             .filter(s -> s.plan().server().equals(cold))
                             .count()
                     * 100
                     * MS;
-            assertTrue(work <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S, cold + " " + work);
+            assertTrue(
+                    work <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S, "transfer time sent to " + cold + " in us: " + work);
         }
         assertTrue(host.sent.stream().noneMatch(s -> s.plan().server().equals("d")));
     }
--- a/src/test/java/petrelplank/routing/TokenBucketTest.java
+++ b/src/test/java/petrelplank/routing/TokenBucketTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The budget of an endpoint in slow start. */
+/** Tests the token bucket that holds the budget of an endpoint in slow start. */
 class TokenBucketTest {
     private final TokenBucket bucket = new TokenBucket();
 
