--- a/src/main/java/petrelplank/routing/CacheSelector.java
+++ b/src/main/java/petrelplank/routing/CacheSelector.java
@@ -11,23 +11,23 @@
  */
 final class CacheSelector {
     /** An object gets an additional cache for each multiple of this in its share of requests times the cache count. */
-    private static final double SHARE_PER_CACHE = 0.15;
+    private static final double REQUEST_SHARE_PER_CACHE = 0.15;
 
-    private static final int MAX_WIDTH = 3;
+    private static final int MAX_CACHES_PER_OBJECT = 3;
     private static final Comparator<Endpoint> BY_SCORE =
             Comparator.comparingDouble(endpoint -> endpoint.rendezvousScore);
 
-    private final EligibleEndpoints eligible;
+    private final EligibleEndpoints eligibleEndpoints;
     private final SlowStart slowStart;
     private final ObjectPopularity popularity;
     private final TransferTimeEstimator transferTimes;
 
     CacheSelector(
-            EligibleEndpoints eligible,
+            EligibleEndpoints eligibleEndpoints,
             SlowStart slowStart,
             ObjectPopularity popularity,
             TransferTimeEstimator transferTimes) {
-        this.eligible = eligible;
+        this.eligibleEndpoints = eligibleEndpoints;
         this.slowStart = slowStart;
         this.popularity = popularity;
         this.transferTimes = transferTimes;
@@ -38,29 +38,31 @@
      * was skipped because it is at its concurrency limit.
      */
     Endpoint select(RequestState request, long now) {
-        List<Endpoint> caches = byScore(request, now);
+        List<Endpoint> caches = cachesByScore(request, now);
         request.cacheAtLimit = false;
-        int width = Math.min(MAX_WIDTH, 1 + (int) (popularity.share(request.key) * caches.size() / SHARE_PER_CACHE));
+        int objectCacheCount = Math.min(
+                MAX_CACHES_PER_OBJECT,
+                1 + (int) (popularity.share(request.key) * caches.size() / REQUEST_SHARE_PER_CACHE));
         Endpoint best = null;
-        for (int i = 0; i < caches.size() && (i < width || best == null); i++) {
+        for (int i = 0; i < caches.size() && (i < objectCacheCount || best == null); i++) {
             Endpoint cache = caches.get(i);
-            if (i >= width && request.cacheAtLimit && !tellsOfRoom(cache)) {
+            if (i >= objectCacheCount && request.cacheAtLimit && !isWithinReportedCapacity(cache)) {
                 continue;
             }
             if (!slowStart.canAfford(cache, transferTimes.classMeanUs(request.classIndex), now)) {
                 continue;
             }
-            boolean hasRoom = ConcurrencyLimiter.mayTake(cache, request);
+            boolean hasRoom = ConcurrencyLimiter.mayAccept(cache, request);
             request.cacheAtLimit |= !hasRoom;
-            if (hasRoom && (best == null || load(cache) < load(best))) {
+            if (hasRoom && (best == null || inFlightLoad(cache) < inFlightLoad(best))) {
                 best = cache;
             }
         }
         return best;
     }
 
-    private List<Endpoint> byScore(RequestState request, long now) {
-        List<Endpoint> caches = eligible.edges(request, now);
+    private List<Endpoint> cachesByScore(RequestState request, long now) {
+        List<Endpoint> caches = eligibleEndpoints.caches(request, now);
         for (Endpoint cache : caches) {
             double hash = Hash.unit(Hash.mix(request.key ^ cache.hash));
             cache.rendezvousScore = cache.weight * slowStart.capacityFraction(cache, now) / Math.log(hash);
@@ -70,11 +72,11 @@
     }
 
     /** Whether the cache may take over objects of a cache at its limit: it must report spare capacity. */
-    private static boolean tellsOfRoom(Endpoint cache) {
+    private static boolean isWithinReportedCapacity(Endpoint cache) {
         return !(cache.reportedLoad.inFlight < 0 || cache.reportedLoad.inFlight > cache.weight);
     }
 
-    private static double load(Endpoint cache) {
+    private static double inFlightLoad(Endpoint cache) {
         return cache.inFlightTransferUs / cache.weight;
     }
 }
--- a/src/main/java/petrelplank/routing/ConcurrencyLimit.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimit.java
@@ -7,30 +7,30 @@
  */
 final class ConcurrencyLimit {
     /** Initial limit, summed over all proxies that share the resource. */
-    private static final double INITIAL = 32;
+    private static final double INITIAL_LIMIT = 32;
 
-    private static final double MINIMUM = 4;
-    /** Together with {@code INCREASE}, this balances at about one late response in twenty. */
+    private static final double MIN_LIMIT = 4;
+    /** Together with {@code INCREASE_STEP}, this balances at about one late response in twenty. */
     private static final double DECREASE_FACTOR = 0.9;
 
-    private static final double INCREASE = 0.05;
+    private static final double INCREASE_STEP = 0.05;
 
-    private final double gateways;
+    private final double proxyCount;
     private double limit;
     /** The limit does not shrink below this. */
-    private double minimum;
+    private double minLimit;
 
     int inFlight;
 
-    ConcurrencyLimit(double gateways) {
-        this.gateways = gateways;
-        this.limit = INITIAL / gateways;
-        this.minimum = MINIMUM / gateways;
+    ConcurrencyLimit(double proxyCount) {
+        this.proxyCount = proxyCount;
+        this.limit = INITIAL_LIMIT / proxyCount;
+        this.minLimit = MIN_LIMIT / proxyCount;
     }
 
     /** Sets the known capacity of the resource, shared by all proxies; the limit does not shrink below it. */
     void setKnownCapacity(double capacity) {
-        minimum = Math.max(MINIMUM, capacity) / gateways;
+        minLimit = Math.max(MIN_LIMIT, capacity) / proxyCount;
     }
 
     /**
@@ -39,17 +39,18 @@
      * number of requests alone causes no rejections.
      */
     boolean hasRoom(RequestState request) {
-        double others = 1 - 1 / gateways;
-        double share = request.limitShare;
-        return inFlight + request.samplingKey < limit * share + others * others * Math.sqrt(limit * share);
+        double otherProxiesFraction = 1 - 1 / proxyCount;
+        double limitShare = request.limitShare;
+        return inFlight + request.samplingKey
+                < limit * limitShare + otherProxiesFraction * otherProxiesFraction * Math.sqrt(limit * limitShare);
     }
 
     /** Adjusts the limit after an attempt that was subject to it ended in time or late. */
     void adapt(boolean inTime) {
         if (!inTime) {
-            limit = Math.max(minimum, limit * Math.pow(DECREASE_FACTOR, Math.sqrt(gateways)));
+            limit = Math.max(minLimit, limit * Math.pow(DECREASE_FACTOR, Math.sqrt(proxyCount)));
         } else if (inFlight >= Math.floor(limit / 2)) {
-            limit += INCREASE / Math.sqrt(gateways);
+            limit += INCREASE_STEP / Math.sqrt(proxyCount);
         }
     }
 }
--- a/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
@@ -7,56 +7,57 @@
  */
 final class ConcurrencyLimiter {
     private final ZoneLink zoneLink;
-    private final ConcurrencyLimit fills;
+    private final ConcurrencyLimit fillLimit;
 
-    ConcurrencyLimiter(double zoneGateways, ZoneLink zoneLink) {
+    ConcurrencyLimiter(double zoneProxyCount, ZoneLink zoneLink) {
         this.zoneLink = zoneLink;
-        this.fills = new ConcurrencyLimit(zoneGateways);
+        this.fillLimit = new ConcurrencyLimit(zoneProxyCount);
     }
 
     /** Whether one more fill may start: it fits under the limit, or the zone's link last reported spare capacity. */
     boolean mayFill(RequestState request) {
-        return fills.hasRoom(request) || zoneLink.hasReportedRoom();
+        return fillLimit.hasRoom(request) || zoneLink.hasReportedSpareCapacity();
     }
 
     /** Whether the cache may take one more attempt of the request: it fits under the limit, or reports show room. */
-    static boolean mayTake(Endpoint cache, RequestState request) {
-        return cache.limit.hasRoom(request) || cache.hasRoomSinceReport();
+    static boolean mayAccept(Endpoint cache, RequestState request) {
+        return cache.limit.hasRoom(request) || cache.hasEstimatedSpareCapacity();
     }
 
     /** Counts the attempt as in flight under the limits that apply to it. */
     void acquire(AttemptState attempt) {
         attempt.endpoint.limit.inFlight++;
-        fills.inFlight += attempt.isFill() ? 1 : 0;
+        fillLimit.inFlight += attempt.isFill() ? 1 : 0;
     }
 
     /** Undoes {@link #acquire}. */
     void release(AttemptState attempt) {
         attempt.endpoint.limit.inFlight--;
-        fills.inFlight -= attempt.isFill() ? 1 : 0;
+        fillLimit.inFlight -= attempt.isFill() ? 1 : 0;
     }
 
     /** Adapts the limit that applied to the attempt; a late response counts only if no report shows spare capacity. */
     void adapt(AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
-        boolean overLink = isFillOverLink(attempt, outcome);
+        boolean limitedByLink = isLimitedByZoneLink(attempt, outcome);
         Endpoint endpoint = attempt.endpoint;
-        double use = overLink ? zoneLink.reportedUse() : endpoint.reportedLoad.inFlight / endpoint.weight;
+        double utilization =
+                limitedByLink ? zoneLink.reportedUtilization() : endpoint.reportedLoad.inFlight / endpoint.weight;
         boolean inTime = timeliness == Timeliness.IN_TIME;
-        if (inTime || use < 0 || use > ReportedLoad.OVERLOAD) {
-            (overLink ? fills : endpoint.limit).adapt(inTime);
+        if (inTime || utilization < 0 || utilization > ReportedLoad.OVERLOAD_THRESHOLD) {
+            (limitedByLink ? fillLimit : endpoint.limit).adapt(inTime);
         }
     }
 
     /**
      * Whether the zone's link rather than the cache determined the attempt's latency: the attempt was a fill, and
-     * either the link's use is reported or the cache was not overloaded.
+     * either the link's utilization is reported or the cache was not overloaded.
      */
-    private boolean isFillOverLink(AttemptState attempt, AttemptOutcome outcome) {
+    private boolean isLimitedByZoneLink(AttemptState attempt, AttemptOutcome outcome) {
         CacheStatus cacheStatus = outcome.cacheStatus();
         boolean filled = cacheStatus.isFill() || cacheStatus == CacheStatus.COALESCED;
-        boolean maybeFilled = attempt.isFill() && !cacheStatus.isCopy() && outcome.status() != AttemptStatus.REJECTED;
+        boolean mayHaveFilled = attempt.isFill() && !cacheStatus.isCopy() && outcome.status() != AttemptStatus.REJECTED;
         Endpoint endpoint = attempt.endpoint;
-        boolean cacheNotFull = endpoint.reportedLoad.inFlight <= ReportedLoad.OVERLOAD * endpoint.weight;
-        return (filled || maybeFilled) && (zoneLink.isReported() || cacheNotFull);
+        boolean cacheNotFull = endpoint.reportedLoad.inFlight <= ReportedLoad.OVERLOAD_THRESHOLD * endpoint.weight;
+        return (filled || mayHaveFilled) && (zoneLink.isUtilizationReported() || cacheNotFull);
     }
 }
--- a/src/main/java/petrelplank/routing/EjectionState.java
+++ b/src/main/java/petrelplank/routing/EjectionState.java
@@ -3,11 +3,11 @@
 /** The state that the {@link OutlierDetector} keeps for each endpoint. */
 final class EjectionState {
     /** Consecutive failures. */
-    int failures;
+    int consecutiveFailures;
 
     boolean ejected;
     /** Whether the last failure was a failed connection attempt. */
-    boolean unreachable;
+    boolean connectFailed;
     /** Time from which the next health-check attempt may be sent. */
     long healthCheckAtUs;
 
@@ -15,7 +15,7 @@
     boolean healthCheckInFlight;
 
     void reset() {
-        failures = 0;
+        consecutiveFailures = 0;
         ejected = false;
     }
 }
--- a/src/main/java/petrelplank/routing/EligibleEndpoints.java
+++ b/src/main/java/petrelplank/routing/EligibleEndpoints.java
@@ -23,18 +23,18 @@
     }
 
     /** Returns the caches that may take the request, as a new list. */
-    List<Endpoint> edges(RequestState request, long now) {
-        List<Endpoint> up = up(endpoints.edges(), request);
+    List<Endpoint> caches(RequestState request, long now) {
+        List<Endpoint> candidates = upAndNotExcluded(endpoints.localCaches(), request);
         if (directToParents) {
-            up.removeIf(edge -> edge.ejection.unreachable && !outliers.isReady(edge, now));
+            candidates.removeIf(cache -> cache.ejection.connectFailed && !outliers.isReady(cache, now));
         }
-        return readyUnlessMostFail(up, now);
+        return readyOrAllIfMostFail(candidates, now);
     }
 
     /** Returns the parents from which a miss of the request may be filled, as a new list. */
     List<Endpoint> parents(RequestState request, long now) {
-        List<Endpoint> up = up(endpoints.parents(), request);
-        return originFailuresReported ? ready(up, now) : readyUnlessMostFail(up, now);
+        List<Endpoint> candidates = upAndNotExcluded(endpoints.parents(), request);
+        return originFailuresReported ? ready(candidates, now) : readyOrAllIfMostFail(candidates, now);
     }
 
     /** Whether the request may be sent to the origin. */
@@ -43,20 +43,20 @@
         return origin != null && outliers.isReady(origin, now) && !request.excluded.contains(origin);
     }
 
-    private static List<Endpoint> up(List<Endpoint> list, RequestState request) {
-        List<Endpoint> up = new ArrayList<>(list);
-        up.removeIf(endpoint -> !endpoint.isUp() || request.excluded.contains(endpoint));
-        return up;
+    private static List<Endpoint> upAndNotExcluded(List<Endpoint> listed, RequestState request) {
+        List<Endpoint> candidates = new ArrayList<>(listed);
+        candidates.removeIf(endpoint -> !endpoint.isUp() || request.excluded.contains(endpoint));
+        return candidates;
     }
 
-    private List<Endpoint> ready(List<Endpoint> up, long now) {
-        List<Endpoint> ready = new ArrayList<>(up);
+    private List<Endpoint> ready(List<Endpoint> candidates, long now) {
+        List<Endpoint> ready = new ArrayList<>(candidates);
         ready.removeIf(endpoint -> !outliers.isReady(endpoint, now));
         return ready;
     }
 
-    private List<Endpoint> readyUnlessMostFail(List<Endpoint> up, long now) {
-        List<Endpoint> ready = ready(up, now);
-        return ready.size() * 2 < up.size() ? up : ready;
+    private List<Endpoint> readyOrAllIfMostFail(List<Endpoint> candidates, long now) {
+        List<Endpoint> ready = ready(candidates, now);
+        return ready.size() * 2 < candidates.size() ? candidates : ready;
     }
 }
--- a/src/main/java/petrelplank/routing/Endpoint.java
+++ b/src/main/java/petrelplank/routing/Endpoint.java
@@ -43,13 +43,13 @@
 
     Endpoint(String id, ConcurrencyLimit limit) {
         this.id = id;
-        this.hash = Hash.mix(Hash.fnv(id));
+        this.hash = Hash.mix(Hash.fnv1a(id));
         this.limit = limit;
     }
 
-    /** Discards the state of the previous process after the endpoint has restarted. */
-    void restarted(long atUs) {
-        startedUs = atUs;
+    /** Discards ejection, slow-start budget and fill slowness of the previous process after a restart. */
+    void resetAfterRestart(long newStartedUs) {
+        startedUs = newStartedUs;
         slowStartBucket.reset();
         ejection.reset();
         fillSlowness = 1;
@@ -60,15 +60,15 @@
     }
 
     /** Whether its last load report shows spare capacity. */
-    boolean hasReportedRoom() {
-        return reportedLoad.inFlight >= 0 && reportedLoad.inFlight < ReportedLoad.OVERLOAD * weight;
+    boolean hasReportedSpareCapacity() {
+        return reportedLoad.inFlight >= 0 && reportedLoad.inFlight < ReportedLoad.OVERLOAD_THRESHOLD * weight;
     }
 
     /**
      * Whether the last load report, plus the attempts sent since, shows spare capacity. Concurrency limits adapt too
      * slowly when proxies start or stop, so this overrides them.
      */
-    boolean hasRoomSinceReport() {
+    boolean hasEstimatedSpareCapacity() {
         return reportedLoad.inFlight >= 0
                 && reportedLoad.inFlight + Math.max(0, limit.inFlight - reportedLoad.ownInFlightAtReport) < weight;
     }
--- a/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
@@ -11,14 +11,17 @@
     private final long connectTimeoutUs;
     private final OutlierDetector outliers;
     private final FailureAttribution attribution;
-    private final CopyLocations copies;
+    private final CopyLocations copyLocations;
 
     EndpointOutcomeRecorder(
-            long connectTimeoutUs, OutlierDetector outliers, FailureAttribution attribution, CopyLocations copies) {
+            long connectTimeoutUs,
+            OutlierDetector outliers,
+            FailureAttribution attribution,
+            CopyLocations copyLocations) {
         this.connectTimeoutUs = connectTimeoutUs;
         this.outliers = outliers;
         this.attribution = attribution;
-        this.copies = copies;
+        this.copyLocations = copyLocations;
     }
 
     /** Records the outcome of an attempt that was sent and not cancelled. */
@@ -34,7 +37,7 @@
             default -> recordFailure(request, attempt, outcome, sourceFailed, now);
         }
         if (outcome.status() == AttemptStatus.MISS) {
-            copies.forgetObject(request.key);
+            copyLocations.forgetObject(request.key);
         }
         exclude(request, attempt, outcome.status(), sourceFailed);
     }
@@ -45,7 +48,7 @@
         endpoint.lastResponseUs = now;
         attribution.recordResponseTime(outcome.latencyUs() - request.transferUs);
         if (!request.isWrite() && endpoint.role == Role.EDGE) {
-            copies.record(request.key, endpoint);
+            copyLocations.record(request.key, endpoint);
         }
     }
 
@@ -56,7 +59,7 @@
         boolean unresponsive = now - endpoint.lastResponseUs > connectTimeoutUs;
         Evidence evidence = unresponsive ? Evidence.CONCLUSIVE : Evidence.INCONCLUSIVE;
         outliers.recordFailure(endpoint, now, evidence, attempt.healthCheck);
-        endpoint.ejection.unreachable = true;
+        endpoint.ejection.connectFailed = true;
     }
 
     private void recordReset(AttemptState attempt, long now) {
@@ -73,16 +76,17 @@
         if (!sourceFailed && !request.hedged) {
             outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
         }
-        boolean plainError = outcome.status() == AttemptStatus.ERROR && outcome.cacheStatus() == CacheStatus.NONE;
-        if (plainError && !attempt.healthCheck && request.recordError(attempt.endpoint)) {
-            request.errored.forEach(endpoint -> outliers.pardonFailure(endpoint, now));
+        boolean unattributedError =
+                outcome.status() == AttemptStatus.ERROR && outcome.cacheStatus() == CacheStatus.NONE;
+        if (unattributedError && !attempt.healthCheck && request.recordError(attempt.endpoint)) {
+            request.errored.forEach(endpoint -> outliers.retractFailure(endpoint, now));
         }
     }
 
     private static void exclude(
             RequestState request, AttemptState attempt, AttemptStatus status, boolean sourceFailed) {
-        boolean sourceUseless = sourceFailed || status == AttemptStatus.MISS;
-        if (sourceUseless && attempt.source != attempt.endpoint && request.originAccess != OriginAccess.SAMPLED) {
+        boolean sourceUnusable = sourceFailed || status == AttemptStatus.MISS;
+        if (sourceUnusable && attempt.source != attempt.endpoint && request.originAccess != OriginAccess.SAMPLED) {
             request.excluded.add(attempt.source);
         }
         boolean endpointFailed = status != AttemptStatus.OK && status != AttemptStatus.MISS && !sourceFailed;
--- a/src/main/java/petrelplank/routing/EndpointRegistry.java
+++ b/src/main/java/petrelplank/routing/EndpointRegistry.java
@@ -10,23 +10,23 @@
 /** The listed endpoints with their roles and their distance from this proxy. */
 final class EndpointRegistry {
     private final RouterSettings settings;
-    private final CopyLocations copies;
+    private final CopyLocations copyLocations;
     private final LoadReports loadReports;
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
-    private final List<Endpoint> edges = new ArrayList<>();
+    private final List<Endpoint> localCaches = new ArrayList<>();
     private final List<Endpoint> parents = new ArrayList<>();
     private Endpoint origin;
     private long firstUpdateUs = Long.MAX_VALUE;
 
-    EndpointRegistry(RouterSettings settings, CopyLocations copies, LoadReports loadReports) {
+    EndpointRegistry(RouterSettings settings, CopyLocations copyLocations, LoadReports loadReports) {
         this.settings = settings;
-        this.copies = copies;
+        this.copyLocations = copyLocations;
         this.loadReports = loadReports;
     }
 
     /** Returns the caches in this proxy's zone. */
-    List<Endpoint> edges() {
-        return edges;
+    List<Endpoint> localCaches() {
+        return localCaches;
     }
 
     List<Endpoint> parents() {
@@ -55,34 +55,35 @@
         }
         changes.forEach(this::update);
         endpoints.values().removeIf(endpoint -> endpoint.state == EndpointState.REMOVED);
-        copies.forgetRemovedCaches();
+        copyLocations.forgetRemovedCaches();
         groupByRole();
     }
 
     private void update(EndpointInfo info) {
-        int gateways = settings.zoneGatewayCount();
+        int zoneProxyCount = settings.zoneGatewayCount();
         Endpoint endpoint =
-                endpoints.computeIfAbsent(info.id(), id -> new Endpoint(id, new ConcurrencyLimit(gateways)));
+                endpoints.computeIfAbsent(info.id(), id -> new Endpoint(id, new ConcurrencyLimit(zoneProxyCount)));
         if (info.startedUs() != endpoint.startedUs) {
-            copies.forgetCache(endpoint);
-            endpoint.restarted(info.startedUs());
+            copyLocations.forgetCache(endpoint);
+            endpoint.resetAfterRestart(info.startedUs());
         }
         endpoint.state = info.state();
         endpoint.weight = settings.weightMeaning() != WeightMeaning.NONE && info.weight() > 0 ? info.weight() : 1;
         // Keeps the limit from staying low after an overload has ended: if load reports include the requests in flight,
         // the weight is the endpoint's capacity.
-        endpoint.limit.setKnownCapacity(loadReports.tellInFlight() ? ReportedLoad.OVERLOAD * endpoint.weight : 0);
+        endpoint.limit.setKnownCapacity(
+                loadReports.includeInFlight() ? ReportedLoad.OVERLOAD_THRESHOLD * endpoint.weight : 0);
         endpoint.hubDistance = hubDistance(info.zone());
         endpoint.role = role(info);
     }
 
     private void groupByRole() {
-        edges.clear();
+        localCaches.clear();
         parents.clear();
         origin = null;
         for (Endpoint endpoint : endpoints.values()) {
             switch (endpoint.role) {
-                case EDGE -> edges.add(endpoint);
+                case EDGE -> localCaches.add(endpoint);
                 case PARENT -> parents.add(endpoint);
                 case ORIGIN -> origin = endpoint;
                 default -> {}
--- a/src/main/java/petrelplank/routing/FailureAttribution.java
+++ b/src/main/java/petrelplank/routing/FailureAttribution.java
@@ -3,20 +3,20 @@
 /** Attributes a failed attempt to the endpoint, to its fill source or to the origin. */
 final class FailureAttribution {
     /** A rejection that took longer than this multiple of the fastest response may have come from the source. */
-    private static final double SLOW_REJECTION = 4;
+    private static final double SLOW_REJECTION_FACTOR = 4;
 
     /** Whether cache statuses report failures of fill sources and of the origin. */
-    private final boolean failuresReported;
+    private final boolean sourceFailuresReported;
 
-    private double quickestResponseUs = Double.MAX_VALUE;
+    private double fastestResponseUs = Double.MAX_VALUE;
 
     FailureAttribution(CacheStatusDetail detail) {
-        this.failuresReported = detail == CacheStatusDetail.ALL;
+        this.sourceFailuresReported = detail == CacheStatusDetail.ALL;
     }
 
     /** Records an endpoint's response time, excluding the transfer time. */
     void recordResponseTime(double responseUs) {
-        quickestResponseUs = Math.min(quickestResponseUs, Math.max(1, responseUs));
+        fastestResponseUs = Math.min(fastestResponseUs, Math.max(1, responseUs));
     }
 
     /**
@@ -33,14 +33,14 @@
 
     private boolean isSlowRejection(AttemptOutcome outcome) {
         return outcome.status() == AttemptStatus.REJECTED
-                && !failuresReported
-                && outcome.latencyUs() > SLOW_REJECTION * quickestResponseUs;
+                && !sourceFailuresReported
+                && outcome.latencyUs() > SLOW_REJECTION_FACTOR * fastestResponseUs;
     }
 
     /** Whether the origin may have rejected the call, directly or through a source. */
     boolean mayBeOriginRejection(AttemptOutcome outcome) {
-        boolean unknown = !failuresReported
+        boolean unattributed = !sourceFailuresReported
                 && (outcome.status() == AttemptStatus.REJECTED || outcome.status() == AttemptStatus.ERROR);
-        return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || unknown);
+        return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || unattributed);
     }
 }
--- a/src/main/java/petrelplank/routing/FillSourceSelector.java
+++ b/src/main/java/petrelplank/routing/FillSourceSelector.java
@@ -12,22 +12,25 @@
  */
 final class FillSourceSelector {
     /** Reward of a fill without load; a failed fill has the negative of this as its reward. */
-    private static final double FILL_PAYOFF = 1000;
+    private static final double FILL_REWARD = 1000;
     /** Largest deduction from the reward of a fill because of load. */
     private static final double MAX_LOAD_PENALTY = 100;
     /** Values this close to each other count as equal: a few fills alone cause such differences. */
-    private static final double TIE = MAX_LOAD_PENALTY / 5;
+    private static final double TIE_TOLERANCE = MAX_LOAD_PENALTY / 5;
     /** Share of fills that go to a random eligible parent, to keep its learned value up to date. */
-    private static final double EXPLORATION_SHARE = 0.02;
+    private static final double EXPLORATION_RATE = 0.02;
 
-    private final EligibleEndpoints eligible;
+    private final EligibleEndpoints eligibleEndpoints;
     private final EndpointRegistry endpoints;
     private final SlowStart slowStart;
     private final SplittableRandom random;
 
     FillSourceSelector(
-            EligibleEndpoints eligible, EndpointRegistry endpoints, SlowStart slowStart, SplittableRandom random) {
-        this.eligible = eligible;
+            EligibleEndpoints eligibleEndpoints,
+            EndpointRegistry endpoints,
+            SlowStart slowStart,
+            SplittableRandom random) {
+        this.eligibleEndpoints = eligibleEndpoints;
         this.endpoints = endpoints;
         this.slowStart = slowStart;
         this.random = random;
@@ -37,23 +40,24 @@
     Endpoint select(RequestState request, long now) {
         long object = request.request.object();
         int group = QTable.groupOf(object);
-        List<Endpoint> parents = eligible.parents(request, now);
+        List<Endpoint> parents = eligibleEndpoints.parents(request, now);
         parents.removeIf(parent -> Hash.unit(Hash.mix(object + parent.hash)) > slowStart.capacityFraction(parent, now));
         parents.removeIf(parent -> !slowStart.canAfford(parent, request.transferUs, now));
-        boolean mayUseOrigin = !request.originAccess.isOnlyIfCached() && eligible.isOriginEligible(request, now);
-        double mean = meanValue(parents, group);
-        double highest = parents.stream()
-                .mapToDouble(parent -> parent.qTable.value(group, mean))
+        boolean mayUseOrigin =
+                !request.originAccess.isOnlyIfCached() && eligibleEndpoints.isOriginEligible(request, now);
+        double defaultValue = meanValue(parents, group);
+        double highestValue = parents.stream()
+                .mapToDouble(parent -> parent.qTable.value(group, defaultValue))
                 .max()
-                .orElse(-FILL_PAYOFF);
-        if (parents.isEmpty() || highest < 0 && mayUseOrigin) {
+                .orElse(-FILL_REWARD);
+        if (parents.isEmpty() || highestValue < 0 && mayUseOrigin) {
             return mayUseOrigin ? endpoints.origin() : null;
         }
-        if (random.nextDouble() < EXPLORATION_SHARE) {
+        if (random.nextDouble() < EXPLORATION_RATE) {
             return parents.get(random.nextInt(parents.size()));
         }
         return parents.stream()
-                .filter(parent -> parent.qTable.value(group, mean) >= highest - TIE)
+                .filter(parent -> parent.qTable.value(group, defaultValue) >= highestValue - TIE_TOLERANCE)
                 .min(Comparator.<Endpoint>comparingInt(parent -> parent.hubDistance)
                         .thenComparing(parent -> Hash.mix(parent.hash + group), Comparator.reverseOrder()))
                 .get();
@@ -62,18 +66,18 @@
     /** Learns from a successful fill. Load is measured by the wait for the source, which excludes the transfer time. */
     void recordFill(Endpoint source, RequestState request, double waitUs) {
         double load = Math.min(1, waitUs / request.serviceClass.latencyObjectiveUs());
-        learn(source, request, FILL_PAYOFF - MAX_LOAD_PENALTY * load);
+        learn(source, request, FILL_REWARD - MAX_LOAD_PENALTY * load);
     }
 
     /** Learns from a fill that failed because of the source. */
     void recordFailure(Endpoint source, RequestState request) {
-        learn(source, request, -FILL_PAYOFF);
+        learn(source, request, -FILL_REWARD);
     }
 
-    private void learn(Endpoint source, RequestState request, double payoff) {
+    private void learn(Endpoint source, RequestState request, double reward) {
         if (source.role == Role.PARENT) {
             int group = QTable.groupOf(request.request.object());
-            source.qTable.learn(group, payoff, meanValue(endpoints.parents(), group));
+            source.qTable.learn(group, reward, meanValue(endpoints.parents(), group));
         }
     }
 
@@ -83,6 +87,6 @@
                 .filter(parent -> parent.qTable.isLearned(group))
                 .mapToDouble(parent -> parent.qTable.value(group))
                 .average()
-                .orElse(FILL_PAYOFF);
+                .orElse(FILL_REWARD);
     }
 }
--- a/src/main/java/petrelplank/routing/Hash.java
+++ b/src/main/java/petrelplank/routing/Hash.java
@@ -20,7 +20,7 @@
     }
 
     /** Hashes a string (FNV-1a over its UTF-16 code units instead of bytes). */
-    static long fnv(String text) {
+    static long fnv1a(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * FNV_PRIME;
--- a/src/main/java/petrelplank/routing/OriginCallMonitor.java
+++ b/src/main/java/petrelplank/routing/OriginCallMonitor.java
@@ -8,7 +8,7 @@
  */
 final class OriginCallMonitor {
     /** Fraction of the latency objective; a call that waits longer than this indicates a queue at the origin. */
-    private static final double QUEUEING_WAIT = 0.5;
+    private static final double QUEUEING_WAIT_FRACTION = 0.5;
 
     private final EndpointRegistry endpoints;
     private final OriginLoadShedder shedder;
@@ -33,7 +33,7 @@
     /** Checks an attempt that has no response yet; if it is late, this counts once as a failed call of the origin. */
     void checkLateness(RequestState request, AttemptState attempt, long now) {
         if (!request.latenessCounted
-                && mayCall(request, attempt)
+                && mayCallOrigin(request, attempt)
                 && now > attempt.sentUs + request.latencyObjectiveUs()) {
             request.latenessCounted = true;
             shedder.recordCall(now, false);
@@ -49,20 +49,21 @@
     boolean recordOutcome(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness, long now) {
         boolean linkCongested = isOriginLinkCongested(request, attempt, outcome, timeliness);
-        boolean called = linkCongested || hasCalled(request, attempt, outcome, timeliness);
+        boolean calledOrigin = linkCongested || hasCalledOrigin(request, attempt, outcome, timeliness);
         boolean failed = request.isWrite() || timeliness == Timeliness.FAILED || linkCongested;
-        boolean originAtFault = called && timeliness != Timeliness.IN_TIME && (failed || isLinkFree(outcome, now));
+        boolean originAtFault =
+                calledOrigin && timeliness != Timeliness.IN_TIME && (failed || isDelayedAtSource(outcome, now));
         sampleAfterMiss(request, attempt, outcome, now);
-        if (called && !request.latenessCounted && mayCount(request, now)) {
+        if (calledOrigin && !request.latenessCounted && countsForShedding(request, now)) {
             boolean answered = outcome.status() == AttemptStatus.OK;
-            shedder.recordCall(now, answered && !originAtFault && isPrompt(request, outcome));
+            shedder.recordCall(now, answered && !originAtFault && isAnsweredPromptly(request, outcome));
         }
         request.latenessCounted = false;
         return originAtFault;
     }
 
     /** Whether the call counts: during load shedding, only calls of sampled requests and writes do. */
-    private boolean mayCount(RequestState request, long now) {
+    private boolean countsForShedding(RequestState request, long now) {
         return request.originAccess.isSampled() || request.isWrite() || !shedder.isShedding(now);
     }
 
@@ -70,16 +71,16 @@
      * Whether an attempt may call the origin, as far as this is known before its outcome. If cache statuses report
      * calls of the origin, a fill from a parent is assumed not to call it until its status says so.
      */
-    private boolean mayCall(RequestState request, AttemptState attempt) {
-        boolean mayFillThere = attempt.source == endpoints.origin() || !originFillsReported;
-        return request.isWrite() || attempt.isFill() && mayFillThere;
+    private boolean mayCallOrigin(RequestState request, AttemptState attempt) {
+        boolean mayFillFromOrigin = attempt.source == endpoints.origin() || !originFillsReported;
+        return request.isWrite() || attempt.isFill() && mayFillFromOrigin;
     }
 
-    private boolean hasCalled(
+    private boolean hasCalledOrigin(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
         CacheStatus cacheStatus = outcome.cacheStatus();
         boolean reported = cacheStatus == CacheStatus.FILLED_FROM_ORIGIN || cacheStatus == CacheStatus.ORIGIN_FAILED;
-        boolean likely = mayCall(request, attempt) && !cacheStatus.isCopy();
+        boolean likely = mayCallOrigin(request, attempt) && !cacheStatus.isCopy();
         return reported || likely && (timeliness != Timeliness.FAILED || attribution.mayBeOriginRejection(outcome));
     }
 
@@ -90,8 +91,8 @@
     private boolean isOriginLinkCongested(
             RequestState request, AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
         if (outcome.cacheStatus() == CacheStatus.FILLED_FROM_ORIGIN) {
-            double usual = Math.max(attempt.source.fillSlowness, zoneLink.reportedUse());
-            return SlowSourceDetector.slowness(request, outcome) > SlowSourceDetector.TOO_SLOW * usual;
+            double usualSlowness = Math.max(attempt.source.fillSlowness, zoneLink.reportedUtilization());
+            return SlowSourceDetector.slowness(request, outcome) > SlowSourceDetector.MAX_SLOWNESS * usualSlowness;
         }
         return attempt.isFill()
                 && outcome.status() == AttemptStatus.TIMEOUT
@@ -116,13 +117,13 @@
      * Whether the delay of a late fill arose at or behind its source and not on the zone's link: the reported wait for
      * the source is most of the latency or, if waits are not reported, the zone's link is mostly unused.
      */
-    private boolean isLinkFree(AttemptOutcome outcome, long now) {
-        return originFillsReported ? 2 * outcome.sourceWaitUs() > outcome.latencyUs() : zoneLink.isLittleUsed(now);
+    private boolean isDelayedAtSource(AttemptOutcome outcome, long now) {
+        return originFillsReported ? 2 * outcome.sourceWaitUs() > outcome.latencyUs() : zoneLink.isMostlyUnused(now);
     }
 
     /** Whether the response came soon enough to rule out a queue at the origin. */
-    private static boolean isPrompt(RequestState request, AttemptOutcome outcome) {
+    private static boolean isAnsweredPromptly(RequestState request, AttemptOutcome outcome) {
         double waitUs = outcome.sourceWaitUs() > 0 ? outcome.sourceWaitUs() : outcome.latencyUs() - request.transferUs;
-        return waitUs <= QUEUEING_WAIT * request.latencyObjectiveUs();
+        return waitUs <= QUEUEING_WAIT_FRACTION * request.latencyObjectiveUs();
     }
 }
--- a/src/main/java/petrelplank/routing/OriginLoadShedder.java
+++ b/src/main/java/petrelplank/routing/OriginLoadShedder.java
@@ -15,8 +15,8 @@
 
     private final double windowUs;
     private final RateLimitedLog log;
-    private final DecayingRate calls = new DecayingRate();
-    private final DecayingRate served = new DecayingRate();
+    private final DecayingRate allCalls = new DecayingRate();
+    private final DecayingRate successfulCalls = new DecayingRate();
     private double share = 1;
     private long shareSetUs;
 
@@ -27,31 +27,32 @@
     }
 
     /** Returns the share of misses that may call the origin now. */
-    double share(long now) {
+    double currentShare(long now) {
         return share >= 1 ? 1 : Math.min(1, share * Math.pow(2, 2 * (now - shareSetUs) / windowUs));
     }
 
     boolean isShedding(long now) {
-        return share(now) < 1;
+        return currentShare(now) < 1;
     }
 
     /** Whether the request belongs to the sample that may call the origin. */
     boolean isSampled(RequestState request, long now) {
-        return request.samplingKey < share(now);
+        return request.samplingKey < currentShare(now);
     }
 
     /** Records a call of the origin that has ended or is late. */
-    void recordCall(long now, boolean servedWell) {
-        share = servedWell ? Math.min(1, share / CUT_FACTOR) : share;
+    void recordCall(long now, boolean successful) {
+        share = successful ? Math.min(1, share / CUT_FACTOR) : share;
         double rateWindowUs = windowUs / 2;
-        double callRate = calls.add(now, 1, rateWindowUs);
-        double servedRate = served.add(now, servedWell ? 1 : 0, rateWindowUs);
-        double benefitOfDoubt = isShedding(now) ? 0 : 1 / rateWindowUs;
-        if (!servedWell && callRate - benefitOfDoubt > OVERLOAD_RATIO * servedRate) {
-            share = Math.max(MIN_SHARE, share(now) * CUT_FACTOR);
+        double callRate = allCalls.add(now, 1, rateWindowUs);
+        double successfulCallRate = successfulCalls.add(now, successful ? 1 : 0, rateWindowUs);
+        // A single failed call does not start load shedding.
+        double toleratedRate = isShedding(now) ? 0 : 1 / rateWindowUs;
+        if (!successful && callRate - toleratedRate > OVERLOAD_RATIO * successfulCallRate) {
+            share = Math.max(MIN_SHARE, currentShare(now) * CUT_FACTOR);
             shareSetUs = now;
-            calls.clear();
-            served.clear();
+            allCalls.clear();
+            successfulCalls.clear();
             log.log(now, "origin overloaded: it is called for at most one miss in " + Math.round(1 / share));
         }
     }
--- a/src/main/java/petrelplank/routing/OutlierDetector.java
+++ b/src/main/java/petrelplank/routing/OutlierDetector.java
@@ -43,10 +43,10 @@
      */
     void recordFailure(Endpoint endpoint, long now, Evidence evidence, boolean healthCheck) {
         EjectionState ejection = endpoint.ejection;
-        ejection.failures++;
-        ejection.unreachable = false;
-        boolean enough = evidence == Evidence.CONCLUSIVE || ejection.failures >= FAILURES_TO_EJECT;
-        if (ejection.ejected ? healthCheck : enough) {
+        ejection.consecutiveFailures++;
+        ejection.connectFailed = false;
+        boolean sufficient = evidence == Evidence.CONCLUSIVE || ejection.consecutiveFailures >= FAILURES_TO_EJECT;
+        if (ejection.ejected ? healthCheck : sufficient) {
             eject(endpoint, now);
         }
     }
@@ -62,17 +62,17 @@
     }
 
     /** Withdraws a recorded failure that turned out to be caused by the request itself. */
-    void pardonFailure(Endpoint endpoint, long now) {
+    void retractFailure(Endpoint endpoint, long now) {
         EjectionState ejection = endpoint.ejection;
-        ejection.failures = Math.max(0, ejection.failures - 1);
-        if (ejection.ejected && ejection.failures < FAILURES_TO_EJECT) {
+        ejection.consecutiveFailures = Math.max(0, ejection.consecutiveFailures - 1);
+        if (ejection.ejected && ejection.consecutiveFailures < FAILURES_TO_EJECT) {
             recordSuccess(endpoint, now);
         }
     }
 
     /** Records a successful attempt, which ends an ejection. */
     void recordSuccess(Endpoint endpoint, long now) {
-        endpoint.ejection.failures = 0;
+        endpoint.ejection.consecutiveFailures = 0;
         if (endpoint.ejection.ejected) {
             endpoint.ejection.ejected = false;
             actions.recovered(endpoint.id);
--- a/src/main/java/petrelplank/routing/ReportedLoad.java
+++ b/src/main/java/petrelplank/routing/ReportedLoad.java
@@ -2,8 +2,8 @@
 
 /** The load that an endpoint last reported. */
 final class ReportedLoad {
-    /** Requests in flight per unit of weight, or link use, above which a late response is attributed to overload. */
-    static final double OVERLOAD = 1.5;
+    /** Requests in flight per unit of weight, or link utilization, above which a late response is due to overload. */
+    static final double OVERLOAD_THRESHOLD = 1.5;
 
     /** Requests in flight as last reported; -1 before the first report, and if reports do not include it. */
     double inFlight = -1;
--- a/src/main/java/petrelplank/routing/SlowSourceDetector.java
+++ b/src/main/java/petrelplank/routing/SlowSourceDetector.java
@@ -7,9 +7,9 @@
  */
 final class SlowSourceDetector {
     /** Ratio of fill time to transfer time above which a fill is too slow. */
-    static final double TOO_SLOW = 2;
+    static final double MAX_SLOWNESS = 2;
 
-    private static final double SLOWER_THAN_BEST_PEER = 2;
+    private static final double MIN_RATIO_TO_BEST_PEER = 2;
     /** Weight of a new sample in the moving average, for fills of at least {@code FULL_SAMPLE_US}. */
     private static final double SMOOTHING = 0.2;
     /** Fills with a shorter transfer time than this have a proportionally lower weight. */
@@ -30,11 +30,11 @@
     boolean recordFill(Endpoint parent, RequestState request, AttemptOutcome outcome) {
         double sampleWeight = SMOOTHING * Math.min(1, request.transferUs / FULL_SAMPLE_US);
         parent.fillSlowness += sampleWeight * (slowness(request, outcome) - parent.fillSlowness);
-        double best = endpoints.parents().stream()
+        double bestPeerSlowness = endpoints.parents().stream()
                 .filter(peer -> peer != parent && peer.isUp() && !peer.ejection.ejected)
                 .mapToDouble(peer -> peer.fillSlowness)
                 .min()
                 .orElse(Double.MAX_VALUE);
-        return parent.fillSlowness > TOO_SLOW && parent.fillSlowness > SLOWER_THAN_BEST_PEER * best;
+        return parent.fillSlowness > MAX_SLOWNESS && parent.fillSlowness > MIN_RATIO_TO_BEST_PEER * bestPeerSlowness;
     }
 }
--- a/src/main/java/petrelplank/routing/SlowStart.java
+++ b/src/main/java/petrelplank/routing/SlowStart.java
@@ -13,8 +13,8 @@
      * Fraction of the load allowed by the overload rule that is used, for the burst and for the rate each. Below one
      * half, so that burst and rate together stay within the rule.
      */
-    private static final double MARGIN = 0.45;
-    /** The limit of an endpoint that has finished slow start or that no rule limits. */
+    private static final double BUDGET_FRACTION = 0.45;
+    /** The refill rate of an endpoint that has finished slow start or that no rule limits. */
     private static final double UNLIMITED = Double.MAX_VALUE;
 
     private final RouterSettings settings;
@@ -22,9 +22,9 @@
     private final EndpointRegistry endpoints;
     private final ZoneLink zoneLink;
     private final double windowUs;
-    private final double zoneGateways;
-    private double edgeRate;
-    private double parentRate;
+    private final double zoneProxyCount;
+    private double measuredCacheRate;
+    private double measuredParentRate;
 
     SlowStart(RouterSettings settings, EndpointRegistry endpoints, ZoneLink zoneLink, double windowUs) {
         this.settings = settings;
@@ -32,7 +32,7 @@
         this.endpoints = endpoints;
         this.zoneLink = zoneLink;
         this.windowUs = windowUs;
-        this.zoneGateways = settings.zoneGatewayCount();
+        this.zoneProxyCount = settings.zoneGatewayCount();
     }
 
     /**
@@ -40,69 +40,70 @@
      * rising linearly to 1.
      */
     double capacityFraction(Endpoint endpoint, long now) {
-        boolean parent = endpoint.role == Role.PARENT;
-        long durationUs = parent ? rules.parentSlowStartUs() : rules.slowStartUs();
-        double from = parent ? rules.parentSlowStartFrom() : rules.slowStartFrom();
+        boolean isParent = endpoint.role == Role.PARENT;
+        long durationUs = isParent ? rules.parentSlowStartDurationUs() : rules.slowStartDurationUs();
+        double initialFraction = isParent ? rules.parentSlowStartInitialFraction() : rules.slowStartInitialFraction();
         if (endpoint.role == Role.ORIGIN || endpoint.startedUs == 0 || now - endpoint.startedUs >= durationUs) {
             return 1;
         }
-        return from + (1 - from) * Math.max(0, now - endpoint.startedUs) / durationUs;
+        return initialFraction + (1 - initialFraction) * Math.max(0, now - endpoint.startedUs) / durationUs;
     }
 
     /** Whether the endpoint's budget covers the transfer time. */
     boolean canAfford(Endpoint endpoint, double transferUs, long now) {
-        return !refill(endpoint, now) || endpoint.slowStartBucket.holds(transferUs);
+        return !refillIfLimited(endpoint, now) || endpoint.slowStartBucket.holds(transferUs);
     }
 
     /** Deducts the transfer time from the endpoint's budget, which may become negative. */
     void charge(Endpoint endpoint, double transferUs, long now) {
-        if (refill(endpoint, now)) {
+        if (refillIfLimited(endpoint, now)) {
             endpoint.slowStartBucket.take(transferUs);
         }
     }
 
     /** Measures the load that this proxy sends to endpoints after their slow start; used if weights are unknown. */
     void measure(long now) {
-        edgeRate = endpoints.edges().stream()
-                .filter(edge -> capacityFraction(edge, now) >= 1)
-                .mapToDouble(edge -> edge.sentRate.read(now, windowUs))
+        measuredCacheRate = endpoints.localCaches().stream()
+                .filter(cache -> capacityFraction(cache, now) >= 1)
+                .mapToDouble(cache -> cache.sentRate.read(now, windowUs))
                 .average()
-                .orElse(edgeRate);
+                .orElse(measuredCacheRate);
         if (!endpoints.parents().isEmpty()) {
-            parentRate = Math.max(
-                    parentRate, zoneLink.fillRate(now) / endpoints.parents().size());
+            measuredParentRate = Math.max(
+                    measuredParentRate,
+                    zoneLink.fillRate(now) / endpoints.parents().size());
         }
     }
 
     /** Refills the endpoint's bucket; returns false if the endpoint has no limit. */
-    private boolean refill(Endpoint endpoint, long now) {
-        double limit = limit(endpoint, now);
-        if (limit == UNLIMITED) {
+    private boolean refillIfLimited(Endpoint endpoint, long now) {
+        double rate = refillRate(endpoint, now);
+        if (rate == UNLIMITED) {
             return false;
         }
-        double capacityUs = limit * rules.overloadUs();
+        double bucketCapacityUs = rate * rules.overloadDurationUs();
         // An endpoint that started before this proxy knew it gets no initial burst: if several proxies restarted
         // together, each would send one.
-        double initialUs = endpoint.startedUs < endpoints.firstUpdateUs() ? 0 : capacityUs;
-        endpoint.slowStartBucket.refill(now, limit, capacityUs, initialUs);
+        double initialUs = endpoint.startedUs < endpoints.firstUpdateUs() ? 0 : bucketCapacityUs;
+        endpoint.slowStartBucket.refill(now, rate, bucketCapacityUs, initialUs);
         return true;
     }
 
     /** Returns the transfer time that may be sent to the endpoint per unit of time, or {@link #UNLIMITED}. */
-    private double limit(Endpoint endpoint, long now) {
+    private double refillRate(Endpoint endpoint, long now) {
         double fraction = capacityFraction(endpoint, now);
-        boolean parent = endpoint.role == Role.PARENT;
-        double multiple = parent ? rules.parentOverloadMultiple() : rules.overloadMultiple();
-        if (fraction >= 1 || multiple <= 0 || rules.overloadUs() <= 0) {
+        boolean isParent = endpoint.role == Role.PARENT;
+        double overloadMultiple = isParent ? rules.parentOverloadMultiple() : rules.overloadMultiple();
+        if (fraction >= 1 || overloadMultiple <= 0 || rules.overloadDurationUs() <= 0) {
             return UNLIMITED;
         }
-        return MARGIN * multiple * fraction * capacityShare(endpoint, parent);
+        return BUDGET_FRACTION * overloadMultiple * fraction * capacityShare(endpoint, isParent);
     }
 
     /** Returns this proxy's share of the endpoint's capacity. */
-    private double capacityShare(Endpoint endpoint, boolean parent) {
+    private double capacityShare(Endpoint endpoint, boolean isParent) {
         return settings.weightMeaning() != WeightMeaning.NONE
-                ? endpoint.weight / (parent ? settings.gateways() : zoneGateways)
-                : Math.max(parent ? parentRate : edgeRate, 1.0 / settings.gateways());
+                ? endpoint.weight / (isParent ? settings.gateways() : zoneProxyCount)
+                : Math.max(isParent ? measuredParentRate : measuredCacheRate, 1.0 / settings.gateways());
     }
 }
--- a/src/main/java/petrelplank/routing/TransferTimeEstimator.java
+++ b/src/main/java/petrelplank/routing/TransferTimeEstimator.java
@@ -10,7 +10,7 @@
     /** Weight of a new sample in a moving average. */
     private static final double SMOOTHING = 0.05;
     /** Initial estimate for a class, as a fraction of its latency objective. */
-    private static final double INITIAL_PART_OF_OBJECTIVE = 1 / 4.0;
+    private static final double INITIAL_OBJECTIVE_FRACTION = 1 / 4.0;
 
     private static final double US_PER_SECOND = 1e6;
 
@@ -21,7 +21,7 @@
         this.flowKbPerSecond = flowKbPerSecond;
         this.classMeanUs = new double[classes.size()];
         for (int i = 0; i < classMeanUs.length; i++) {
-            classMeanUs[i] = classes.get(i).latencyObjectiveUs() * INITIAL_PART_OF_OBJECTIVE;
+            classMeanUs[i] = classes.get(i).latencyObjectiveUs() * INITIAL_OBJECTIVE_FRACTION;
         }
     }
 
@@ -42,8 +42,8 @@
      * spare capacity.
      */
     void recordOutcome(RequestState request, Endpoint endpoint, AttemptOutcome outcome) {
-        boolean unhindered = endpoint.hasReportedRoom() && outcome.cacheStatus() == CacheStatus.HIT;
-        boolean informative = outcome.sizeKb() > 0 || unhindered;
+        boolean unloadedHit = endpoint.hasReportedSpareCapacity() && outcome.cacheStatus() == CacheStatus.HIT;
+        boolean informative = outcome.sizeKb() > 0 || unloadedHit;
         request.transferUs = transferUs(outcome.sizeKb(), request.transferUs);
         if (informative && request.request.sizeKb() <= 0 && outcome.status() == AttemptStatus.OK) {
             addSample(request.classIndex, transferUs(outcome.sizeKb(), outcome.latencyUs()));
--- a/src/test/java/petrelplank/routing/CacheSelectorTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -26,17 +26,14 @@
     /** Guards against rejecting the requests of a cache at its limit while other caches have spare capacity. */
     @Test
     void cacheAtItsLimitPassesRequestsOnlyToCachesThatReportRoom() {
-        assertTrue(serversOfTheObjectsOfACacheAtItsLimit(new double[] {1, 0.5, 0.5})
-                        .size()
-                > 1);
+        assertTrue(serversAfterACacheReachesItsLimit(new double[] {1, 0.5, 0.5}).size() > 1);
         assertEquals(
                 1,
-                serversOfTheObjectsOfACacheAtItsLimit(new double[] {30, 0.5, 0.5})
-                        .size());
+                serversAfterACacheReachesItsLimit(new double[] {30, 0.5, 0.5}).size());
     }
 
-    private static Set<String> serversOfTheObjectsOfACacheAtItsLimit(double[] report) {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
+    private static Set<String> serversAfterACacheReachesItsLimit(double[] loadReport) {
+        RouterFixture reportingHost = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
                         RouterFixture.permissions(),
@@ -45,30 +42,31 @@
                 .withUsualEndpoints();
         List<Integer> objects = new java.util.ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            String id = told.request(i);
-            if (told.lastPlan().server().equals("a")) {
+            String id = reportingHost.request(i);
+            if (reportingHost.lastPlan().server().equals("a")) {
                 objects.add(i);
             }
-            told.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MS, report);
+            reportingHost.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MS, loadReport);
         }
-        int before = told.sent.size();
-        objects.forEach(told::request);
+        int sentBefore = reportingHost.sent.size();
+        objects.forEach(reportingHost::request);
         Set<String> servers = new TreeSet<>();
-        told.sent
-                .subList(before, told.sent.size())
-                .forEach(s -> servers.add(s.plan().server()));
+        reportingHost
+                .sent
+                .subList(sentBefore, reportingHost.sent.size())
+                .forEach(attempt -> servers.add(attempt.plan().server()));
         return servers;
     }
 
     @Test
     void oneObjectGoesToOneCacheAndManyObjectsToAllCaches() {
-        Set<String> one = new TreeSet<>();
-        Set<String> many = new TreeSet<>();
-        host.fills(0, 100).forEach(o -> many.add(o.server()));
+        Set<String> serversOfOneObject = new TreeSet<>();
+        Set<String> serversOfManyObjects = new TreeSet<>();
+        host.fills(0, 100).forEach(plan -> serversOfManyObjects.add(plan.server()));
         for (int i = 0; i < 3; i++) {
-            host.fills(500, 501).forEach(o -> one.add(o.server()));
+            host.fills(500, 501).forEach(plan -> serversOfOneObject.add(plan.server()));
         }
-        assertEquals(Set.of("a", "b", "c", "d"), many);
-        assertEquals(1, one.size());
+        assertEquals(Set.of("a", "b", "c", "d"), serversOfManyObjects);
+        assertEquals(1, serversOfOneObject.size());
     }
 }
--- a/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
@@ -31,11 +31,11 @@
                 host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
             }
         }
-        int before = host.rejected.size();
+        int rejectedBefore = host.rejected.size();
         for (int i = 100; i < 120; i++) {
             host.request(i);
         }
-        assertEquals(before, host.rejected.size());
+        assertEquals(rejectedBefore, host.rejected.size());
     }
 
     @Test
@@ -46,10 +46,10 @@
         for (int i = 100; i < 120; i++) {
             host.request(i);
         }
-        long looks = host.sent.stream()
-                .filter(s -> s.plan().server().equals(s.plan().source()))
+        long lookups = host.sent.stream()
+                .filter(attempt -> attempt.plan().server().equals(attempt.plan().source()))
                 .count();
-        assertTrue(looks >= 15, "cache lookups without a fill: " + looks + ", expected at least 15");
+        assertTrue(lookups >= 15, "cache lookups without a fill: " + lookups + ", expected at least 15");
     }
 
     /**
@@ -57,7 +57,7 @@
      * underestimated, and their responses count as late.
      */
     @Test
-    void lateResponsesShrinkNothingWhileReportsShowRoom() {
+    void lateResponsesDoNotShrinkLimitsWhileReportsShowSpareCapacity() {
         assertTrue(lookupsAfterLateFills(1.2) < 5);
         assertTrue(lookupsAfterLateFills(1.8) >= 15);
     }
@@ -65,24 +65,26 @@
     @Test
     void overloadRejectsLargePartsFirst() {
         host.fills(0, 100);
-        int large = 0;
-        int usual = 0;
+        int largeRejected = 0;
+        int usualRejected = 0;
         for (int i = 1000; i < 1400; i++) {
             String id = "x" + i;
-            boolean big = i % 2 == 0;
+            boolean isLarge = i % 2 == 0;
             host.router.requestReceived(
                     host.now,
-                    new RoutingRequest(id, i, 0, 0, "video", host.now + 4 * S, big ? 1600 : 800, false, false, null));
-            large += big && host.rejected.contains(id) ? 1 : 0;
-            usual += !big && host.rejected.contains(id) ? 1 : 0;
+                    new RoutingRequest(
+                            id, i, 0, 0, "video", host.now + 4 * S, isLarge ? 1600 : 800, false, false, null));
+            largeRejected += isLarge && host.rejected.contains(id) ? 1 : 0;
+            usualRejected += !isLarge && host.rejected.contains(id) ? 1 : 0;
         }
         assertTrue(
-                200 - usual > 1.3 * (200 - large),
-                "of 200 requests each, rejected " + large + " for large parts and " + usual + " for usual ones");
+                200 - usualRejected > 1.3 * (200 - largeRejected),
+                "of 200 requests each, rejected " + largeRejected + " for large parts and " + usualRejected
+                        + " for usual ones");
     }
 
     @Test
-    void lostResponsesAreNotTakenForLoad() {
+    void lostResponsesDoNotShrinkLimits() {
         host.fills(0, 100);
         for (int i = 0; i < 60; i++) {
             String id = host.request(1000 + i);
@@ -98,23 +100,23 @@
     }
 
     @Test
-    void gatewaysOfAZoneShareItsLimits() {
-        RouterFixture many = new RouterFixture(RouterFixture.settings(
+    void proxiesOfAZoneShareItsLimits() {
+        RouterFixture oneOfManyProxies = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 40))
                 .withUsualEndpoints();
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            sent += many.attempts(many.request(i)) > 0 ? 1 : 0;
+            sent += oneOfManyProxies.attempts(oneOfManyProxies.request(i)) > 0 ? 1 : 0;
         }
         assertTrue(sent > 0 && sent * 40 < 1000, "one of 40 proxies sent " + sent + " attempts, expected 1 to 24");
     }
 
     @Test
-    void zoneWithoutAGatewayCountIsRouted() {
-        RouterFixture none = new RouterFixture(RouterFixture.settings(
+    void zoneWithoutAProxyCountIsServed() {
+        RouterFixture hostWithUnknownProxyCount = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 0))
                 .withUsualEndpoints();
-        assertEquals(1, none.attempts(none.request(1)));
+        assertEquals(1, hostWithUnknownProxyCount.attempts(hostWithUnknownProxyCount.request(1)));
     }
 
     /**
@@ -122,20 +124,20 @@
      * each.
      */
     @Test
-    void fillsContinueWhileTheLinkIsReportedToHaveRoom() {
-        assertEquals(0, lookupsOfABurst(0.5));
-        assertTrue(lookupsOfABurst(1.2) > 10);
+    void fillsContinueWhileReportsShowSpareCapacityOnTheLink() {
+        assertEquals(0, lookupsInABurst(0.5));
+        assertTrue(lookupsInABurst(1.2) > 10);
     }
 
     /** The latency objective grows with the transfer time, so that a slow response may be in time for its size. */
     @Test
-    void largeResponsesInTimeForTheirSizeShrinkNothing() {
+    void largeResponsesInTimeForTheirSizeDoNotShrinkLimits() {
         assertTrue(lookupsAfterFillsOf(800) >= 15);
         assertTrue(lookupsAfterFillsOf(8000) < 5);
     }
 
-    private static long lookupsAfterLateFills(double linkUse) {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
+    private static long lookupsAfterLateFills(double linkUtilization) {
+        RouterFixture reportingHost = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
                         RouterFixture.permissions(),
@@ -143,34 +145,38 @@
                         List.of("concurrent", "x0", "x1")))
                 .withUsualEndpoints();
         for (int i = 0; i < 30; i++) {
-            told.endAttempt(
-                    told.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {1, 0.5, linkUse});
+            reportingHost.endAttempt(
+                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {
+                        1, 0.5, linkUtilization
+                    });
         }
         for (int i = 100; i < 120; i++) {
-            told.request(i);
+            reportingHost.request(i);
         }
-        return told.sent.stream()
-                .filter(s -> s.plan().server().equals(s.plan().source()))
+        return reportingHost.sent.stream()
+                .filter(attempt -> attempt.plan().server().equals(attempt.plan().source()))
                 .count();
     }
 
-    private static long lookupsOfABurst(double linkUse) {
-        RouterFixture told = reporting();
-        told.endAttempt(told.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {1, 0.5, linkUse});
-        int before = told.sent.size();
+    private static long lookupsInABurst(double linkUtilization) {
+        RouterFixture reportingHost = hostWithLoadReports();
+        reportingHost.endAttempt(reportingHost.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {
+            1, 0.5, linkUtilization
+        });
+        int sentBefore = reportingHost.sent.size();
         for (int i = 10; i < 30; i++) {
-            told.request(i);
+            reportingHost.request(i);
         }
-        return told.sent.subList(before, told.sent.size()).stream()
-                .filter(s -> s.plan().server().equals(s.plan().source()))
+        return reportingHost.sent.subList(sentBefore, reportingHost.sent.size()).stream()
+                .filter(attempt -> attempt.plan().server().equals(attempt.plan().source()))
                 .count();
     }
 
     private static long lookupsAfterFillsOf(double sizeKb) {
-        RouterFixture told = new RouterFixture().withUsualEndpoints();
+        RouterFixture reportingHost = new RouterFixture().withUsualEndpoints();
         for (int i = 0; i < 30; i++) {
-            told.endAttempt(
-                    told.request("video", i, 0, 4 * S, 0),
+            reportingHost.endAttempt(
+                    reportingHost.request("video", i, 0, 4 * S, 0),
                     AttemptStatus.OK,
                     CacheStatus.FILLED,
                     1200 * MS,
@@ -178,14 +184,14 @@
                     sizeKb);
         }
         for (int i = 100; i < 120; i++) {
-            told.request(i);
+            reportingHost.request(i);
         }
-        return told.sent.stream()
-                .filter(s -> s.plan().server().equals(s.plan().source()))
+        return reportingHost.sent.stream()
+                .filter(attempt -> attempt.plan().server().equals(attempt.plan().source()))
                 .count();
     }
 
-    private static RouterFixture reporting() {
+    private static RouterFixture hostWithLoadReports() {
         return new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
@@ -198,7 +204,7 @@
     /** Guards against rejections for seconds after an overload, because the limit shrank below the cache's capacity. */
     @Test
     void limitShrinksNoFurtherThanTheKnownCapacity() {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
+        RouterFixture reportingHost = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
                         RouterFixture.permissions(),
@@ -206,19 +212,20 @@
                         List.of("concurrent", "x0", "x1")))
                 .withUsualEndpoints();
         for (int i = 0; i < 200; i++) {
-            told.endAttempt(told.request(i), AttemptStatus.OK, CacheStatus.HIT, 2 * S, new double[] {20, 0.5, 0.5});
+            reportingHost.endAttempt(
+                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.HIT, 2 * S, new double[] {20, 0.5, 0.5});
         }
-        int before = told.sent.size();
+        int sentBefore = reportingHost.sent.size();
         for (int i = 1000; i < 1100; i++) {
-            told.request(i);
+            reportingHost.request(i);
         }
         assertTrue(
-                told.sent.size() - before >= 16,
-                "sent " + (told.sent.size() - before) + " attempts, expected at least 16");
+                reportingHost.sent.size() - sentBefore >= 16,
+                "sent " + (reportingHost.sent.size() - sentBefore) + " attempts, expected at least 16");
     }
 
     @Test
-    void writesAreNotBoundByTheLimitOfFills() {
+    void writesAreNotSubjectToTheLimitOfFills() {
         for (int i = 0; i < 80; i++) {
             host.request("note", i, 0, 3 * S);
         }
--- a/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
+++ b/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
@@ -17,21 +17,23 @@
      * other for each request, and against rejecting requests for seconds.
      */
     @Test
-    void zoneWithUnreachableCachesUsesParentsDirectlyAndChecksItsCachesAtTimes() {
+    void requestsBypassUnreachableCachesExceptForHealthChecks() {
         Set<String> caches = Set.of("a", "b", "c", "d");
-        int direct = 0;
-        int tried = 0;
+        int served = 0;
+        int attemptsAtCaches = 0;
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
             while (caches.contains(host.lastPlan().server()) && !host.isTerminated(id)) {
-                tried++;
+                attemptsAtCaches++;
                 host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
             }
             assertFalse(host.isTerminated(id), id);
-            direct++;
+            served++;
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
         }
-        assertEquals(60, direct);
-        assertTrue(tried >= 4 && tried <= 8, "attempts at unreachable caches: " + tried + ", expected 4 to 8");
+        assertEquals(60, served);
+        assertTrue(
+                attemptsAtCaches >= 4 && attemptsAtCaches <= 8,
+                "attempts at unreachable caches: " + attemptsAtCaches + ", expected 4 to 8");
     }
 }
--- a/src/test/java/petrelplank/routing/EndpointRegistryTest.java
+++ b/src/test/java/petrelplank/routing/EndpointRegistryTest.java
@@ -17,33 +17,33 @@
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
-    void drainingAndRemovedEndpointsGetNoNewAttemptsAndAreNoSource() {
+    void drainingAndRemovedEndpointsGetNoAttemptsAndAreNeverTheSource() {
         host.fills(0, 50);
         host.change(
                 new EndpointInfo("a", "office", "box", 0, EndpointState.DRAINING, 5, 0),
                 new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
-        for (AttemptPlan o : host.fills(0, 100)) {
+        for (AttemptPlan plan : host.fills(0, 100)) {
             assertFalse(
-                    Set.of("a", "b").contains(o.server()) || Set.of("a", "b").contains(o.source()));
+                    Set.of("a", "b").contains(plan.server()) || Set.of("a", "b").contains(plan.source()));
         }
     }
 
     @Test
     void emptyListRejectsAtOnce() {
-        RouterFixture empty = new RouterFixture();
-        empty.router.endpointsChanged(empty.now, true, List.of());
-        String id = empty.request(1);
-        assertEquals(List.of(id), empty.rejected);
+        RouterFixture hostWithoutEndpoints = new RouterFixture();
+        hostWithoutEndpoints.router.endpointsChanged(hostWithoutEndpoints.now, true, List.of());
+        String id = hostWithoutEndpoints.request(1);
+        assertEquals(List.of(id), hostWithoutEndpoints.rejected);
     }
 
     @Test
-    void cacheMissingFromACompleteListIsNoSource() {
+    void cacheMissingFromACompleteListIsNotUsed() {
         host.fills(0, 60);
         host.router.endpointsChanged(
                 host.now, true, List.of(cache("b", 0), cache("c", 0), parent("p-north", "north", 0)));
-        for (AttemptPlan o : host.fills(0, 60)) {
+        for (AttemptPlan plan : host.fills(0, 60)) {
             assertFalse(
-                    Set.of("a", "d").contains(o.server()) || Set.of("a", "d").contains(o.source()));
+                    Set.of("a", "d").contains(plan.server()) || Set.of("a", "d").contains(plan.source()));
         }
     }
 
@@ -53,14 +53,14 @@
         host.change(
                 cache("a", 0),
                 cache("a", 0),
-                new EndpointInfo("nobody", "office", "box", 0, EndpointState.REMOVED, 5, 0));
+                new EndpointInfo("unknown", "office", "box", 0, EndpointState.REMOVED, 5, 0));
         host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
         String id = host.request(1);
         host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0), cache("b", host.now));
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         Set<String> servers = new TreeSet<>();
         host.now += 20 * S;
-        host.fills(0, 200).forEach(o -> servers.add(o.server()));
+        host.fills(0, 200).forEach(plan -> servers.add(plan.server()));
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 }
--- a/src/test/java/petrelplank/routing/FailureAttributionTest.java
+++ b/src/test/java/petrelplank/routing/FailureAttributionTest.java
@@ -23,6 +23,7 @@
             servers.add(host.lastPlan().server());
         }
         assertEquals(Set.of("a", "b", "c", "d"), servers);
-        assertFalse(host.logLines.stream().anyMatch(l -> l.matches("ejected: [abcd],.*")), host.logLines.toString());
+        assertFalse(
+                host.logLines.stream().anyMatch(line -> line.matches("ejected: [abcd],.*")), host.logLines.toString());
     }
 }
--- a/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -13,10 +13,12 @@
 
     @Test
     void missIsFilledFromTheNearestParentWhileAllServeWell() {
-        long near = host.fills(0, 200).stream()
-                .filter(o -> o.source().equals("p-north"))
+        long fillsFromNearest = host.fills(0, 200).stream()
+                .filter(plan -> plan.source().equals("p-north"))
                 .count();
-        assertTrue(near > 180, "fills from the nearest parent: " + near + " of 200, expected more than 180");
+        assertTrue(
+                fillsFromNearest > 180,
+                "fills from the nearest parent: " + fillsFromNearest + " of 200, expected more than 180");
     }
 
     @Test
@@ -28,17 +30,19 @@
             }
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         }
-        long bad = 0;
+        long fillsFromFailingParent = 0;
         for (int i = 100; i < 110; i++) {
             host.request(i);
-            bad += host.lastPlan().source().equals("p-north") ? 1 : 0;
+            fillsFromFailingParent += host.lastPlan().source().equals("p-north") ? 1 : 0;
         }
-        assertTrue(bad <= 1, "attempts with the failing parent: " + bad + " of 10, expected at most 1");
+        assertTrue(
+                fillsFromFailingParent <= 1,
+                "attempts with the failing parent: " + fillsFromFailingParent + " of 10, expected at most 1");
     }
 
     @Test
     void originIsTheSourceOnlyWhereNoParentIsReady() {
-        host.fills(0, 100).forEach(o -> assertNotEquals("origin", o.source()));
+        host.fills(0, 100).forEach(plan -> assertNotEquals("origin", plan.source()));
         host.change(
                 new EndpointInfo("p-north", "north", "parent", 0, EndpointState.DRAINING, 10, 0),
                 new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
--- a/src/test/java/petrelplank/routing/LoadReportsTest.java
+++ b/src/test/java/petrelplank/routing/LoadReportsTest.java
@@ -12,16 +12,16 @@
 class LoadReportsTest {
     /** Guards against rejections by limits that grow too slowly when clients of stopped proxies move to this one. */
     @Test
-    void reportedRoomOverridesALimitThatLags() {
-        assertTrue(sentAtOnceAfterAReportOf(2) >= 40);
-        assertTrue(sentAtOnceAfterAReportOf(70) < 25);
+    void reportedSpareCapacityOverridesALimitThatLags() {
+        assertTrue(attemptsSentInABurstAfterAReportOf(2) >= 40);
+        assertTrue(attemptsSentInABurstAfterAReportOf(70) < 25);
     }
 
     /** Guards against rejections if reports contain only the share in use, and not requests in flight or link use. */
     @Test
-    void shareUsedTellsOfRoomWhereRequestsInFlightAreNotReported() {
-        assertTrue(sentAtOnceAfterAReportOf(0.1, "load_share") >= 40);
-        assertTrue(sentAtOnceAfterAReportOf(0.97, "load_share") < 25);
+    void shareUsedShowsSpareCapacityIfRequestsInFlightAreNotReported() {
+        assertTrue(attemptsSentInABurstAfterAReportOf(0.1, "load_share") >= 40);
+        assertTrue(attemptsSentInABurstAfterAReportOf(0.97, "load_share") < 25);
     }
 
     /** Late fills at an overloaded cache say nothing about the zone's link, so fills by other caches may go on. */
@@ -31,8 +31,8 @@
         assertTrue(lookupsAfterLateFills("load_share", 0.4) > 0);
     }
 
-    private static long lookupsAfterLateFills(String field, double used) {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
+    private static long lookupsAfterLateFills(String field, double shareUsed) {
+        RouterFixture reportingHost = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.ROUGH,
                         CacheStatusDetail.ALL,
                         RouterFixture.permissions(),
@@ -40,35 +40,39 @@
                         List.of(field, "x0")))
                 .withUsualEndpoints();
         for (int i = 0; i < 30; i++) {
-            told.endAttempt(told.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {used, 0.5});
+            reportingHost.endAttempt(
+                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * S, new double[] {shareUsed, 0.5
+                    });
         }
-        int before = told.sent.size();
+        int sentBefore = reportingHost.sent.size();
         for (int i = 100; i < 106; i++) {
-            told.request(i);
+            reportingHost.request(i);
         }
-        return told.sent.subList(before, told.sent.size()).stream()
-                .filter(s -> s.plan().server().equals(s.plan().source()))
+        return reportingHost.sent.subList(sentBefore, reportingHost.sent.size()).stream()
+                .filter(attempt -> attempt.plan().server().equals(attempt.plan().source()))
                 .count();
     }
 
-    private static int sentAtOnceAfterAReportOf(double inHand) {
-        return sentAtOnceAfterAReportOf(inHand, "concurrent");
+    private static int attemptsSentInABurstAfterAReportOf(double reportedValue) {
+        return attemptsSentInABurstAfterAReportOf(reportedValue, "concurrent");
     }
 
-    private static int sentAtOnceAfterAReportOf(double inHand, String field) {
-        RouterFixture told = new RouterFixture(RouterFixture.settings(
+    private static int attemptsSentInABurstAfterAReportOf(double reportedValue, String field) {
+        RouterFixture reportingHost = new RouterFixture(RouterFixture.settings(
                 WeightMeaning.ROUGH,
                 CacheStatusDetail.ALL,
                 RouterFixture.permissions(),
                 2,
                 List.of(field, "x0", "x1")));
-        told.router.endpointsChanged(
-                told.now, true, List.of(new EndpointInfo("a", "office", "box", 0, EndpointState.UP, 60, 0)));
-        told.endAttempt(told.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {inHand, 0.5, 0.5});
-        int before = told.sent.size();
+        reportingHost.router.endpointsChanged(
+                reportingHost.now, true, List.of(new EndpointInfo("a", "office", "box", 0, EndpointState.UP, 60, 0)));
+        reportingHost.endAttempt(reportingHost.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {
+            reportedValue, 0.5, 0.5
+        });
+        int sentBefore = reportingHost.sent.size();
         for (int i = 0; i < 50; i++) {
-            told.request(i);
+            reportingHost.request(i);
         }
-        return told.sent.size() - before;
+        return reportingHost.sent.size() - sentBefore;
     }
 }
--- a/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
+++ b/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
@@ -21,7 +21,7 @@
                     List.of("concurrent", "x0", "x1")))
             .withUsualEndpoints();
     /** Use of the zone's link in all load reports. */
-    private double linkUse = 0.4;
+    private double linkUtilization = 0.4;
 
     /** Ends a fill after {@code latencyUs}, with its first byte after {@code waitUs}. */
     private void endAttempt(String id, AttemptStatus status, CacheStatus cacheStatus, long latencyUs, long waitUs) {
@@ -36,19 +36,19 @@
                         status == AttemptStatus.OK,
                         cacheStatus,
                         waitUs,
-                        new double[] {1, 0.5, linkUse},
+                        new double[] {1, 0.5, linkUtilization},
                         0));
     }
 
     /** Requests ten more objects, and returns how many of them may not call the origin. */
-    private long withheldOfTen() {
-        int before = host.sent.size();
+    private long withheldFromOriginOfTen() {
+        int sentBefore = host.sent.size();
         for (int i = 10_000; i < 10_010; i++) {
             host.request(i);
         }
-        return host.sent.subList(before, host.sent.size()).stream()
-                .filter(s -> s.plan().onlyIfCached()
-                        || s.plan().server().equals(s.plan().source()))
+        return host.sent.subList(sentBefore, host.sent.size()).stream()
+                .filter(attempt -> attempt.plan().onlyIfCached()
+                        || attempt.plan().server().equals(attempt.plan().source()))
                 .count();
     }
 
@@ -69,7 +69,7 @@
     @Test
     void slowFillsBehindAnEarlyFirstByteCutTheOriginsShare() {
         fills(2 * S, 110 * MS);
-        assertThat(withheldOfTen()).isGreaterThanOrEqualTo(4);
+        assertThat(withheldFromOriginOfTen()).isGreaterThanOrEqualTo(4);
         assertThat(host.logLines).anyMatch(line -> line.startsWith("origin overloaded"));
         assertThat(host.logLines).as("no parent is ejected").noneMatch(line -> line.startsWith("ejected: p-"));
     }
@@ -77,13 +77,13 @@
     @Test
     void fillsFromTheOriginAtTheUsualPaceCutNothing() {
         fills(110 * MS, 110 * MS);
-        assertThat(withheldOfTen()).isZero();
+        assertThat(withheldFromOriginOfTen()).isZero();
     }
 
     /** If the zone's own link is reported as congested, that explains slow fills. */
     @Test
     void congestionOfTheZonesOwnLinkIsNotTheOriginsFault() {
-        linkUse = 6;
+        linkUtilization = 6;
         fills(900 * MS, 900 * MS);
         assertThat(host.logLines).noneMatch(line -> line.startsWith("origin overloaded"));
     }
@@ -91,36 +91,44 @@
     /** If a fill times out while cache and parent answer other requests, the origin is overloaded. */
     @Test
     void fillsThatTimeOutWhileCacheAndParentServeOthersCutTheOriginsShare() {
-        assertThat(withheldAfterTimeOuts(true)).isGreaterThanOrEqualTo(4);
+        assertThat(withheldFromOriginAfterTimeouts(true)).isGreaterThanOrEqualTo(4);
     }
 
     /** A cache or parent that answers no requests at all is at fault itself. */
     @Test
     void fillsThatTimeOutAtASilentCacheAreNotTheOriginsFault() {
-        assertThat(withheldAfterTimeOuts(false)).isZero();
+        assertThat(withheldFromOriginAfterTimeouts(false)).isZero();
     }
 
-    private long withheldAfterTimeOuts(boolean othersAnswered) {
+    private long withheldFromOriginAfterTimeouts(boolean othersAnswered) {
         for (int i = 0; i < 30; i++) {
-            String stuck = host.request(i);
+            String timedOutRequest = host.request(i);
             String server = host.lastPlan().server();
             String source = host.lastPlan().source();
-            long fromUs = host.now;
-            for (int k = 0; othersAnswered && k < 40; k++) {
-                String other = host.request(1000 + 40 * i + k);
-                boolean same = host.lastPlan().server().equals(server)
+            long sentUs = host.now;
+            for (int j = 0; othersAnswered && j < 40; j++) {
+                String otherRequest = host.request(1000 + 40 * i + j);
+                boolean sameRoute = host.lastPlan().server().equals(server)
                         && host.lastPlan().source().equals(source);
-                endAttempt(other, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS, 10 * MS);
-                if (same) {
+                endAttempt(otherRequest, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS, 10 * MS);
+                if (sameRoute) {
                     break;
                 }
             }
-            host.now = Math.max(host.now, fromUs + 3900 * MS);
+            host.now = Math.max(host.now, sentUs + 3900 * MS);
             host.router.attemptEnded(
                     host.now,
                     new AttemptOutcome(
-                            stuck, 0, AttemptStatus.TIMEOUT, host.now - fromUs, false, CacheStatus.NONE, 0, null, 0));
+                            timedOutRequest,
+                            0,
+                            AttemptStatus.TIMEOUT,
+                            host.now - sentUs,
+                            false,
+                            CacheStatus.NONE,
+                            0,
+                            null,
+                            0));
         }
-        return withheldOfTen();
+        return withheldFromOriginOfTen();
     }
 }
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -14,27 +14,30 @@
 
     @Test
     void failingOriginGetsFewerFillsAndAllWrites() {
-        RouterFixture hits = new RouterFixture(RouterFixture.settings(
+        RouterFixture hitsOnlyHost = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL, CacheStatusDetail.HITS, RouterFixture.permissions()))
                 .withUsualEndpoints();
         for (int i = 100; i < 103; i++) {
-            hits.endAttempt(hits.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
+            hitsOnlyHost.endAttempt(hitsOnlyHost.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
         }
-        int held = 0;
+        int withheld = 0;
         int writes = 0;
         for (int i = 1000; i < 1020; i++) {
-            hits.request(i);
-            held += hits.lastPlan().onlyIfCached()
-                            || hits.lastPlan().source().equals(hits.lastPlan().server())
+            hitsOnlyHost.request(i);
+            withheld += hitsOnlyHost.lastPlan().onlyIfCached()
+                            || hitsOnlyHost
+                                    .lastPlan()
+                                    .source()
+                                    .equals(hitsOnlyHost.lastPlan().server())
                     ? 1
                     : 0;
-            writes += hits.attempts(hits.request("note", i, 0, 3 * S)) > 0 ? 1 : 0;
+            writes += hitsOnlyHost.attempts(hitsOnlyHost.request("note", i, 0, 3 * S)) > 0 ? 1 : 0;
         }
-        assertTrue(held >= 10, "misses that may not call the origin: " + held + " of 20, expected at least 10");
+        assertTrue(withheld >= 10, "misses that may not call the origin: " + withheld + " of 20, expected at least 10");
         assertEquals(20, writes);
-        hits.now += 60 * S;
-        hits.request(5000);
-        assertFalse(hits.lastPlan().onlyIfCached());
+        hitsOnlyHost.now += 60 * S;
+        hitsOnlyHost.request(5000);
+        assertFalse(hitsOnlyHost.lastPlan().onlyIfCached());
     }
 
     /**
@@ -49,8 +52,8 @@
                 host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 2 * MS);
             }
         }
-        assertTrue(onlyIfCachedOfTen(1000) >= 8);
-        long from = host.now;
+        assertTrue(onlyIfCachedOfTenRequests(1000) >= 8);
+        long startUs = host.now;
         for (int i = 100; i < 160; i++) {
             String id = host.request(i);
             if (host.lastPlan().onlyIfCached()) {
@@ -60,13 +63,15 @@
                 host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MS);
             }
         }
-        assertTrue(host.now - from < 3 * S, "recovery took us " + (host.now - from) + ", expected less than " + 3 * S);
-        assertEquals(0, onlyIfCachedOfTen(2000));
+        assertTrue(
+                host.now - startUs < 3 * S,
+                "recovery took us " + (host.now - startUs) + ", expected less than " + 3 * S);
+        assertEquals(0, onlyIfCachedOfTenRequests(2000));
     }
 
     /**
-     * Guards against a queue at the origin: once calls are late, the calls of about a second have queued behind them and
-     * will be late as well.
+     * Guards against a queue at the origin: once calls are late, the calls of about a second have queued behind them
+     * and will be late as well.
      */
     @Test
     void waitOfMoreThanHalfTheObjectiveIsTakenForAQueueAtTheOrigin() {
@@ -88,14 +93,14 @@
         }
     }
 
-    private long onlyIfCachedOfTen(int from) {
-        int before = host.sent.size();
-        for (int i = from; i < from + 10; i++) {
+    private long onlyIfCachedOfTenRequests(int firstObject) {
+        int sentBefore = host.sent.size();
+        for (int i = firstObject; i < firstObject + 10; i++) {
             host.request(i);
         }
-        return host.sent.subList(before, host.sent.size()).stream()
-                .filter(s -> s.plan().onlyIfCached()
-                        || s.plan().server().equals(s.plan().source()))
+        return host.sent.subList(sentBefore, host.sent.size()).stream()
+                .filter(attempt -> attempt.plan().onlyIfCached()
+                        || attempt.plan().server().equals(attempt.plan().source()))
                 .count();
     }
 
@@ -119,12 +124,12 @@
                                 0));
             }
         }
-        int before = host.sent.size();
+        int sentBefore = host.sent.size();
         for (int i = 100; i < 110; i++) {
             host.request(i);
         }
-        return host.sent.subList(before, host.sent.size()).stream()
-                .filter(s -> s.plan().onlyIfCached())
+        return host.sent.subList(sentBefore, host.sent.size()).stream()
+                .filter(attempt -> attempt.plan().onlyIfCached())
                 .count();
     }
 }
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -18,22 +18,22 @@
     @Test
     void unreachableCacheIsEjectedAtOnceAndGetsAHealthCheckAfterAPause() {
         String id = host.request(1);
-        String dead = host.lastPlan().server();
+        String unreachable = host.lastPlan().server();
         host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, MS);
         assertEquals(2, host.attempts(id));
-        assertNotEquals(dead, host.lastPlan().server());
+        assertNotEquals(unreachable, host.lastPlan().server());
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         for (int i = 100; i < 130; i++) {
             host.request(i);
-            assertNotEquals(dead, host.lastPlan().server());
+            assertNotEquals(unreachable, host.lastPlan().server());
         }
         host.now += 2 * S;
-        int trials = 0;
+        int healthChecks = 0;
         for (int i = 200; i < 230; i++) {
             host.request(i);
-            trials += host.lastPlan().server().equals(dead) ? 1 : 0;
+            healthChecks += host.lastPlan().server().equals(unreachable) ? 1 : 0;
         }
-        assertEquals(1, trials);
+        assertEquals(1, healthChecks);
     }
 
     /** A malformed response or a reset ends all attempts on a connection, and counts as one failure of the cache. */
@@ -72,7 +72,7 @@
         }
         assertEquals(List.of(), host.logLines);
         Set<String> servers = new TreeSet<>();
-        host.fills(100, 200).forEach(o -> servers.add(o.server()));
+        host.fills(100, 200).forEach(plan -> servers.add(plan.server()));
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 
@@ -83,11 +83,11 @@
             host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
         }
         String id = host.request(7);
-        String full = host.lastPlan().server();
+        String fullCache = host.lastPlan().server();
         host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 20 * MS);
         host.endAttempt(host.request(7), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
-        assertEquals(full, host.lastPlan().server());
+        assertEquals(fullCache, host.lastPlan().server());
         assertEquals(List.of(), host.logLines);
     }
 }
--- a/src/test/java/petrelplank/routing/QTableTest.java
+++ b/src/test/java/petrelplank/routing/QTableTest.java
@@ -26,7 +26,7 @@
     @Test
     void everyObjectHasAGroupOfTheTable() {
         for (long object = -100; object < 100; object++) {
-            assertThat(QTable.groupOf(object)).isBetween(0, QTable.GROUPS - 1);
+            assertThat(QTable.groupOf(object)).isBetween(0, QTable.GROUP_COUNT - 1);
         }
     }
 }
--- a/src/test/java/petrelplank/routing/SlowSourceDetectorTest.java
+++ b/src/test/java/petrelplank/routing/SlowSourceDetectorTest.java
@@ -14,26 +14,30 @@
 
     @Test
     void parentWithASlowLinkIsAvoidedThoughItsFirstByteIsQuick() {
-        int slow = 0;
+        int fillsFromSlowParent = 0;
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
-            boolean north = host.lastPlan().source().equals("p-north");
-            slow += north ? 1 : 0;
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, north ? 500 * MS : 120 * MS);
+            boolean fromSlowParent = host.lastPlan().source().equals("p-north");
+            fillsFromSlowParent += fromSlowParent ? 1 : 0;
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, fromSlowParent ? 500 * MS : 120 * MS);
         }
-        assertTrue(slow < 40, "fills from the slow parent: " + slow + " of 60, expected less than 40");
+        assertTrue(
+                fillsFromSlowParent < 40,
+                "fills from the slow parent: " + fillsFromSlowParent + " of 60, expected less than 40");
     }
 
     /** Guards against the ejection of healthy parents, which would overload the remaining ones. */
     @Test
     void largeObjectsOfUnknownSizeDoNotMakeAParentSlow() {
-        int near = 0;
+        int fillsFromNearest = 0;
         for (int i = 0; i < 60; i++) {
             String id = host.request("video", i, 0, 4 * S, 0);
-            near += host.lastPlan().source().equals("p-north") ? 1 : 0;
+            fillsFromNearest += host.lastPlan().source().equals("p-north") ? 1 : 0;
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 500 * MS);
         }
-        assertTrue(near > 50, "fills from the nearest parent: " + near + " of 60, expected more than 50");
+        assertTrue(
+                fillsFromNearest > 50,
+                "fills from the nearest parent: " + fillsFromNearest + " of 60, expected more than 50");
         assertEquals(List.of(), host.logLines);
     }
 
@@ -43,21 +47,25 @@
      */
     @Test
     void slowParentIsAvoidedWhereOnlyResponsesTellSizes() {
-        int slow = 0;
+        int fillsFromSlowParent = 0;
         for (int i = 0; i < 60; i++) {
             String id = host.request("video", i, 0, 4 * S, 0);
-            boolean north = host.lastPlan().source().equals("p-north");
-            slow += north ? 1 : 0;
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, north ? 600 * MS : 120 * MS, null, 800);
+            boolean fromSlowParent = host.lastPlan().source().equals("p-north");
+            fillsFromSlowParent += fromSlowParent ? 1 : 0;
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, fromSlowParent ? 600 * MS : 120 * MS, null, 800);
         }
-        assertTrue(slow < 40, "fills from the slow parent: " + slow + " of 60, expected less than 40");
-        int near = 0;
-        RouterFixture large = new RouterFixture().withUsualEndpoints();
+        assertTrue(
+                fillsFromSlowParent < 40,
+                "fills from the slow parent: " + fillsFromSlowParent + " of 60, expected less than 40");
+        int fillsFromNearest = 0;
+        RouterFixture hostWithLargeObjects = new RouterFixture().withUsualEndpoints();
         for (int i = 0; i < 60; i++) {
-            String id = large.request("video", i, 0, 4 * S, 0);
-            near += large.lastPlan().source().equals("p-north") ? 1 : 0;
-            large.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 600 * MS, null, 4000);
+            String id = hostWithLargeObjects.request("video", i, 0, 4 * S, 0);
+            fillsFromNearest += hostWithLargeObjects.lastPlan().source().equals("p-north") ? 1 : 0;
+            hostWithLargeObjects.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 600 * MS, null, 4000);
         }
-        assertTrue(near > 50, "fills from the nearest parent: " + near + " of 60, expected more than 50");
+        assertTrue(
+                fillsFromNearest > 50,
+                "fills from the nearest parent: " + fillsFromNearest + " of 60, expected more than 50");
     }
 }
--- a/src/test/java/petrelplank/routing/SlowStartFleetTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartFleetTest.java
@@ -17,89 +17,94 @@
 class SlowStartFleetTest {
     private static final long MS = RouterFixture.MS;
     private static final long S = RouterFixture.S;
-    private static final String COLD = "a";
+    private static final String STARTING_CACHE = "a";
     private static final double WEIGHT = 40;
-    private static final long WORK_US = 100 * MS;
-    private static final long STEP_US = 5 * MS;
+    private static final long TRANSFER_US = 100 * MS;
+    private static final long STEP_DURATION_US = 5 * MS;
     private static final int STEPS = 1000;
-    private static final int ASKED_EACH_STEP = 24;
+    private static final int REQUESTS_PER_STEP = 24;
 
     private final SplittableRandom random = new SplittableRandom(11);
-    private final Deque<Long> window = new ArrayDeque<>();
+    private final Deque<Long> attemptTimesInWindow = new ArrayDeque<>();
     private final long startedUs = 100 * S;
-    private int sent;
-    private double worst = Double.NEGATIVE_INFINITY;
+    private int attemptsSent;
+    private double worstExcess = Double.NEGATIVE_INFINITY;
 
-    private static RouterFixture gateway(int gateways) {
+    private static RouterFixture proxy(int proxyCount) {
         return new RouterFixture(RouterFixture.settings(
-                WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), gateways));
+                WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), proxyCount));
     }
 
-    private RouterFixture started(int gateways, long nowUs) {
-        RouterFixture host = gateway(gateways);
+    private RouterFixture restartedProxy(int proxyCount, long nowUs) {
+        RouterFixture host = proxy(proxyCount);
         host.now = nowUs;
-        List<EndpointInfo> members = new ArrayList<>();
-        for (String id : List.of(COLD, "b", "c")) {
-            members.add(new EndpointInfo(
-                    id, "office", "box", 0, EndpointState.UP, WEIGHT, id.equals(COLD) ? startedUs : 0));
+        List<EndpointInfo> endpoints = new ArrayList<>();
+        for (String id : List.of(STARTING_CACHE, "b", "c")) {
+            endpoints.add(new EndpointInfo(
+                    id, "office", "box", 0, EndpointState.UP, WEIGHT, id.equals(STARTING_CACHE) ? startedUs : 0));
         }
-        members.add(RouterFixture.parent("p-north", "north", 0));
-        host.router.endpointsChanged(nowUs, true, members);
+        endpoints.add(RouterFixture.parent("p-north", "north", 0));
+        host.router.endpointsChanged(nowUs, true, endpoints);
         return host;
     }
 
-    private double permissions(long nowUs) {
+    private double allowedAttempts(long nowUs) {
         PlatformRules rules = RouterFixture.rules();
-        double ramp = rules.slowStartFrom() + (1 - rules.slowStartFrom()) * (nowUs - startedUs) / rules.slowStartUs();
-        return rules.overloadMultiple() * Math.min(1, ramp) * WEIGHT * rules.overloadUs() / WORK_US;
+        double capacityFraction = rules.slowStartInitialFraction()
+                + (1 - rules.slowStartInitialFraction()) * (nowUs - startedUs) / rules.slowStartDurationUs();
+        return rules.overloadMultiple()
+                * Math.min(1, capacityFraction)
+                * WEIGHT
+                * rules.overloadDurationUs()
+                / TRANSFER_US;
     }
 
-    private void audit(long nowUs) {
-        window.add(nowUs);
-        sent++;
-        while (window.peek() < nowUs - RouterFixture.rules().overloadUs()) {
-            window.poll();
+    private void recordAttempt(long nowUs) {
+        attemptTimesInWindow.add(nowUs);
+        attemptsSent++;
+        while (attemptTimesInWindow.peek() < nowUs - RouterFixture.rules().overloadDurationUs()) {
+            attemptTimesInWindow.poll();
         }
-        double most = permissions(nowUs);
-        worst = Math.max(worst, window.size() - most - 2 * Math.sqrt(most) - 2);
+        double allowed = allowedAttempts(nowUs);
+        worstExcess = Math.max(worstExcess, attemptTimesInWindow.size() - allowed - 2 * Math.sqrt(allowed) - 2);
     }
 
     /** All proxies together request far more than the cache can serve; some of them restart several times. */
     @ParameterizedTest
     @CsvSource({"2, 0.7", "20, 0.7", "30, 0.7", "100, 0.7", "30, 0.1", "100, 0.1"})
-    void sumOfAllGatewaysStaysWithinTheBudget(int gateways, double restarted) {
-        List<RouterFixture> fleet = new ArrayList<>();
-        for (int i = 0; i < gateways; i++) {
-            fleet.add(started(gateways, startedUs));
+    void attemptsOfAllProxiesStayWithinTheBudget(int proxyCount, double restartProbability) {
+        List<RouterFixture> proxies = new ArrayList<>();
+        for (int i = 0; i < proxyCount; i++) {
+            proxies.add(restartedProxy(proxyCount, startedUs));
         }
         long object = 0;
         for (int step = 0; step < STEPS; step++) {
-            long now = startedUs + step * STEP_US;
+            long now = startedUs + step * STEP_DURATION_US;
             if (step % 100 == 99) {
-                for (int i = 0; i < gateways; i++) {
-                    if (random.nextDouble() < restarted) {
-                        fleet.set(i, started(gateways, now));
+                for (int i = 0; i < proxyCount; i++) {
+                    if (random.nextDouble() < restartProbability) {
+                        proxies.set(i, restartedProxy(proxyCount, now));
                     }
                 }
             }
-            for (int i = 0; i < ASKED_EACH_STEP; i++) {
+            for (int i = 0; i < REQUESTS_PER_STEP; i++) {
                 // The product of two random numbers is uneven: some proxies get several times the mean.
-                int at = (int) (gateways * random.nextDouble() * random.nextDouble());
-                request(fleet.get(at), now, object++);
+                int proxyIndex = (int) (proxyCount * random.nextDouble() * random.nextDouble());
+                sendRequest(proxies.get(proxyIndex), now, object++);
             }
         }
-        assertThat(worst)
+        assertThat(worstExcess)
                 .as("attempts above the budget plus random variation, in the worst window")
                 .isNegative();
-        assertThat(sent).as("attempts sent to the cache in slow start").isGreaterThan(gateways);
+        assertThat(attemptsSent).as("attempts sent to the cache in slow start").isGreaterThan(proxyCount);
     }
 
-    private void request(RouterFixture host, long now, long object) {
+    private void sendRequest(RouterFixture host, long now, long object) {
         host.now = now;
-        int before = host.sent.size();
+        int sentBefore = host.sent.size();
         String id = host.request(object);
-        if (host.sent.size() > before && host.lastPlan().server().equals(COLD)) {
-            audit(now);
+        if (host.sent.size() > sentBefore && host.lastPlan().server().equals(STARTING_CACHE)) {
+            recordAttempt(now);
         }
         if (host.attempts(id) > 0) {
             host.router.clientDisconnected(now, id);
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -16,35 +16,37 @@
     @Test
     void cacheInSlowStartIsSentNoMoreThanItsBudget() {
         host.change(cache("a", host.now));
-        double work = 0;
+        double transferUs = 0;
         for (int i = 0; i < 2000; i++) {
             String id = host.request(i);
             if (host.attempts(id) > 0
                     && (host.lastPlan().server().equals("a")
                             || host.lastPlan().source().equals("a"))) {
-                work += 100 * MS;
+                transferUs += 100 * MS;
             }
             host.now += MS / 2;
         }
         // Two proxies share a weight of 5; the capacity is a fifth at first and at most a quarter after one second. The
         // overload multiple is 2.5 within two seconds.
-        assertTrue(work > 0);
-        assertTrue(work <= 2.5 * 5 * 0.25 * 2 * S / 2, "transfer time sent to the cache in us: " + work);
+        assertTrue(transferUs > 0);
+        assertTrue(transferUs <= 2.5 * 5 * 0.25 * 2 * S / 2, "transfer time sent to the cache in us: " + transferUs);
     }
 
     @Test
     void parentInSlowStartTakesARisingShare() {
         host.change(parent("p-north", "north", host.now));
-        int cold = 0;
-        for (AttemptPlan o : host.fills(0, 60)) {
-            cold += o.source().equals("p-north") ? 1 : 0;
+        int inSlowStart = 0;
+        for (AttemptPlan plan : host.fills(0, 60)) {
+            inSlowStart += plan.source().equals("p-north") ? 1 : 0;
         }
         host.now += 30 * S;
-        int warm = 0;
-        for (AttemptPlan o : host.fills(100, 160)) {
-            warm += o.source().equals("p-north") ? 1 : 0;
+        int afterwards = 0;
+        for (AttemptPlan plan : host.fills(100, 160)) {
+            afterwards += plan.source().equals("p-north") ? 1 : 0;
         }
-        assertTrue(cold < warm / 2, "fills from the parent: " + cold + " in slow start, " + warm + " afterwards");
+        assertTrue(
+                inSlowStart < afterwards / 2,
+                "fills from the parent: " + inSlowStart + " in slow start, " + afterwards + " afterwards");
     }
 
     @Test
@@ -68,17 +70,19 @@
             assertTrue(host.attempts(id) > 0 || host.isTerminated(id), id);
             host.now += 2 * MS;
         }
-        for (String cold : List.of("a", "b", "c")) {
+        for (String startingCache : List.of("a", "b", "c")) {
             // Two proxies share a weight of 5, with a capacity of at most a quarter. Each uses 0.45 of the overload
             // multiple 2.5: as a burst of 2 s, and as the rate during the 0.6 s of the test.
-            long work = host.sent.stream()
-                            .filter(s -> s.plan().server().equals(cold))
+            long transferUs = host.sent.stream()
+                            .filter(attempt -> attempt.plan().server().equals(startingCache))
                             .count()
                     * 100
                     * MS;
             assertTrue(
-                    work <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S, "transfer time sent to " + cold + " in us: " + work);
+                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S,
+                    "transfer time sent to " + startingCache + " in us: " + transferUs);
         }
-        assertTrue(host.sent.stream().noneMatch(s -> s.plan().server().equals("d")));
+        assertTrue(
+                host.sent.stream().noneMatch(attempt -> attempt.plan().server().equals("d")));
     }
 }
