--- a/src/main/java/petrelplank/routing/CacheSelector.java
+++ b/src/main/java/petrelplank/routing/CacheSelector.java
@@ -4,59 +4,65 @@
 import java.util.List;
 
 /**
- * Selects the cache for a request by weighted rendezvous hashing of the object's part over the eligible caches. A
- * popular object is widened to two or three caches, of which the least loaded takes it. The share of a cache in slow
- * start rises in a line; one with no budget left passes to the next, one at its limit to those with room.
+ * Selects the cache for a request by weighted rendezvous hashing of the object part over the eligible caches. A popular
+ * object is spread over two or three caches, and the least loaded of them takes the request. The weight of a cache in
+ * slow start rises linearly. A cache without slow-start budget is skipped for the next one in the order; a cache at its
+ * concurrency limit is skipped for caches that report spare capacity.
  */
 final class CacheSelector {
-    /** An object takes a cache more whenever its share of requests, times the caches, passes this. */
-    private static final double SHARE_PER_CACHE = 0.15;
+    /** An object gets an additional cache for each multiple of this in its share of requests times the cache count. */
+    private static final double REQUEST_SHARE_PER_CACHE = 0.15;
 
-    private static final int MAX_WIDTH = 3;
+    private static final int MAX_CACHES_PER_OBJECT = 3;
     private static final Comparator<Endpoint> BY_SCORE =
             Comparator.comparingDouble(endpoint -> endpoint.rendezvousScore);
 
-    private final EligibleEndpoints eligible;
+    private final EligibleEndpoints eligibleEndpoints;
     private final SlowStart slowStart;
     private final ObjectPopularity popularity;
     private final TransferTimeEstimator transferTimes;
 
     CacheSelector(
-            EligibleEndpoints eligible,
+            EligibleEndpoints eligibleEndpoints,
             SlowStart slowStart,
             ObjectPopularity popularity,
             TransferTimeEstimator transferTimes) {
-        this.eligible = eligible;
+        this.eligibleEndpoints = eligibleEndpoints;
         this.slowStart = slowStart;
         this.popularity = popularity;
         this.transferTimes = transferTimes;
     }
 
-    /** The cache for the next attempt; null where none may take it. Notes whether one was passed by at its limit. */
+    /**
+     * Returns the cache for the next attempt, or null if none can take it. Sets {@code request.cacheAtLimit} if a cache
+     * was skipped because it is at its concurrency limit.
+     */
     Endpoint select(RequestState request, long now) {
-        List<Endpoint> caches = byScore(request, now);
+        List<Endpoint> caches = cachesByScore(request, now);
         request.cacheAtLimit = false;
-        int width = Math.min(MAX_WIDTH, 1 + (int) (popularity.share(request.key) * caches.size() / SHARE_PER_CACHE));
+        int objectCacheCount = Math.min(
+                MAX_CACHES_PER_OBJECT,
+                1 + (int) (popularity.share(request.key) * caches.size() / REQUEST_SHARE_PER_CACHE));
         Endpoint best = null;
-        for (int i = 0; i < caches.size() && (i < width || best == null); i++) {
+        for (int i = 0; i < caches.size() && (i < objectCacheCount || best == null); i++) {
             Endpoint cache = caches.get(i);
-            if (i >= width && request.cacheAtLimit && !tellsOfRoom(cache)) {
+            if (i >= objectCacheCount && request.cacheAtLimit && !isWithinReportedCapacity(cache)) {
                 continue;
             }
             if (!slowStart.canAfford(cache, transferTimes.classMeanUs(request.classIndex), now)) {
                 continue;
             }
-            boolean hasRoom = ConcurrencyLimiter.mayTake(cache, request);
+            boolean hasRoom = ConcurrencyLimiter.mayAccept(cache, request);
             request.cacheAtLimit |= !hasRoom;
-            if (hasRoom && (best == null || load(cache) < load(best))) {
+            if (hasRoom && (best == null || inFlightLoad(cache) < inFlightLoad(best))) {
                 best = cache;
             }
         }
         return best;
     }
 
-    private List<Endpoint> byScore(RequestState request, long now) {
-        List<Endpoint> caches = eligible.edges(request, now);
+    private List<Endpoint> cachesByScore(RequestState request, long now) {
+        List<Endpoint> caches = eligibleEndpoints.caches(request, now);
         for (Endpoint cache : caches) {
             double hash = Hash.unit(Hash.mix(request.key ^ cache.hash));
             cache.rendezvousScore = cache.weight * slowStart.capacityFraction(cache, now) / Math.log(hash);
@@ -65,12 +71,12 @@
         return caches;
     }
 
-    /** Whether a cache may take objects of those at their limit: it is known to have room. */
-    private static boolean tellsOfRoom(Endpoint cache) {
+    /** Whether the cache may take over objects of a cache at its limit: it must report spare capacity. */
+    private static boolean isWithinReportedCapacity(Endpoint cache) {
         return !(cache.reportedLoad.inFlight < 0 || cache.reportedLoad.inFlight > cache.weight);
     }
 
-    private static double load(Endpoint cache) {
+    private static double inFlightLoad(Endpoint cache) {
         return cache.inFlightTransferUs / cache.weight;
     }
 }
--- a/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
@@ -1,60 +1,63 @@
 package petrelplank.routing;
 
 /**
- * Adaptive concurrency: once responses come late, less is let out at once, to the cache where it was a copy, into the
- * zone where it was a fill. Silence is not load, nor is what is late while reports show room.
+ * Adaptive concurrency limits: late responses lower the number of attempts that may be in flight. A late cache hit
+ * lowers the limit of that cache, a late fill the limit of fills into the zone. A missing response is no sign of load,
+ * and neither is a late one while load reports show spare capacity.
  */
 final class ConcurrencyLimiter {
     private final ZoneLink zoneLink;
-    private final ConcurrencyLimit fills;
+    private final ConcurrencyLimit fillLimit;
 
-    ConcurrencyLimiter(double zoneGateways, ZoneLink zoneLink) {
+    ConcurrencyLimiter(double zoneProxyCount, ZoneLink zoneLink) {
         this.zoneLink = zoneLink;
-        this.fills = new ConcurrencyLimit(zoneGateways);
+        this.fillLimit = new ConcurrencyLimit(zoneProxyCount);
     }
 
-    /** Whether one more fill fits: under the limit, or the zone's link was last reported to have room. */
+    /** Whether one more fill may start: it fits under the limit, or the zone's link last reported spare capacity. */
     boolean mayFill(RequestState request) {
-        return fills.hasRoom(request) || zoneLink.hasReportedRoom();
+        return fillLimit.hasRoom(request) || zoneLink.hasReportedSpareCapacity();
     }
 
-    /** Whether the cache may take one more attempt of the request. */
-    static boolean mayTake(Endpoint cache, RequestState request) {
-        return cache.limit.hasRoom(request) || cache.hasRoomSinceReport();
+    /** Whether the cache may take one more attempt of the request: it fits under the limit, or reports show room. */
+    static boolean mayAccept(Endpoint cache, RequestState request) {
+        return cache.limit.hasRoom(request) || cache.hasEstimatedSpareCapacity();
     }
 
-    /** The attempt takes its place under the limits. */
+    /** Counts the attempt as in flight under the limits that apply to it. */
     void acquire(AttemptState attempt) {
         attempt.endpoint.limit.inFlight++;
-        fills.inFlight += attempt.isFill() ? 1 : 0;
+        fillLimit.inFlight += attempt.isFill() ? 1 : 0;
     }
 
-    /** The attempt gives its place back. */
+    /** Undoes {@link #acquire}. */
     void release(AttemptState attempt) {
         attempt.endpoint.limit.inFlight--;
-        fills.inFlight -= attempt.isFill() ? 1 : 0;
+        fillLimit.inFlight -= attempt.isFill() ? 1 : 0;
     }
 
-    /** Adapts the limit that the attempt was under; a late response counts only where no report shows room. */
+    /** Adapts the limit that applied to the attempt; a late response counts only if no report shows spare capacity. */
     void adapt(AttemptState attempt, AttemptOutcome outcome, Timeliness timeliness) {
-        boolean overLink = isFillOverLink(attempt, outcome);
+        boolean limitedByLink = isLimitedByZoneLink(attempt, outcome);
         Endpoint endpoint = attempt.endpoint;
-        double use = overLink ? zoneLink.reportedUse() : endpoint.reportedLoad.inFlight / endpoint.weight;
+        double utilization =
+                limitedByLink ? zoneLink.reportedUtilization() : endpoint.reportedLoad.inFlight / endpoint.weight;
         boolean inTime = timeliness == Timeliness.IN_TIME;
-        if (inTime || use < 0 || use > ReportedLoad.OVERLOAD) {
-            (overLink ? fills : endpoint.limit).adapt(inTime);
+        if (inTime || utilization < 0 || utilization > ReportedLoad.OVERLOAD_THRESHOLD) {
+            (limitedByLink ? fillLimit : endpoint.limit).adapt(inTime);
         }
     }
 
     /**
-     * Whether the zone's link, and not the cache, tells of the attempt's time: it was a fill, and the cache not full.
+     * Whether the zone's link rather than the cache determined the attempt's latency: the attempt was a fill, and
+     * either the link's utilization is reported or the cache was not overloaded.
      */
-    private boolean isFillOverLink(AttemptState attempt, AttemptOutcome outcome) {
+    private boolean isLimitedByZoneLink(AttemptState attempt, AttemptOutcome outcome) {
         CacheStatus cacheStatus = outcome.cacheStatus();
         boolean filled = cacheStatus.isFill() || cacheStatus == CacheStatus.COALESCED;
-        boolean maybeFilled = attempt.isFill() && !cacheStatus.isCopy() && outcome.status() != AttemptStatus.REJECTED;
+        boolean mayHaveFilled = attempt.isFill() && !cacheStatus.isCopy() && outcome.status() != AttemptStatus.REJECTED;
         Endpoint endpoint = attempt.endpoint;
-        boolean cacheNotFull = endpoint.reportedLoad.inFlight <= ReportedLoad.OVERLOAD * endpoint.weight;
-        return (filled || maybeFilled) && (zoneLink.isReported() || cacheNotFull);
+        boolean cacheNotFull = endpoint.reportedLoad.inFlight <= ReportedLoad.OVERLOAD_THRESHOLD * endpoint.weight;
+        return (filled || mayHaveFilled) && (zoneLink.isUtilizationReported() || cacheNotFull);
     }
 }
--- a/src/main/java/petrelplank/routing/EjectionState.java
+++ b/src/main/java/petrelplank/routing/EjectionState.java
@@ -1,21 +1,21 @@
 package petrelplank.routing;
 
-/** What the {@link OutlierDetector} keeps for an endpoint. */
+/** The state that the {@link OutlierDetector} keeps for each endpoint. */
 final class EjectionState {
-    /** Failures in a row. */
-    int failures;
+    /** Consecutive failures. */
+    int consecutiveFailures;
 
     boolean ejected;
-    /** The last failure was that no connection was made. */
-    boolean unreachable;
-    /** When the next health-check attempt may go out. */
+    /** Whether the last failure was a failed connection attempt. */
+    boolean connectFailed;
+    /** Time from which the next health-check attempt may be sent. */
     long healthCheckAtUs;
 
     long pauseUs;
     boolean healthCheckInFlight;
 
     void reset() {
-        failures = 0;
+        consecutiveFailures = 0;
         ejected = false;
     }
 }
--- a/src/main/java/petrelplank/routing/EligibleEndpoints.java
+++ b/src/main/java/petrelplank/routing/EligibleEndpoints.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /**
- * The endpoints that may be offered to a request: the ready ones. Where fewer than half of those that are up are ready,
- * they share the fault, and all that are up are offered; not so parents where cache statuses tell the origin's failures
- * from theirs, nor caches that were not reached, where requests may pass them by.
+ * The endpoints that may serve a request: those that are up and ready. If fewer than half of the endpoints that are up
+ * are ready, a common cause is more likely than so many separate faults, and all that are up stay eligible. There are
+ * two exceptions: parents, if cache statuses distinguish failures of the origin from theirs; and caches that cannot be
+ * connected to, if requests may bypass the caches.
  */
 final class EligibleEndpoints {
     private final EndpointRegistry endpoints;
@@ -21,41 +22,41 @@
         this.originFailuresReported = settings.cacheStatusDetail() == CacheStatusDetail.ALL;
     }
 
-    /** The caches that may take the request, in a list of its own. */
-    List<Endpoint> edges(RequestState request, long now) {
-        List<Endpoint> up = up(endpoints.edges(), request);
+    /** Returns the caches that may take the request, as a new list. */
+    List<Endpoint> caches(RequestState request, long now) {
+        List<Endpoint> candidates = upAndNotExcluded(endpoints.localCaches(), request);
         if (directToParents) {
-            up.removeIf(edge -> edge.ejection.unreachable && !outliers.isReady(edge, now));
+            candidates.removeIf(cache -> cache.ejection.connectFailed && !outliers.isReady(cache, now));
         }
-        return readyUnlessMostFail(up, now);
+        return readyOrAllIfMostFail(candidates, now);
     }
 
-    /** The parents that may fill a miss of the request, in a list of its own. */
+    /** Returns the parents from which a miss of the request may be filled, as a new list. */
     List<Endpoint> parents(RequestState request, long now) {
-        List<Endpoint> up = up(endpoints.parents(), request);
-        return originFailuresReported ? ready(up, now) : readyUnlessMostFail(up, now);
+        List<Endpoint> candidates = upAndNotExcluded(endpoints.parents(), request);
+        return originFailuresReported ? ready(candidates, now) : readyOrAllIfMostFail(candidates, now);
     }
 
-    /** Whether the origin may take a call of the request. */
+    /** Whether the request may be sent to the origin. */
     boolean isOriginEligible(RequestState request, long now) {
         Endpoint origin = endpoints.origin();
         return origin != null && outliers.isReady(origin, now) && !request.excluded.contains(origin);
     }
 
-    private static List<Endpoint> up(List<Endpoint> list, RequestState request) {
-        List<Endpoint> up = new ArrayList<>(list);
-        up.removeIf(endpoint -> !endpoint.isUp() || request.excluded.contains(endpoint));
-        return up;
+    private static List<Endpoint> upAndNotExcluded(List<Endpoint> listed, RequestState request) {
+        List<Endpoint> candidates = new ArrayList<>(listed);
+        candidates.removeIf(endpoint -> !endpoint.isUp() || request.excluded.contains(endpoint));
+        return candidates;
     }
 
-    private List<Endpoint> ready(List<Endpoint> up, long now) {
-        List<Endpoint> ready = new ArrayList<>(up);
+    private List<Endpoint> ready(List<Endpoint> candidates, long now) {
+        List<Endpoint> ready = new ArrayList<>(candidates);
         ready.removeIf(endpoint -> !outliers.isReady(endpoint, now));
         return ready;
     }
 
-    private List<Endpoint> readyUnlessMostFail(List<Endpoint> up, long now) {
-        List<Endpoint> ready = ready(up, now);
-        return ready.size() * 2 < up.size() ? up : ready;
+    private List<Endpoint> readyOrAllIfMostFail(List<Endpoint> candidates, long now) {
+        List<Endpoint> ready = ready(candidates, now);
+        return ready.size() * 2 < candidates.size() ? candidates : ready;
     }
 }
--- a/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
@@ -3,22 +3,28 @@
 import petrelplank.routing.Endpoint.Role;
 import petrelplank.routing.OutlierDetector.Evidence;
 
-/** What an outcome says of the endpoint that was asked, and which endpoints the request shall pass by from now on. */
+/**
+ * Updates the state of the endpoint that an attempt was sent to, and excludes endpoints from the request's further
+ * attempts.
+ */
 final class EndpointOutcomeRecorder {
     private final long connectTimeoutUs;
     private final OutlierDetector outliers;
     private final FailureAttribution attribution;
-    private final CopyLocations copies;
+    private final CopyLocations copyLocations;
 
     EndpointOutcomeRecorder(
-            long connectTimeoutUs, OutlierDetector outliers, FailureAttribution attribution, CopyLocations copies) {
+            long connectTimeoutUs,
+            OutlierDetector outliers,
+            FailureAttribution attribution,
+            CopyLocations copyLocations) {
         this.connectTimeoutUs = connectTimeoutUs;
         this.outliers = outliers;
         this.attribution = attribution;
-        this.copies = copies;
+        this.copyLocations = copyLocations;
     }
 
-    /** Takes in the outcome of an attempt that was sent and not cancelled. */
+    /** Records the outcome of an attempt that was sent and not cancelled. */
     void record(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
         boolean sourceFailed = attempt.source != attempt.endpoint
                 && attribution.isSourceAtFault(outcome)
@@ -31,7 +37,7 @@
             default -> recordFailure(request, attempt, outcome, sourceFailed, now);
         }
         if (outcome.status() == AttemptStatus.MISS) {
-            copies.forgetObject(request.key);
+            copyLocations.forgetObject(request.key);
         }
         exclude(request, attempt, outcome.status(), sourceFailed);
     }
@@ -42,21 +48,23 @@
         endpoint.lastResponseUs = now;
         attribution.recordResponseTime(outcome.latencyUs() - request.transferUs);
         if (!request.isWrite() && endpoint.role == Role.EDGE) {
-            copies.record(request.key, endpoint);
+            copyLocations.record(request.key, endpoint);
         }
     }
 
     private void recordConnectFailure(AttemptState attempt, long now) {
         Endpoint endpoint = attempt.endpoint;
-        // Guards a good cache whose table of connections is full: it answers on those it has.
+        // A healthy cache whose connection table is full refuses new connections but still answers on existing ones; it
+        // must not be ejected at once.
         boolean unresponsive = now - endpoint.lastResponseUs > connectTimeoutUs;
         Evidence evidence = unresponsive ? Evidence.CONCLUSIVE : Evidence.INCONCLUSIVE;
         outliers.recordFailure(endpoint, now, evidence, attempt.healthCheck);
-        endpoint.ejection.unreachable = true;
+        endpoint.ejection.connectFailed = true;
     }
 
     private void recordReset(AttemptState attempt, long now) {
-        // Guards good endpoints: a connection that breaks ends all attempts on it, and that is one failure.
+        // A broken connection ends all attempts on it; they count as one failure, so that a single broken connection
+        // does not eject a healthy endpoint.
         if (attempt.sentUs > attempt.endpoint.lastResetUs || attempt.healthCheck) {
             attempt.endpoint.lastResetUs = now;
             outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
@@ -68,16 +76,17 @@
         if (!sourceFailed && !request.hedged) {
             outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
         }
-        boolean plainError = outcome.status() == AttemptStatus.ERROR && outcome.cacheStatus() == CacheStatus.NONE;
-        if (plainError && !attempt.healthCheck && request.recordError(attempt.endpoint)) {
-            request.errored.forEach(endpoint -> outliers.pardonFailure(endpoint, now));
+        boolean unattributedError =
+                outcome.status() == AttemptStatus.ERROR && outcome.cacheStatus() == CacheStatus.NONE;
+        if (unattributedError && !attempt.healthCheck && request.recordError(attempt.endpoint)) {
+            request.errored.forEach(endpoint -> outliers.retractFailure(endpoint, now));
         }
     }
 
     private static void exclude(
             RequestState request, AttemptState attempt, AttemptStatus status, boolean sourceFailed) {
-        boolean sourceUseless = sourceFailed || status == AttemptStatus.MISS;
-        if (sourceUseless && attempt.source != attempt.endpoint && request.originAccess != OriginAccess.SAMPLED) {
+        boolean sourceUnusable = sourceFailed || status == AttemptStatus.MISS;
+        if (sourceUnusable && attempt.source != attempt.endpoint && request.originAccess != OriginAccess.SAMPLED) {
             request.excluded.add(attempt.source);
         }
         boolean endpointFailed = status != AttemptStatus.OK && status != AttemptStatus.MISS && !sourceFailed;
--- a/src/main/java/petrelplank/routing/FailureAttribution.java
+++ b/src/main/java/petrelplank/routing/FailureAttribution.java
@@ -1,25 +1,28 @@
 package petrelplank.routing;
 
-/** Whose fault a failed attempt is: the endpoint's, its source's or the origin's. */
+/** Attributes a failed attempt to the endpoint, to its fill source or to the origin. */
 final class FailureAttribution {
-    /** A rejection slower than this multiple of the quickest response may have come from the source. */
-    private static final double SLOW_REJECTION = 4;
+    /** A rejection that took longer than this multiple of the fastest response may have come from the source. */
+    private static final double SLOW_REJECTION_FACTOR = 4;
 
-    /** Whether cache statuses report failures of sources and of the origin. */
-    private final boolean failuresReported;
+    /** Whether cache statuses report failures of fill sources and of the origin. */
+    private final boolean sourceFailuresReported;
 
-    private double quickestResponseUs = Double.MAX_VALUE;
+    private double fastestResponseUs = Double.MAX_VALUE;
 
     FailureAttribution(CacheStatusDetail detail) {
-        this.failuresReported = detail == CacheStatusDetail.ALL;
+        this.sourceFailuresReported = detail == CacheStatusDetail.ALL;
     }
 
-    /** An endpoint answered in so much time beside the transfer. */
+    /** Records an endpoint's response time, excluding the transfer time. */
     void recordResponseTime(double responseUs) {
-        quickestResponseUs = Math.min(quickestResponseUs, Math.max(1, responseUs));
+        fastestResponseUs = Math.min(fastestResponseUs, Math.max(1, responseUs));
     }
 
-    /** Whether the source failed; without a status of it, a rejection too quick to have involved it is the cache's. */
+    /**
+     * Whether the source is at fault. If the response does not say, a rejection too fast to have involved the source is
+     * attributed to the cache.
+     */
     boolean isSourceAtFault(AttemptOutcome outcome) {
         return switch (outcome.cacheStatus()) {
             case SOURCE_REJECTED, SOURCE_UNREACHABLE, ORIGIN_FAILED -> true;
@@ -30,14 +33,14 @@
 
     private boolean isSlowRejection(AttemptOutcome outcome) {
         return outcome.status() == AttemptStatus.REJECTED
-                && !failuresReported
-                && outcome.latencyUs() > SLOW_REJECTION * quickestResponseUs;
+                && !sourceFailuresReported
+                && outcome.latencyUs() > SLOW_REJECTION_FACTOR * fastestResponseUs;
     }
 
-    /** Whether the origin may have rejected a call, by way of a source or not. */
+    /** Whether the origin may have rejected the call, directly or through a source. */
     boolean mayBeOriginRejection(AttemptOutcome outcome) {
-        boolean unknown = !failuresReported
+        boolean unattributed = !sourceFailuresReported
                 && (outcome.status() == AttemptStatus.REJECTED || outcome.status() == AttemptStatus.ERROR);
-        return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || unknown);
+        return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || unattributed);
     }
 }
--- a/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
+++ b/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
@@ -8,27 +8,32 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are offered while many of them fail. */
+/** Tests which endpoints are eligible while many of them fail. */
 class EligibleEndpointsTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
-    /** Guards against trying one dead cache after the other, and rejections for seconds, where all caches are lost. */
+    /**
+     * If no cache can be reached, requests bypass the caches. Guards against trying one unreachable cache after the
+     * other for each request, and against rejecting requests for seconds.
+     */
     @Test
-    void zoneWithUnreachableCachesUsesParentsDirectlyAndChecksItsCachesAtTimes() {
+    void requestsBypassUnreachableCachesExceptForHealthChecks() {
         Set<String> caches = Set.of("a", "b", "c", "d");
-        int direct = 0;
-        int tried = 0;
+        int served = 0;
+        int attemptsAtCaches = 0;
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
             while (caches.contains(host.lastPlan().server()) && !host.isTerminated(id)) {
-                tried++;
+                attemptsAtCaches++;
                 host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
             }
             assertFalse(host.isTerminated(id), id);
-            direct++;
+            served++;
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
         }
-        assertEquals(60, direct);
-        assertTrue(tried >= 4 && tried <= 8, "tried " + tried);
+        assertEquals(60, served);
+        assertTrue(
+                attemptsAtCaches >= 4 && attemptsAtCaches <= 8,
+                "attempts at unreachable caches: " + attemptsAtCaches + ", expected 4 to 8");
     }
 }
--- a/src/test/java/petrelplank/routing/FailureAttributionTest.java
+++ b/src/test/java/petrelplank/routing/FailureAttributionTest.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Whose fault a failure is. */
+/** Tests to which endpoint a failure is attributed. */
 class FailureAttributionTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
@@ -23,6 +23,7 @@
             servers.add(host.lastPlan().server());
         }
         assertEquals(Set.of("a", "b", "c", "d"), servers);
-        assertFalse(host.logLines.stream().anyMatch(l -> l.matches("ejected: [abcd],.*")), host.logLines.toString());
+        assertFalse(
+                host.logLines.stream().anyMatch(line -> line.matches("ejected: [abcd],.*")), host.logLines.toString());
     }
 }
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -11,32 +11,32 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Ejection and recovery of endpoints. */
+/** Tests ejection and recovery of endpoints. */
 class OutlierDetectorTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
     void unreachableCacheIsEjectedAtOnceAndGetsAHealthCheckAfterAPause() {
         String id = host.request(1);
-        String dead = host.lastPlan().server();
+        String unreachable = host.lastPlan().server();
         host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, MS);
         assertEquals(2, host.attempts(id));
-        assertNotEquals(dead, host.lastPlan().server());
+        assertNotEquals(unreachable, host.lastPlan().server());
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         for (int i = 100; i < 130; i++) {
             host.request(i);
-            assertNotEquals(dead, host.lastPlan().server());
+            assertNotEquals(unreachable, host.lastPlan().server());
         }
         host.now += 2 * S;
-        int trials = 0;
+        int healthChecks = 0;
         for (int i = 200; i < 230; i++) {
             host.request(i);
-            trials += host.lastPlan().server().equals(dead) ? 1 : 0;
+            healthChecks += host.lastPlan().server().equals(unreachable) ? 1 : 0;
         }
-        assertEquals(1, trials);
+        assertEquals(1, healthChecks);
     }
 
-    /** One bad response or reset ends all attempts on a connection, and is one failure of the cache. */
+    /** A malformed response or a reset ends all attempts on a connection, and counts as one failure of the cache. */
     @Test
     void attemptsResetTogetherAreOneFailure() {
         for (int i = 0; i < 10; i++) {
@@ -59,7 +59,7 @@
         assertEquals(1, host.logLines.size(), host.logLines.toString());
     }
 
-    /** Guards against bad clients whose requests fail at every endpoint. */
+    /** Guards against ejections caused by faulty clients, whose requests fail at every endpoint. */
     @Test
     void requestThatAllEndpointsFailIsTerminatedAndEjectsNone() {
         for (int i = 0; i < 8; i++) {
@@ -72,22 +72,22 @@
         }
         assertEquals(List.of(), host.logLines);
         Set<String> servers = new TreeSet<>();
-        host.fills(100, 200).forEach(o -> servers.add(o.server()));
+        host.fills(100, 200).forEach(plan -> servers.add(plan.server()));
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 
-    /** A cache whose connection table is full fails new connects, and answers on those it has. */
+    /** A cache whose connection table is full refuses new connections, but still answers on existing ones. */
     @Test
     void failedConnectDoesNotEjectACacheThatAnswersOthers() {
         for (int i = 0; i < 20; i++) {
             host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
         }
         String id = host.request(7);
-        String full = host.lastPlan().server();
+        String fullCache = host.lastPlan().server();
         host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 20 * MS);
         host.endAttempt(host.request(7), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
-        assertEquals(full, host.lastPlan().server());
+        assertEquals(fullCache, host.lastPlan().server());
         assertEquals(List.of(), host.logLines);
     }
 }
--- a/src/test/java/petrelplank/routing/QTableTest.java
+++ b/src/test/java/petrelplank/routing/QTableTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Learned values of one parent. */
+/** Tests the learned values of one parent. */
 class QTableTest {
     private final QTable table = new QTable();
 
@@ -26,7 +26,7 @@
     @Test
     void everyObjectHasAGroupOfTheTable() {
         for (long object = -100; object < 100; object++) {
-            assertThat(QTable.groupOf(object)).isBetween(0, QTable.GROUPS - 1);
+            assertThat(QTable.groupOf(object)).isBetween(0, QTable.GROUP_COUNT - 1);
         }
     }
 }
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -9,41 +9,44 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Budgets of endpoints that have just started. */
+/** Tests the budgets of endpoints that have just started. */
 class SlowStartTest {
     private final RouterFixture host = new RouterFixture().withUsualEndpoints();
 
     @Test
     void cacheInSlowStartIsSentNoMoreThanItsBudget() {
         host.change(cache("a", host.now));
-        double work = 0;
+        double transferUs = 0;
         for (int i = 0; i < 2000; i++) {
             String id = host.request(i);
             if (host.attempts(id) > 0
                     && (host.lastPlan().server().equals("a")
                             || host.lastPlan().source().equals("a"))) {
-                work += 100 * MS;
+                transferUs += 100 * MS;
             }
             host.now += MS / 2;
         }
-        // two gateways, one second, five links at a fifth (a little more by then), overload multiple 2.5 in two seconds
-        assertTrue(work > 0);
-        assertTrue(work <= 2.5 * 5 * 0.25 * 2 * S / 2, "work " + work);
+        // Two proxies share a weight of 5; the capacity is a fifth at first and at most a quarter after one second. The
+        // overload multiple is 2.5 within two seconds.
+        assertTrue(transferUs > 0);
+        assertTrue(transferUs <= 2.5 * 5 * 0.25 * 2 * S / 2, "transfer time sent to the cache in us: " + transferUs);
     }
 
     @Test
     void parentInSlowStartTakesARisingShare() {
         host.change(parent("p-north", "north", host.now));
-        int cold = 0;
-        for (AttemptPlan o : host.fills(0, 60)) {
-            cold += o.source().equals("p-north") ? 1 : 0;
+        int inSlowStart = 0;
+        for (AttemptPlan plan : host.fills(0, 60)) {
+            inSlowStart += plan.source().equals("p-north") ? 1 : 0;
         }
         host.now += 30 * S;
-        int warm = 0;
-        for (AttemptPlan o : host.fills(100, 160)) {
-            warm += o.source().equals("p-north") ? 1 : 0;
+        int afterwards = 0;
+        for (AttemptPlan plan : host.fills(100, 160)) {
+            afterwards += plan.source().equals("p-north") ? 1 : 0;
         }
-        assertTrue(cold < warm / 2, cold + " then " + warm);
+        assertTrue(
+                inSlowStart < afterwards / 2,
+                "fills from the parent: " + inSlowStart + " in slow start, " + afterwards + " afterwards");
     }
 
     @Test
@@ -56,7 +59,7 @@
         assertTrue(host.sent.size() > 0 && host.rejected.size() > 0);
     }
 
-    /** A drain while most of the zone is in slow start does not exceed the budgets of the other caches. */
+    /** If a cache drains while the rest of the zone is in slow start, the budgets of the rest are not exceeded. */
     @Test
     void drainWhileMostOfTheZoneIsInSlowStartKeepsTheBudgetsOfTheRest() {
         host.change(cache("a", host.now), cache("b", host.now), cache("c", host.now));
@@ -67,15 +70,19 @@
             assertTrue(host.attempts(id) > 0 || host.isTerminated(id), id);
             host.now += 2 * MS;
         }
-        for (String cold : List.of("a", "b", "c")) {
-            // Two gateways share it: 0.45 of 2.5 times a fifth of five transfers, for 2 s and the 0.6 s that went by.
-            long work = host.sent.stream()
-                            .filter(s -> s.plan().server().equals(cold))
+        for (String startingCache : List.of("a", "b", "c")) {
+            // Two proxies share a weight of 5, with a capacity of at most a quarter. Each uses 0.45 of the overload
+            // multiple 2.5: as a burst of 2 s, and as the rate during the 0.6 s of the test.
+            long transferUs = host.sent.stream()
+                            .filter(attempt -> attempt.plan().server().equals(startingCache))
                             .count()
                     * 100
                     * MS;
-            assertTrue(work <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S, cold + " " + work);
+            assertTrue(
+                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S,
+                    "transfer time sent to " + startingCache + " in us: " + transferUs);
         }
-        assertTrue(host.sent.stream().noneMatch(s -> s.plan().server().equals("d")));
+        assertTrue(
+                host.sent.stream().noneMatch(attempt -> attempt.plan().server().equals("d")));
     }
 }
