--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -4,7 +4,7 @@
 import java.util.StringJoiner;
 import petrelplank.proxy.UpstreamRequest;
 
-/** Encodes commands to caches, parents and the origin. */
+/** Encodes the commands of the line protocol that caches, parents and the origin understand. */
 final class CommandEncoder {
     private static final int USUAL_HEADER_LENGTH = 160;
     private static final byte[] CR_LF = {'\r', '\n'};
@@ -12,9 +12,11 @@
     private CommandEncoder() {}
 
     /**
-     * A request: a header line, then the body and CR LF behind it. Fields that ask for nothing are left out.
+     * Encodes a request: a header line, the body and a final CR LF. Optional fields that are not set are omitted.
      *
-     * @param limitMs how long the proxy waits for the response
+     * @param request the request
+     * @param limitMs how long the proxy waits for the response, in milliseconds
+     * @return the encoded command
      */
     static byte[] fetch(UpstreamRequest request, long limitMs) {
         byte[] header = header(request, limitMs).getBytes(StandardCharsets.ISO_8859_1);
@@ -26,7 +28,7 @@
         return command;
     }
 
-    /** Tells the server that nobody waits for the response to a request any more. */
+    /** Encodes the command that aborts a request: the proxy no longer waits for its response. */
     static byte[] abort(String requestId) {
         return ("abort " + requestId + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/petrelplank/upstream/CommandQueue.java
+++ b/src/main/java/petrelplank/upstream/CommandQueue.java
@@ -8,9 +8,12 @@
 import org.apache.mina.core.write.WriteRequest;
 import org.apache.mina.core.write.WriteRequestQueue;
 
-/** Commands that wait to be written on one connection; those withdrawn meanwhile are skipped when polled. */
+/**
+ * The write queue of one connection. Commands that were withdrawn, or are no longer needed, stay in the queue until
+ * they are polled, and are then skipped.
+ */
 final class CommandQueue implements WriteRequestQueue {
-    /** Gives each connection of a connector a queue of its own. */
+    /** Makes MINA create a separate {@link CommandQueue} for each connection. */
     static final class Factory extends DefaultIoSessionDataStructureFactory {
         @Override
         public WriteRequestQueue getWriteRequestQueue(IoSession session) {
--- a/src/main/java/petrelplank/upstream/ConnectionLimits.java
+++ b/src/main/java/petrelplank/upstream/ConnectionLimits.java
@@ -5,12 +5,12 @@
 /**
  * Limits on the connections to upstream servers.
  *
- * @param descriptors the descriptors that connections may hold
- * @param maxStreams attempts open on one connection
- * @param connectTimeoutUs a connection not made in this time has failed
- * @param idleTimeoutUs servers close idle connections after this time
- * @param maxPerServer shared connections to one server, at least 1; see {@link #maxPerServer(int)}
- * @param hedging a request may have two attempts in flight together
+ * @param descriptors the budget of file descriptors for upstream connections
+ * @param maxStreams maximum number of open attempts on one connection
+ * @param connectTimeoutUs time after which a connection that is not established counts as failed, in microseconds
+ * @param idleTimeoutUs time after which servers close an idle connection, in microseconds
+ * @param maxPerServer maximum number of shared connections to one server, at least 1; see {@link #maxPerServer(int)}
+ * @param hedging whether a request may have two attempts in flight at the same time
  */
 public record ConnectionLimits(
         DescriptorBudget descriptors,
@@ -20,16 +20,20 @@
         int maxPerServer,
         boolean hedging) {
     private static final int MAX_PER_SERVER = 8;
-    /** Connections that all proxies of a zone keep to one server together, as long as there are no more proxies. */
+    /**
+     * Maximum number of connections to one server from all proxies of a zone together. In a zone with more proxies
+     * than this, each proxy keeps one connection.
+     */
     private static final int MAX_OF_ZONE = 32;
 
     /**
-     * How many connections a proxy keeps to one server, besides the dedicated ones that carry one request that can't
-     * be sent again. What is harmless for one proxy fills a server's connection table when all of them do it: the
-     * proxies of a zone keep 32 together, or one each where there are more of them.
+     * Computes how many shared connections a proxy keeps to one server. Dedicated connections, which carry a single
+     * request, are not included. The limit depends on the number of proxies because the connections of all proxies
+     * together can fill the connection table of a server: the proxies of a zone share 32 connections to a server, or
+     * keep one each if there are more than 32 proxies.
      *
-     * @param proxiesInZone proxies that share the zone's caches, at least 1
-     * @return from 1 to 8
+     * @param proxiesInZone number of proxies that share the caches of the zone, at least 1
+     * @return the maximum number of shared connections to one server, from 1 to 8
      */
     public static int maxPerServer(int proxiesInZone) {
         return Math.max(1, Math.min(MAX_PER_SERVER, MAX_OF_ZONE / proxiesInZone));
--- a/src/main/java/petrelplank/upstream/ConnectionListener.java
+++ b/src/main/java/petrelplank/upstream/ConnectionListener.java
@@ -3,22 +3,22 @@
 import java.util.List;
 import petrelplank.proxy.UpstreamResponse;
 
-/** Learns what happens on connections; all calls in the event thread. */
+/** Receives the events of upstream connections. All methods are called on the event thread. */
 interface ConnectionListener {
-    /** Why a connection was not made, or has ended. */
+    /** Why a connection could not be established, or why it closed. */
     enum LossCause {
-        /** It was refused, or not made in time: the server counts as down. */
+        /** The connection was refused, or the connect timed out: the server counts as down. */
         UNREACHABLE,
-        /** It was reset, or has closed: that need not be the server's fault. */
+        /** The connection was reset or closed, which does not imply that the server is down. */
         RESET
     }
 
-    /** Responses were received, in this order. */
+    /** Called with received responses, in the order in which they arrived. */
     void responsesReceived(UpstreamConnection connection, List<UpstreamResponse> responses);
 
-    /** The server sent bytes that are no response; the connection is being closed for that. */
+    /** Called when the server sent bytes that are not a valid response; the connection is already being closed. */
     void malformed(UpstreamConnection connection, MalformedException fault);
 
-    /** A connection was not made, or has closed; may be called more than once for a connection. */
+    /** Called when a connect failed or a connection closed; may be called more than once per connection. */
     void connectionLost(UpstreamConnection connection, LossCause cause);
 }
--- a/src/main/java/petrelplank/upstream/ConnectionSelector.java
+++ b/src/main/java/petrelplank/upstream/ConnectionSelector.java
@@ -3,14 +3,14 @@
 import petrelplank.proxy.EventLoop;
 import petrelplank.proxy.UpstreamRequest;
 
-/** Selects the connection that an attempt is sent on: the least loaded one of its server, or a new one. */
+/** Selects the connection for an attempt: the least loaded connection to the server, or a new one. */
 final class ConnectionSelector {
     /**
-     * One malformed response or reset ends all that is open on its connection, so that few share one: a further one is
-     * made where the least loaded carries this many, up to the maximum for a server.
+     * Number of open attempts on the least loaded connection at which another connection is opened, up to the maximum
+     * per server. It is kept low because a malformed response or a reset ends all attempts on its connection.
      */
     private static final int SHARED_BY_FEW = 2;
-    /** Part of the servers' idle timeout after which an idle connection is not used again, in tenths. */
+    /** Idle time after which a connection is not reused, in tenths of the servers' idle timeout. */
     private static final int REUSE_TENTHS = 7;
 
     private final EventLoop loop;
@@ -23,17 +23,23 @@
         this.limits = limits;
     }
 
-    /** The connection for a request to a server; null where the limits are reached. */
+    /**
+     * Selects the connection for a request, and opens a new one if necessary.
+     *
+     * @return the connection; null if no connection accepts the request and the limits allow no new one
+     */
     UpstreamConnection select(UpstreamServer server, UpstreamRequest request) {
         if (request.dedicatedConnection() && hasFreeDescriptor()) {
-            // Guards what can't be sent again: an idle connection may be reset by the next command, and a shared one
-            // by a fault in another's. A new one carries it alone; a reset of it while new proves that nothing ran.
+            // A request that must not be executed twice gets a new connection of its own. The server may reset an idle
+            // connection on the next command, and a shared one because of a fault in another request. If the new
+            // connection is reset before anything is written to it, the request was certainly not executed.
             return connector.connectDedicated(server);
         }
         UpstreamConnection best =
                 server.leastLoaded(request.id(), loop.now() - limits.idleTimeoutUs() * REUSE_TENTHS / 10);
         if (best == null && server.hasCarried(request.id()) && hasFreeDescriptor()) {
-            // Guards a retry at the same server against a late response to its first attempt, by a connection alone.
+            // A retry on the same server gets a connection of its own. On the earlier connection, a late response to
+            // the first attempt would be taken for the response to the retry.
             return connector.connectDedicated(server);
         }
         boolean mayAdd = server.unretiredCount() < limits.maxPerServer() && hasFreeDescriptor();
--- a/src/main/java/petrelplank/upstream/EncodedCommand.java
+++ b/src/main/java/petrelplank/upstream/EncodedCommand.java
@@ -8,12 +8,12 @@
 import org.apache.mina.core.write.DefaultWriteRequest;
 
 /**
- * One encoded command, from the time it is queued on its connection until that connection closes.
+ * An encoded command on a connection, from the time it is queued until the connection closes.
  *
- * <p>It waits in the connection's {@link CommandQueue}. Two threads may end the wait: the I/O thread takes it when its
- * turn to be written has come, and the event thread withdraws it when its request is given up. Whichever is first
- * decides, and the decision is final: what was taken may be written in part or completely at any later time, what was
- * withdrawn never is. How much of a taken command has been written follows from the connection's count of bytes.
+ * <p>A command waits in the {@link CommandQueue} of its connection until either the I/O thread takes it to write it, or
+ * the event thread withdraws it because its request was aborted. The first of the two wins, and its decision is final:
+ * a command that was taken may be written partly or fully at any later time, and a command that was withdrawn is never
+ * written. How much of a taken command has been written is computed from the number of bytes written on the connection.
  */
 final class EncodedCommand extends DefaultWriteRequest {
     private enum State {
@@ -25,15 +25,19 @@
     private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
     private final int length;
     private final BooleanSupplier stillWanted;
-    /** Bytes written on the connection before this command; set as it is taken, when all before it is written. */
+    /**
+     * Number of bytes written on the connection before this command. It is set just before the command is taken, when
+     * all earlier commands have been written.
+     */
     private volatile long startOffset = Long.MAX_VALUE;
 
     /**
-     * A command that waits to be written.
+     * Creates a command that is queued and neither taken nor withdrawn.
      *
      * @param bytes the encoded command
-     * @param future completed when it is written or dropped; null where nobody waits for that
-     * @param stillWanted whether it is to be written; asked in the I/O thread when its turn has come
+     * @param future completed when the command was written or dropped; null if no notification is needed
+     * @param stillWanted whether the command still has to be written; called on the I/O thread when the command reaches
+     *     the head of the queue
      */
     EncodedCommand(byte[] bytes, WriteFuture future, BooleanSupplier stillWanted) {
         super(IoBuffer.wrap(bytes), future);
@@ -42,9 +46,9 @@
     }
 
     /**
-     * Claims it for writing; by the I/O thread.
+     * Takes the command for writing. Called on the I/O thread.
      *
-     * @return false where it was withdrawn or is not wanted any more, and must not be written
+     * @return false if the command was withdrawn or is no longer needed, and so must not be written
      */
     boolean take(IoSession session) {
         if (!stillWanted.getAsBoolean()) {
@@ -56,20 +60,20 @@
     }
 
     /**
-     * Prevents that it is written.
+     * Withdraws the command so that it is never written.
      *
-     * @return false where its writing may have begun
+     * @return false if it was already taken, so that part of it may have been written
      */
     boolean withdraw() {
         return state.compareAndSet(State.QUEUED, State.WITHDRAWN) || state.get() == State.WITHDRAWN;
     }
 
-    /** Whether any byte of it may have been written. */
+    /** Returns whether at least one byte of the command may have been written. */
     boolean isPartlyWritten(IoSession session) {
         return state.get() == State.TAKEN && session.getWrittenBytes() > startOffset;
     }
 
-    /** Whether all of it is known to have been written. */
+    /** Returns whether the whole command is known to have been written. */
     boolean isFullyWritten(IoSession session) {
         return state.get() == State.TAKEN && session.getWrittenBytes() >= startOffset + length;
     }
--- a/src/main/java/petrelplank/upstream/MalformedException.java
+++ b/src/main/java/petrelplank/upstream/MalformedException.java
@@ -1,20 +1,20 @@
 package petrelplank.upstream;
 
-/** An upstream server sent bytes that are not a response; its connection can't be used further. */
+/** Thrown when an upstream server sent bytes that are not a valid response. Its connection can't be used any more. */
 final class MalformedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The rule of the protocol that the bytes break. */
+    /** The protocol rule that the received bytes violate. */
     enum Reason {
-        LINE_TOO_LONG("header line longer than " + ResponseParser.MAX_LINE_LENGTH + " bytes"),
-        LINE_WITHOUT_CR("header line without CR"),
-        WRONG_WORD_COUNT("wrong number of words in the header line"),
-        EMPTY_REQUEST_ID("empty request id"),
-        UNKNOWN_STATUS("unknown status word"),
-        FIELD_WITHOUT_VALUE("field without a value"),
-        NOT_A_FINITE_NUMBER("field that is not a finite number"),
-        INVALID_BODY_LENGTH("body length that is not a number up to " + ResponseParser.MAX_BODY_LENGTH),
-        BODY_NOT_TERMINATED("body not followed by CR LF");
+        LINE_TOO_LONG("header line is longer than " + ResponseParser.MAX_LINE_LENGTH + " bytes"),
+        LINE_WITHOUT_CR("header line does not end with CR LF"),
+        WRONG_WORD_COUNT("header line must have 4 words, number of words found"),
+        EMPTY_REQUEST_ID("empty request id in the header line"),
+        UNKNOWN_STATUS("unknown status word in the header line"),
+        FIELD_WITHOUT_VALUE("header field is not of the form name=value"),
+        NOT_A_FINITE_NUMBER("header field is not a finite decimal number"),
+        INVALID_BODY_LENGTH("body length is not a whole number from 0 to " + ResponseParser.MAX_BODY_LENGTH),
+        BODY_NOT_TERMINATED("body is not followed by CR LF");
 
         private final String description;
 
@@ -31,9 +31,11 @@
     }
 
     /**
-     * An exception that names the place.
+     * Creates an exception with a detail that is appended to the message.
      *
-     * @param place the field or count at fault; never text of the server, which could be of any length
+     * @param reason the violated rule
+     * @param place the name of the invalid field, or the invalid count; never text received from the server, which
+     *     could be of any length
      */
     MalformedException(Reason reason, String place) {
         super(reason.description + ": " + place);
--- a/src/main/java/petrelplank/upstream/PendingAborts.java
+++ b/src/main/java/petrelplank/upstream/PendingAborts.java
@@ -9,12 +9,12 @@
 import petrelplank.proxy.Attempt;
 
 /**
- * Aborts that wait to be written, and the attempts held back until they are. Guards sites that allow no hedging: an
- * attempt is in flight at its server until it is aborted on the wire, so that the next attempt of its request waits
- * until the abort is written or its connection has closed. Event thread only.
+ * Tracks aborts that are not written yet, and holds back further attempts of the same requests until they are. It is
+ * used if hedging is not allowed: an attempt counts as in flight until its abort is written or its connection has
+ * closed, and only then the next attempt of the request may be sent. Event thread only.
  */
 final class PendingAborts {
-    /** The connections on which an abort of one request waits, and the attempts that wait for it; few at a time. */
+    /** The connections with an unwritten abort of a request, and its held-back attempts; usually one of each. */
     private static final class PendingRequest {
         final Set<UpstreamConnection> connections = new HashSet<>(2);
         final List<Attempt> heldBack = new ArrayList<>(1);
@@ -22,7 +22,7 @@
 
     private final Map<String, PendingRequest> requests = new HashMap<>();
 
-    /** An abort of a request was queued on a connection, or the connection is being closed to the same end. */
+    /** Called when an abort was queued on a connection, or when the connection is being closed to abort the request. */
     void abortQueued(String requestId, UpstreamConnection connection) {
         requests.computeIfAbsent(requestId, id -> new PendingRequest())
                 .connections
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Holds an attempt back where an abort of its request is pending, until {@link #abortWritten} or
-     * {@link #connectionClosed} hands it back.
+     * Holds an attempt back if an abort of its request is pending. {@link #abortWritten} or {@link #connectionClosed}
+     * returns it once it may be sent.
      *
-     * @return false where it may be sent at once
+     * @return false if no abort is pending and the attempt may be sent at once
      */
     boolean holdBack(Attempt attempt) {
         PendingRequest request = requests.get(attempt.request().id());
@@ -44,7 +44,7 @@
         return true;
     }
 
-    /** An attempt was given up itself; where it is held back, it never is sent. */
+    /** Called when an attempt is aborted: if it is held back, it is dropped and never sent. */
     void remove(Attempt attempt) {
         PendingRequest request = requests.get(attempt.request().id());
         if (request != null) {
@@ -53,9 +53,9 @@
     }
 
     /**
-     * An abort was written.
+     * Called when an abort was written.
      *
-     * @return the attempts that may now be sent
+     * @return the held-back attempts that may now be sent
      */
     List<Attempt> abortWritten(String requestId, UpstreamConnection connection) {
         PendingRequest request = requests.get(requestId);
@@ -67,9 +67,9 @@
     }
 
     /**
-     * A connection has closed, which aborts all that was in flight on it.
+     * Called when a connection has closed, which aborts all attempts that were in flight on it.
      *
-     * @return the attempts that may now be sent
+     * @return the held-back attempts that may now be sent
      */
     List<Attempt> connectionClosed(UpstreamConnection connection) {
         List<Attempt> released = new ArrayList<>();
--- a/src/main/java/petrelplank/upstream/ResponseFields.java
+++ b/src/main/java/petrelplank/upstream/ResponseFields.java
@@ -4,7 +4,7 @@
 import petrelplank.routing.CacheStatus;
 import petrelplank.upstream.MalformedException.Reason;
 
-/** The optional fields of a response header, {@code name=value} with commas between; unknown names are ignored. */
+/** The optional fields of a response header, as comma-separated {@code name=value} pairs. Unknown names are ignored. */
 final class ResponseFields {
     private static final String NO_FIELDS = "-";
     private static final int US_PER_MS = 1000;
@@ -24,9 +24,10 @@
     /**
      * Decodes the fields of a header.
      *
-     * @param text the fields, or a dash for none
-     * @param loadFieldNames names of the values in a load report, in the order in which they are returned
-     * @throws MalformedException where a field has no value, or a number is expected and none is there
+     * @param text the fields, or {@code -} if there are none
+     * @param loadFieldNames names of the values in a load report, in the order in which {@link #load} returns them
+     * @return the decoded fields
+     * @throws MalformedException if a field has no value, or the value of a numeric field is not a finite number
      */
     static ResponseFields decode(String text, List<String> loadFieldNames) {
         ResponseFields fields = new ResponseFields(loadFieldNames);
@@ -53,32 +54,32 @@
         }
     }
 
-    /** What the response says about the copy or the fill; {@link CacheStatus#NONE} where it says nothing. */
+    /** Returns how the cache served the copy or why its fill failed; {@link CacheStatus#NONE} if not given. */
     CacheStatus cacheStatus() {
         return cacheStatus;
     }
 
-    /** The tag of the copy that the response is about; null where none is given. */
+    /** Returns the entity tag of the copy; null if not given. */
     String tag() {
         return tag;
     }
 
-    /** Time that the cache waited for its fill source. */
+    /** Returns how long the cache waited for its fill source, in microseconds; 0 if not given. */
     long sourceWaitUs() {
         return sourceWaitUs;
     }
 
-    /** Unix millisecond at which the origin issued the copy; 0 where it is not given. */
+    /** Returns the Unix time in milliseconds at which the origin issued the copy; 0 if not given. */
     long bornMs() {
         return bornMs;
     }
 
-    /** The load report, in the order of the load fields' names; null where there is none. */
+    /** Returns the values of the load report, in the order of the load field names; null if there is no report. */
     double[] load() {
         return load;
     }
 
-    /** The one mapping from cache status words on the wire to the router's; a word of a newer server says nothing. */
+    /** Maps a cache status word of the protocol; a word that only newer servers know maps to {@code NONE}. */
     private static CacheStatus cacheStatus(String word) {
         return switch (word) {
             case "HIT" -> CacheStatus.HIT;
@@ -107,7 +108,10 @@
         return values;
     }
 
-    /** Only records use it, so an unreadable time counts as not given and is no reason to end a connection. */
+    /**
+     * Parses the issue time. It is only used in records, so an invalid time counts as not given instead of failing the
+     * connection.
+     */
     private static long bornMs(String text) {
         return isDigits(text, MAX_TIME_DIGITS) ? Long.parseLong(text) : 0;
     }
@@ -125,7 +129,7 @@
         return value;
     }
 
-    /** Whether a text is a decimal number without sign of at most so many digits. */
+    /** Returns whether a text is an unsigned decimal integer of at most {@code maxDigits} digits. */
     static boolean isDigits(String text, int maxDigits) {
         return !text.isEmpty()
                 && text.length() <= maxDigits
--- a/src/main/java/petrelplank/upstream/ResponseHeader.java
+++ b/src/main/java/petrelplank/upstream/ResponseHeader.java
@@ -6,13 +6,13 @@
 import petrelplank.upstream.MalformedException.Reason;
 
 /**
- * The header line of a response: request id, status word, fields and body length, with a space between two of them.
+ * The header line of a response: request id, status word, fields and body length, separated by single spaces.
  *
- * @param id the request's id
+ * @param id the id of the request
  * @param status how the attempt ended
- * @param notModified the client's copy is still current, and no body comes
+ * @param notModified whether the client's copy is still current
  * @param fields the optional fields
- * @param bodyLength bytes of the body, CR LF behind it not counted
+ * @param bodyLength length of the body in bytes, without the CR LF that follows it
  */
 record ResponseHeader(String id, AttemptStatus status, boolean notModified, ResponseFields fields, int bodyLength) {
     private static final int WORDS = 4;
@@ -23,8 +23,10 @@
      * Decodes a header line.
      *
      * @param line the line without its CR LF
-     * @param loadFieldNames names of the values in a load report, in the order in which they are returned
-     * @throws MalformedException where the line is no header
+     * @param loadFieldNames names of the values in a load report, in the order in which {@link ResponseFields#load}
+     *     returns them
+     * @return the decoded header
+     * @throws MalformedException if the line is not a valid header
      */
     static ResponseHeader decode(String line, List<String> loadFieldNames) {
         String[] words = line.split(" ", -1);
@@ -40,7 +42,7 @@
         return new ResponseHeader(words[0], status, words[1].equals(NOT_MODIFIED), fields, bodyLength);
     }
 
-    /** The complete response, once its body has come. */
+    /** Combines the header with the received body into the complete response. */
     UpstreamResponse withBody(byte[] body) {
         return new UpstreamResponse(
                 id,
@@ -54,7 +56,7 @@
                 body);
     }
 
-    /** The one mapping from status words on the wire to the router's. */
+    /** Maps a status word of the protocol to the status of the attempt. */
     private static AttemptStatus status(String word) {
         return switch (word) {
             case "ACK", NOT_MODIFIED, "READY" -> AttemptStatus.OK;
--- a/src/main/java/petrelplank/upstream/ResponseParser.java
+++ b/src/main/java/petrelplank/upstream/ResponseParser.java
@@ -8,8 +8,9 @@
 import petrelplank.upstream.MalformedException.Reason;
 
 /**
- * Splits the bytes of one connection into responses: a header line, a body of the length that the header gives, and
- * CR LF behind it. Bytes may come in pieces cut anywhere; every length has a limit. One thread only.
+ * Parses the bytes received on one connection into responses. A response is a header line, a body of the length given
+ * in the header, and CR LF. The bytes may be fragmented at any position, and the lengths of the header line and of the
+ * body are limited. Not thread-safe.
  */
 final class ResponseParser {
     static final int MAX_LINE_LENGTH = 4096;
@@ -17,7 +18,7 @@
     private static final byte[] NO_BYTES = new byte[0];
     private static final byte[] BODY_TERMINATOR = {'\r', '\n'};
 
-    /** Which part of a response the next byte belongs to. */
+    /** The part of a response that the next byte belongs to. */
     private enum Part {
         HEADER,
         BODY,
@@ -34,18 +35,20 @@
     private int terminatorRead;
 
     /**
-     * A parser at the start of a connection.
+     * Creates a parser for a new connection.
      *
-     * @param loadFieldNames names of the values in a load report, in the order in which they are returned
+     * @param loadFieldNames names of the values in a load report, in the order in which responses return them
      */
     ResponseParser(List<String> loadFieldNames) {
         this.loadFieldNames = loadFieldNames;
     }
 
     /**
-     * Takes received bytes and hands on every response that they complete.
+     * Parses received bytes and passes on every response that they complete.
      *
-     * @throws MalformedException where the bytes are no response; the connection can't be used further
+     * @param input the received bytes; all of them are consumed
+     * @param responses called with each complete response
+     * @throws MalformedException if the bytes are not a valid response; the connection can't be used any more
      */
     void feed(ByteBuffer input, Consumer<UpstreamResponse> responses) {
         while (input.hasRemaining()) {
@@ -57,7 +60,7 @@
         }
     }
 
-    /** Whether a response has begun and not ended. */
+    /** Returns whether a response was received in part. */
     boolean insideResponse() {
         return part != Part.HEADER || lineLength > 0;
     }
--- a/src/main/java/petrelplank/upstream/StallDetector.java
+++ b/src/main/java/petrelplank/upstream/StallDetector.java
@@ -1,25 +1,29 @@
 package petrelplank.upstream;
 
 /**
- * Detects that nothing moves on one connection any more. It counts sweeps, not time: a proxy that was held up itself
- * must not take the bytes that it has not read yet for missing. Event thread only, but for {@link #bytesRead}.
+ * Detects that a connection makes no progress. It counts sweeps instead of measuring time: after a pause of the proxy
+ * itself, received bytes that it has not read yet must not count as missing. Event thread only, except for
+ * {@link #bytesRead}.
  */
 final class StallDetector {
-    /** What has stopped on a connection. */
+    /** What makes no progress on a connection. */
     enum Stall {
         NONE,
-        /** A response has begun and does not go on: it hides all that comes behind it. */
+        /** A partly received response does not continue, and blocks all responses after it. */
         INCOMPLETE_RESPONSE,
-        /** The server reads nothing: an abort can't be written. */
+        /** The server does not read, so that an abort can't be written. */
         NOT_READING
     }
 
-    /** A response that has not grown over so many sweeps has stopped; gaps of 36 ms were seen in normal operation. */
+    /** Sweeps without progress after which a response counts as stalled; normal operation shows gaps of up to 36 ms. */
     private static final int INCOMPLETE_RESPONSE_SWEEPS = 4;
-    /** An abort is written in the I/O thread's next turn unless the server reads nothing: not so at two sweeps. */
+    /**
+     * Sweeps in a row that find an unwritten abort before the server counts as not reading. While the server reads, an
+     * abort is written in the next iteration of the I/O thread.
+     */
     private static final int NOT_READING_SWEEPS = 2;
 
-    /** Bytes read on the connection where a response has begun and not ended; else 0. */
+    /** Number of bytes read on the connection if a response was received in part, otherwise 0. */
     private volatile long incompleteAtByte;
 
     private long incompleteAtLastSweep;
@@ -28,10 +32,10 @@
     private int sweepsWithUnwrittenAborts;
 
     /**
-     * Bytes were read and parsed; from the I/O thread.
+     * Called when bytes were read and parsed, on the I/O thread.
      *
-     * @param totalBytes bytes read on the connection so far
-     * @param insideResponse whether a response has begun and not ended
+     * @param totalBytes number of bytes read on the connection since it was established
+     * @param insideResponse whether a response was received in part
      */
     void bytesRead(long totalBytes, boolean insideResponse) {
         incompleteAtByte = insideResponse ? totalBytes : 0;
@@ -45,7 +49,7 @@
         unwrittenAborts--;
     }
 
-    /** Looks once more; to be called at a steady interval. */
+    /** Checks for progress since the last sweep. Must be called at a constant interval. */
     Stall sweep() {
         if (responseStandsStill()) {
             return Stall.INCOMPLETE_RESPONSE;
--- a/src/main/java/petrelplank/upstream/StalledConnections.java
+++ b/src/main/java/petrelplank/upstream/StalledConnections.java
@@ -5,9 +5,9 @@
 import petrelplank.proxy.EventLoop;
 
 /**
- * Closes connections on which nothing moves any more. A response that stops short hides all that comes behind it while
- * the connection stays open; a server that reads nothing gets no abort, and closing the connection gives up what is
- * in flight on it. Event thread only.
+ * Periodically closes connections that make no progress. An incomplete response blocks all responses after it for as
+ * long as its connection is open. A server that does not read never receives an abort, so closing the connection is the
+ * only way to abort the attempts in flight on it. Event thread only.
  */
 final class StalledConnections {
     private static final long SWEEP_INTERVAL_US = 75_000;
@@ -16,14 +16,20 @@
     private final Collection<UpstreamConnection> connections;
     private final UpstreamFaultLog faults;
 
-    /** Watches a collection of connections, which its owner adds to and removes from. */
+    /**
+     * Creates a monitor that is not started yet.
+     *
+     * @param loop the event loop on which the connections are checked
+     * @param connections the connections to check, a live view
+     * @param faults counts and logs the connections that are closed
+     */
     StalledConnections(EventLoop loop, Collection<UpstreamConnection> connections, UpstreamFaultLog faults) {
         this.loop = loop;
         this.connections = connections;
         this.faults = faults;
     }
 
-    /** Begins to sweep; from any thread. */
+    /** Starts the periodic sweeps. May be called on any thread. */
     void start() {
         loop.post(this::sweep);
     }
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -9,20 +9,21 @@
 import petrelplank.proxy.Attempt;
 
 /**
- * One connection to a server, from the start of its connect to its close, with the attempts open on it. Attempts sent
- * before it is made wait for that. Event thread only, but for the {@link StallDetector}.
+ * A connection to an upstream server and its open attempts, from the start of the connect until the connection closes.
+ * Attempts sent before it is established are written as soon as it is. Event thread only, except for the
+ * {@link StallDetector}.
  */
 final class UpstreamConnection {
-    /** Bytes that a server may leave unread before nothing more is sent to it. */
+    /** Unwritten bytes at which no further attempt is sent on the connection: the server reads too slowly. */
     private static final long MAX_UNREAD_BYTES = 1 << 20;
-    /** A connection is retired once it remembers more aborted requests than this many times its streams. */
+    /** A connection is retired if its aborted requests exceed this multiple of the maximum of open attempts. */
     private static final int MAX_ABORTED_PER_STREAM = 4;
 
     /**
-     * An attempt on this connection.
+     * An attempt that was sent on this connection and has not ended.
      *
      * @param attempt the attempt
-     * @param command its command; null as long as the connection is not made
+     * @param command its command; null until the connection is established
      */
     record OpenAttempt(Attempt attempt, EncodedCommand command) {}
 
@@ -30,9 +31,12 @@
     private final int maxStreams;
     private final long createdUs;
     private long lastActivityUs;
-    /** It accepts nothing new and is closed once no attempt is open on it; also possible before it is made. */
+    /**
+     * Whether the connection accepts no further attempts and closes once none is open. This may be set before the
+     * connection is established.
+     */
     private boolean retiring;
-    /** Null until the connection is made. */
+    /** Null until the connection is established. */
     private IoSession session;
 
     private final Map<String, OpenAttempt> open = new LinkedHashMap<>();
@@ -54,7 +58,7 @@
         return createdUs;
     }
 
-    /** When the server last showed that it is there: when the connection was made, or with a response. */
+    /** Returns when the server last responded or, before that, when the connection was established. */
     long lastActivityUs() {
         return lastActivityUs;
     }
@@ -75,12 +79,15 @@
         return open.size();
     }
 
-    /** Whether an attempt of the request was sent here before, so that a late response could be to either. */
+    /**
+     * Returns whether an attempt of the request was already sent on this connection, so that a late response to it
+     * could be taken for the response to another attempt.
+     */
     boolean hasCarried(String requestId) {
         return open.containsKey(requestId) || history.contains(requestId);
     }
 
-    /** Whether a further attempt may be sent here. */
+    /** Returns whether an attempt of the request may be sent on this connection. */
     boolean accepts(String requestId) {
         return !retiring
                 && open.size() < maxStreams
@@ -88,7 +95,7 @@
                 && (session == null || !session.isClosing() && session.getScheduledWriteBytes() < MAX_UNREAD_BYTES);
     }
 
-    /** The connection is made: what waited for it is written. */
+    /** Called when the connection is established: writes the attempts that were sent before. */
     void connected(IoSession newSession, long nowUs) {
         session = newSession;
         lastActivityUs = nowUs;
@@ -97,13 +104,13 @@
         waiting.forEach(attempt -> write(attempt, nowUs));
     }
 
-    /** Responses were received. */
+    /** Called when at least one response was received. */
     void responseReceived(long nowUs) {
         lastActivityUs = nowUs;
         server.responseReceived();
     }
 
-    /** Sends an attempt, at once or when the connection is made. */
+    /** Sends an attempt at once, or as soon as the connection is established. */
     void send(Attempt attempt, long nowUs) {
         if (session == null) {
             open.put(attempt.request().id(), new OpenAttempt(attempt, null));
@@ -120,12 +127,13 @@
     }
 
     /**
-     * Gives an attempt up. A command not written yet never is; one written in part, as where the server reads nothing,
-     * can't be taken back and would be completed later: then the connection is closed.
+     * Aborts an attempt. If its command is still queued, it is withdrawn and never written. If the command was written
+     * in part, for example because the server does not read, the rest would still be written later; the connection is
+     * closed to prevent that. If it was written completely, an abort command is sent.
      *
-     * @param onAbortWritten run in the I/O thread once the abort is written; never where the connection closes before
-     * @return whether an abort waits to be written, or the connection is being closed: until then the attempt is in
-     *     flight
+     * @param attempt the attempt
+     * @param onAbortWritten run on the I/O thread once the abort is written; not run if the connection closes first
+     * @return whether the attempt is still in flight, until the abort is written or the connection has closed
      */
     boolean abort(Attempt attempt, Runnable onAbortWritten) {
         String requestId = attempt.request().id();
@@ -149,7 +157,7 @@
         DefaultWriteFuture future = new DefaultWriteFuture(session);
         EncodedCommand command = new EncodedCommand(CommandEncoder.abort(requestId), future, () -> true);
         stallDetector.abortQueued();
-        // MINA reports a write as done also where it drops it because the connection is being closed.
+        // MINA also completes the future if it drops the write because the connection is being closed.
         future.addListener(completed -> {
             if (command.isFullyWritten(session)) {
                 onWritten.run();
@@ -158,7 +166,11 @@
         session.getFilterChain().fireFilterWrite(command);
     }
 
-    /** Takes back an attempt of which nothing has been written; false where its writing may have begun. */
+    /**
+     * Removes an attempt if no byte of its command has been written.
+     *
+     * @return false if the attempt is not open, or if part of its command may have been written
+     */
     boolean withdraw(Attempt attempt) {
         OpenAttempt held = open.get(attempt.request().id());
         if (held == null || session != null && !held.command().withdraw()) {
@@ -168,36 +180,38 @@
         return true;
     }
 
-    /** Removes an answered attempt; null where none is open under the id. */
+    /** Removes the attempt that a response belongs to; returns null if no attempt of the request is open. */
     Attempt removeAnswered(String requestId) {
         OpenAttempt held = open.remove(requestId);
         return held == null ? null : held.attempt();
     }
 
-    /** Keeps retries of a request off this connection, where a second response to its last attempt may still come. */
+    /** Prevents retries of a request on this connection: a duplicate response to its last attempt may still arrive. */
     void refuseRetriesOf(String requestId) {
         history.addAnswered(requestId);
     }
 
-    /** Removes all attempts, in the order in which they were sent. */
+    /** Removes and returns all open attempts, in the order in which they were sent. */
     List<OpenAttempt> removeAll() {
         List<OpenAttempt> all = new ArrayList<>(open.values());
         open.clear();
         return all;
     }
 
-    /** Whether any byte of an attempt's command may have been written: otherwise it can't have been executed. */
+    /**
+     * Returns whether the server may have executed an attempt: at least one byte of its command may have been written.
+     */
     boolean mayHaveExecuted(OpenAttempt held) {
         return session != null && held.command().isPartlyWritten(session);
     }
 
-    /** Accepts nothing new from now on, and closes once no attempt is open. */
+    /** Accepts no further attempts from now on, and closes the connection once no attempt is open. */
     void retire() {
         retiring = true;
         closeIfDone();
     }
 
-    /** Closes the connection where it is retiring and no attempt is open on it. */
+    /** Closes the connection if it is being retired and no attempt is open. */
     void closeIfDone() {
         if (retiring && isIdle()) {
             close();
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -14,12 +14,16 @@
 import petrelplank.upstream.UpstreamConnection.OpenAttempt;
 
 /**
- * The connections to upstream servers, by server id: an address may pass from a removed server to a new one. It knows
- * which connection carries which attempt, and ends or resends attempts when their connection is lost. All state
- * belongs to the event thread; MINA's threads parse and post.
+ * The connections to upstream servers. Servers are identified by id, since a new server may reuse the address of a
+ * removed one. The pool tracks the connection of each attempt, and ends or resends attempts when a connection is lost.
+ * All state is confined to the event thread; MINA's threads only parse responses and post them to it.
  */
 public final class UpstreamConnectionPool implements UpstreamClient {
-    /** After so many connections to a server lost in a row before a command was written, it counts as down. */
+    /**
+     * Consecutive resets of connections to a server, with no response in between, up to which attempts that were not
+     * written are resent. Beyond it, these attempts end with {@link AttemptStatus#CONNECT_FAILED}, as if the server
+     * were down.
+     */
     private static final int MAX_RESETS_IN_A_ROW = 3;
 
     private final EventLoop loop;
@@ -28,20 +32,20 @@
     private final UpstreamConnector connector;
     private final ConnectionSelector selector;
     private final Map<String, UpstreamServer> servers = new HashMap<>();
-    /** The connection of each attempt in flight: its server may have been removed meanwhile. */
+    /** The connection of each attempt in flight. Its server may no longer be in {@link #servers}. */
     private final Map<Attempt, UpstreamConnection> carriers = new HashMap<>();
 
     private final PendingAborts pendingAborts = new PendingAborts();
     private final UpstreamFaultLog faults = new UpstreamFaultLog();
 
     /**
-     * A pool without servers.
+     * Creates a pool without servers, and starts to check its connections for stalls.
      *
-     * @param loop the event thread
-     * @param forwarder learns of the ends of attempts
-     * @param sockets makes connections; its handler is set here
+     * @param loop the event loop that all state is confined to
+     * @param forwarder notified when an attempt ends
+     * @param sockets the MINA connector; its handler, write queues and connect timeout are set here
      * @param limits limits on connections
-     * @param loadFieldNames names of the values in load reports
+     * @param loadFieldNames names of the values in load reports, in the order in which responses return them
      */
     public UpstreamConnectionPool(
             EventLoop loop,
@@ -111,7 +115,8 @@
             pendingAborts.abortQueued(requestId, connection);
         }
         boolean silentSinceSent = connection.lastActivityUs() < attempt.sentUs();
-        // Guards against a machine that vanished: connections to it stay open and silent for ever.
+        // A connection to a machine that has vanished stays open without any response. Retiring the connection keeps
+        // further attempts off it.
         if (silentSinceSent && loop.now() - attempt.sentUs() > limits.connectTimeoutUs()) {
             connection.retire();
         } else {
@@ -129,7 +134,7 @@
         return "upstream connections " + connector.connections().size() + ", " + faults.counts();
     }
 
-    /** Hands what happens on connections on to the attempts that they carry. */
+    /** Ends or resends attempts according to the events of the connections that they were sent on. */
     private final class AttemptCarrier implements ConnectionListener {
         @Override
         public void responsesReceived(UpstreamConnection connection, List<UpstreamResponse> responses) {
@@ -169,8 +174,9 @@
                 if (connection.mayHaveExecuted(held)) {
                     end(held.attempt(), AttemptStatus.RESET);
                 } else if (mayResend) {
-                    // Guards a good server against being taken for down: a reset, or its close of an idle connection,
-                    // crossed a command of which nothing was written, so nothing ran; a new connection will show.
+                    // Nothing of the command was written, so the server has not executed it. The server reset the
+                    // connection, or closed it as idle, just before. Resending on a new connection shows whether the
+                    // server is down, instead of assuming so.
                     dispatch(held.attempt());
                 } else {
                     end(held.attempt(), AttemptStatus.CONNECT_FAILED);
--- a/src/main/java/petrelplank/upstream/UpstreamConnector.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnector.java
@@ -13,11 +13,11 @@
 import petrelplank.upstream.ConnectionListener.LossCause;
 
 /**
- * Makes connections to upstream servers and knows all that are there, made or being made. Each holds a place of the
- * descriptor budget, which the I/O processor gives back when it closes. Event thread only.
+ * Opens connections to upstream servers and tracks all that are established or being established. Each holds a place in
+ * the descriptor budget, which the I/O processor releases when the connection closes. Event thread only.
  */
 final class UpstreamConnector {
-    /** How long a connection that failed to be made may still hold its descriptor. */
+    /** How long a failed connect may still hold its descriptor. */
     private static final long FAILED_CONNECT_CLOSE_US = 100_000;
 
     private final EventLoop loop;
@@ -27,11 +27,13 @@
     private final Set<UpstreamConnection> connections = new LinkedHashSet<>();
 
     /**
-     * A connector without connections.
+     * Creates a connector without connections.
      *
-     * @param sockets makes the sockets; its handler, queues and timeout are set here
-     * @param listener learns what happens on the connections
-     * @param loadFieldNames names of the values in load reports
+     * @param loop the event loop that all state is confined to
+     * @param sockets the MINA connector; its handler, write queues and connect timeout are set here
+     * @param limits limits on connections
+     * @param listener receives the events of the connections
+     * @param loadFieldNames names of the values in load reports, in the order in which responses return them
      */
     UpstreamConnector(
             EventLoop loop,
@@ -45,20 +47,20 @@
         this.listener = listener;
         sockets.setHandler(new UpstreamIoHandler(loop, listener, loadFieldNames));
         sockets.setSessionDataStructureFactory(new CommandQueue.Factory());
-        // Guards good servers while the proxy itself is held up: MINA's connecting thread looks at connections that
-        // were made before those that timed out. A timer of the event thread would fire while that thread waits for
-        // its turn.
+        // MINA's connector thread handles established connections before connects that timed out, so a pause of the
+        // proxy does not make a healthy server look unreachable. A timer on the event thread could fire before the
+        // connector thread gets to run.
         sockets.setConnectTimeoutMillis(Math.max(1, limits.connectTimeoutUs() / 1000));
     }
 
-    /** All connections, oldest first; a view that changes with them. */
+    /** Returns an unmodifiable live view of all connections, oldest first. */
     Collection<UpstreamConnection> connections() {
         return Collections.unmodifiableSet(connections);
     }
 
-    /** Starts to connect to a server; to be called only where the descriptor budget has a free place. */
+    /** Starts a connect to a server. Must only be called if the descriptor budget has a free place. */
     UpstreamConnection connect(UpstreamServer server) {
-        // Only the event thread takes places of this budget, so the caller's look at it still holds.
+        // Always succeeds: the caller has checked for a free place, and only the event thread acquires any.
         limits.descriptors().tryAcquire();
         UpstreamConnection connection = new UpstreamConnection(server, limits.maxStreams(), loop.now());
         server.add(connection);
@@ -70,7 +72,7 @@
         return connection;
     }
 
-    /** Starts to connect to a server for one attempt alone: the connection accepts no other. */
+    /** Starts a connect for a single attempt: the connection is retired at once, so that no other is sent on it. */
     UpstreamConnection connectDedicated(UpstreamServer server) {
         UpstreamConnection connection = connect(server);
         connection.retire();
@@ -83,17 +85,17 @@
             connection.closeIfDone();
             return;
         }
-        // MINA's connecting thread closes the descriptor after it has reported the failure, in its next turn.
+        // MINA's connector thread reports the failure first, and closes the descriptor in its next iteration.
         loop.at(loop.now() + FAILED_CONNECT_CLOSE_US, limits.descriptors()::release);
-        // MINA reports a timeout in the same way as a refusal; any other exception is a reset on the way.
+        // MINA reports a timeout and a refusal as ConnectException; any other exception is a reset during the connect.
         boolean unreachable = future.getException() instanceof ConnectException;
         listener.connectionLost(connection, unreachable ? LossCause.UNREACHABLE : LossCause.RESET);
     }
 
     /**
-     * Forgets a connection that is lost.
+     * Removes a lost connection.
      *
-     * @return false where it was forgotten before
+     * @return false if it was already removed
      */
     boolean remove(UpstreamConnection connection) {
         if (!connections.remove(connection)) {
--- a/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
+++ b/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
@@ -2,9 +2,10 @@
 
 import java.util.logging.Logger;
 
-/** Counts faults of upstream servers, and logs one in some of them. Event thread only. */
+/** Counts protocol faults of upstream servers and logs a sample of each kind. Event thread only. */
 final class UpstreamFaultLog {
     private static final Logger LOG = Logger.getLogger(UpstreamFaultLog.class.getName());
+    /** Of each kind of fault, the first and then every 25th are logged. */
     private static final int LOGGED_ONE_IN = 25;
 
     private long malformed;
@@ -12,36 +13,40 @@
     private long notReading;
     private long unsolicited;
 
-    /** A server sent bytes that are not a response. */
+    /** Called when a server sent bytes that are not a valid response. */
     void malformed(String server, MalformedException fault) {
         if (malformed++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("malformed response from " + server + ", connection closed: " + fault.getMessage() + ", "
-                    + malformed + " so far");
+            LOG.warning("malformed response from server " + server + ", connection closed: " + fault.getMessage()
+                    + "; malformed responses from all servers so far: " + malformed);
         }
     }
 
-    /** A response stopped before its end. */
+    /** Called when the rest of a partly received response does not arrive. */
     void incompleteResponse(String server) {
         if (incomplete++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("incomplete response from " + server + ", connection closed, " + incomplete + " so far");
+            LOG.warning("incomplete response from server " + server
+                    + ", connection closed; incomplete responses from all servers so far: " + incomplete);
         }
     }
 
-    /** A server reads nothing of what it is sent. */
+    /** Called when a server does not read what it is sent. */
     void notReading(String server) {
         if (notReading++ % LOGGED_ONE_IN == 0) {
-            LOG.warning(server + " does not read, connection closed, " + notReading + " so far");
+            LOG.warning("server " + server
+                    + " does not read, connection closed; connections to all servers closed for this so far: "
+                    + notReading);
         }
     }
 
-    /** A response came that no attempt waits for. */
+    /** Called when a response was received for which no attempt is open. */
     void unsolicitedResponse() {
         unsolicited++;
     }
 
-    /** The counts in one line. */
+    /** Returns all counts in one line, for the log. */
     String counts() {
-        return "malformed " + malformed + ", incomplete " + incomplete + ", not reading " + notReading
-                + ", unsolicited responses " + unsolicited;
+        return "malformed responses " + malformed + ", incomplete responses " + incomplete
+                + ", connections closed because the server did not read " + notReading + ", unsolicited responses "
+                + unsolicited;
     }
 }
--- a/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
+++ b/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
@@ -9,7 +9,10 @@
 import petrelplank.proxy.UpstreamResponse;
 import petrelplank.upstream.ConnectionListener.LossCause;
 
-/** The I/O thread's side of upstream connections: parses, and posts typed values to the event thread. */
+/**
+ * Handles the I/O events of upstream connections on the I/O threads: parses responses, and posts them and the loss of
+ * connections to the event thread.
+ */
 final class UpstreamIoHandler extends IoHandlerAdapter {
     private final EventLoop loop;
     private final ConnectionListener listener;
@@ -21,7 +24,7 @@
         this.loadFieldNames = loadFieldNames;
     }
 
-    /** Ties a session that is being made to its connection. */
+    /** Associates a MINA session that is being created with its connection. */
     static void bind(IoSession session, UpstreamConnection connection) {
         session.setAttribute(UpstreamConnection.class, connection);
     }
--- a/src/main/java/petrelplank/upstream/UpstreamServer.java
+++ b/src/main/java/petrelplank/upstream/UpstreamServer.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listed upstream server and its connections. Event thread only. */
+/** A server from the endpoint list and its connections. Event thread only. */
 final class UpstreamServer {
     private final String id;
     private final InetSocketAddress address;
@@ -33,8 +33,12 @@
     }
 
     /**
-     * The connection with the fewest open attempts that accepts a request; null where none does. A connection idle
-     * since before a time is retired, as a guard against a command that crosses the server's own close of it.
+     * Returns the connection with the fewest open attempts that accepts a request. Connections that have been idle for
+     * too long are retired first: the server may be closing them while a command is on its way.
+     *
+     * @param requestId the id of the request
+     * @param idleSinceUs idle connections without activity since this time are retired
+     * @return the connection; null if none accepts the request
      */
     UpstreamConnection leastLoaded(String requestId, long idleSinceUs) {
         UpstreamConnection best = null;
@@ -49,19 +53,22 @@
         return best;
     }
 
-    /** Whether an attempt of the request was sent on a connection that is still open. */
+    /** Returns whether an attempt of the request was sent on a connection that is still open. */
     boolean hasCarried(String requestId) {
         return connections.stream().anyMatch(connection -> connection.hasCarried(requestId));
     }
 
-    /** Connections that accept new attempts: those being retired must not keep a fresh one out. */
+    /**
+     * Returns the number of connections that are not being retired. Only these count towards the maximum per server, so
+     * that a connection being retired does not prevent a new one.
+     */
     long unretiredCount() {
         return connections.stream()
                 .filter(connection -> !connection.isRetiring())
                 .count();
     }
 
-    /** Retires connections made before a time: they belong to an earlier process of the server. */
+    /** Retires the connections created before the server last started: they belong to its previous process. */
     void retireOlderThan(long unixUs) {
         List.copyOf(connections).stream()
                 .filter(connection -> connection.createdUs() < unixUs)
@@ -72,15 +79,15 @@
         retireOlderThan(Long.MAX_VALUE);
     }
 
-    /** A response has come: the server is there. */
+    /** Called when a response was received, which ends a series of resets. */
     void responseReceived() {
         resetsInARow = 0;
     }
 
     /**
-     * Counts a connection lost to a reset.
+     * Counts a connection that was reset or closed.
      *
-     * @return connections lost so in a row, with no response between
+     * @return the number of consecutive resets, with no response in between
      */
     int countReset() {
         return ++resetsInARow;
--- a/src/main/java/petrelplank/upstream/package-info.java
+++ b/src/main/java/petrelplank/upstream/package-info.java
@@ -1,9 +1,10 @@
 /**
  * The client side towards caches, parents and the origin: connections, commands and responses.
  *
- * <p>{@link petrelplank.upstream.UpstreamConnectionPool} is the entry point. For an attempt, the
- * {@code ConnectionSelector} chooses or makes an {@code UpstreamConnection}, the {@code CommandEncoder} writes the
- * command, the I/O thread's {@code UpstreamIoHandler} parses the response and posts it to the event thread, which owns
- * all state here. Aborts, lost and stalled connections end or resend attempts.
+ * <p>{@link petrelplank.upstream.UpstreamConnectionPool} is the entry point. For each attempt, the
+ * {@code ConnectionSelector} selects an {@code UpstreamConnection} or opens a new one, and the {@code CommandEncoder}
+ * encodes the command. The {@code UpstreamIoHandler} parses the response on the I/O thread and posts it to the event
+ * thread, which all state of this package is confined to. When a connection is lost, or closed because it stalled, its
+ * attempts end or are resent.
  */
 package petrelplank.upstream;
