--- a/src/test/java/petrelplank/upstream/ConnectionLimitsTest.java
+++ b/src/test/java/petrelplank/upstream/ConnectionLimitsTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectionLimitsTest {
-    /** However many proxies a zone gets, the connections that they keep to one server are bounded: 32, or one each. */
+    /** All proxies of a zone together keep at most 32 connections to a server, or one each if there are more. */
     @Test
     void connectionsOfAllProxiesToOneServerAreBounded() {
         int previous = 9;
         for (int proxies = 1; proxies <= 1000; proxies++) {
             int each = ConnectionLimits.maxPerServer(proxies);
-            assertTrue(each >= 1 && each <= previous, "proxies " + proxies + " keep " + each);
-            assertTrue(each * proxies <= Math.max(32, proxies), "proxies " + proxies + " keep " + each);
+            assertTrue(each >= 1 && each <= previous, proxies + " proxies, connections of each: " + each);
+            assertTrue(each * proxies <= Math.max(32, proxies), proxies + " proxies, connections of each: " + each);
             previous = each;
         }
         assertEquals(8, ConnectionLimits.maxPerServer(1));
--- a/src/test/java/petrelplank/upstream/FakeServer.java
+++ b/src/test/java/petrelplank/upstream/FakeServer.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on a free port that queues the lines it receives, for loopback tests to read and reply to. */
+/** A server on a free loopback port that queues the lines it receives, so that tests can read them and reply. */
 public final class FakeServer implements AutoCloseable {
     private static final int MAX_WAIT_S = 20;
 
-    /** One line, and the connection on which it was received. */
+    /** A received line and its connection. */
     public record Line(Socket socket, String text) {
-        /** The word at an index, from 0. */
+        /** Returns the space-separated word at an index, counted from 0. */
         public String word(int index) {
             return text.split(" ")[index];
         }
 
-        /** Writes text to the line's connection, as it is. */
+        /** Writes text unchanged to the line's connection. */
         public void reply(String response) throws IOException {
             socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
         }
@@ -40,7 +40,7 @@
     private final BlockingQueue<Line> lines = new LinkedBlockingQueue<>();
     private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
 
-    /** Listens on a free port. */
+    /** Starts to listen on a free port. */
     public FakeServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         accepting = startDaemon(this::accept);
@@ -60,7 +60,7 @@
                 startDaemon(() -> read(socket));
             }
         } catch (IOException e) {
-            // closed: the test is over
+            // the test has closed the listening socket
         }
     }
 
@@ -74,44 +74,44 @@
                 }
             }
         } catch (IOException e) {
-            // reset or closed by the test
+            // the connection was reset, or closed by the test
         }
         ended.add(socket);
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens on, as HOST:PORT. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Waits for the next line, on any connection. */
+    /** Waits for the next line on any connection. */
     public Line next() throws InterruptedException {
         Line line = lines.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         if (line == null) {
-            throw new AssertionError("no line was received");
+            throw new AssertionError("no line was received within " + MAX_WAIT_S + " s");
         }
         return line;
     }
 
-    /** Waits for the next connection that ends. */
+    /** Waits for the next connection to end; returns null if none does in time. */
     public Socket ended() throws InterruptedException {
         return ended.poll(MAX_WAIT_S, TimeUnit.SECONDS);
     }
 
-    /** Whether no line is queued. */
+    /** Returns whether no line is queued. */
     public boolean quiet() {
         return lines.isEmpty();
     }
 
-    /** Stops listening and waits until connections are refused: an accept under way may still take one after a close. */
+    /** Stops listening and waits until connections are refused; a pending accept may succeed even after the close. */
     public void refuse() throws IOException, InterruptedException {
         int port = listener.getLocalPort();
         listener.close();
         accepting.join();
         try (Socket accepted = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
-            throw new AssertionError("still accepted at " + accepted.getPort());
+            throw new AssertionError("connection still accepted on closed port " + accepted.getPort());
         } catch (ConnectException e) {
-            // as expected
+            // expected: the connection is refused
         }
     }
 
--- a/src/test/java/petrelplank/upstream/PendingAbortsTest.java
+++ b/src/test/java/petrelplank/upstream/PendingAbortsTest.java
@@ -18,7 +18,7 @@
     private final UpstreamConnection other = new UpstreamConnection(server, 100, 0);
     private final PendingAborts pendingAborts = new PendingAborts();
 
-    /** Where hedging is not allowed, the next attempt waits for the abort of the last, or its connection's end. */
+    /** Without hedging, the next attempt waits until the abort of the last is written or its connection has closed. */
     @Test
     void nextAttemptIsHeldBackUntilTheLastIsAbortedOnTheWire() {
         Attempt second = Attempts.of(REQUEST, 1);
--- a/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
@@ -20,9 +20,9 @@
 import petrelplank.proxy.ResponseChannel;
 import petrelplank.upstream.StallDetector.Stall;
 
-/** A command aborted before it was written never is; one aborted half written ends its connection. */
+/** An aborted command that is still queued is never written; one that is partly written closes its connection. */
 class UpstreamConnectionTest {
-    /** A session with a server that reads nothing: commands wait until the test writes them. */
+    /** A session with a server that does not read: commands stay queued until the test writes them. */
     private static final class UnreadSession extends DummySession {
         private final CommandQueue queue = new CommandQueue();
 
@@ -31,7 +31,7 @@
             suspendWrite();
         }
 
-        /** Writes up to so many bytes of what waits, as the I/O thread does; the bytes written. */
+        /** Writes at most {@code maxBytes} bytes of queued commands, as the I/O thread does; returns them as text. */
         String write(int maxBytes) {
             StringBuilder out = new StringBuilder();
             for (WriteRequest next = queue.poll(this); next != null; next = queue.poll(this)) {
@@ -72,15 +72,18 @@
                 attempt, () -> writtenAborts.add(attempt.request().id()));
     }
 
-    /** It used to be written once the server read again, after the request's final response, with its abort behind it. */
+    /**
+     * Guards against writing an aborted command, followed by its abort, once the server reads again. By then the client
+     * already has its final response.
+     */
     @Test
     void commandAbortedWhileQueuedIsNeverWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
-        assertFalse(abort(first), "an abort of a command that was never written");
+        assertFalse(abort(first), "an abort is pending for a command that was never written");
         String out = session.write(ALL);
         assertTrue(out.startsWith("fetch bbbbbbbbbbbbbbbb ") && !out.contains("aaaaaaaaaaaaaaaa"), out);
-        assertEquals(0, session.getScheduledWriteBytes(), "the bytes withdrawn are still counted");
+        assertEquals(0, session.getScheduledWriteBytes(), "bytes of the withdrawn command still count as scheduled");
     }
 
     @Test
@@ -90,14 +93,17 @@
         assertTrue(abort(first));
         assertEquals(List.of(), writtenAborts);
         assertEquals(Stall.NONE, connection.stallDetector().sweep());
-        assertEquals(Stall.NOT_READING, connection.stallDetector().sweep(), "an abort waits over two sweeps");
+        assertEquals(Stall.NOT_READING, connection.stallDetector().sweep(), "an abort is unwritten for two sweeps");
         assertEquals("abort aaaaaaaaaaaaaaaa\r\n", session.write(ALL));
         assertEquals(List.of("aaaaaaaaaaaaaaaa"), writtenAborts);
         connection.stallDetector().abortWritten();
         assertEquals(Stall.NONE, connection.stallDetector().sweep());
     }
 
-    /** The next attempt used to be sent before the close that aborts this one: MINA closes after all queued writes. */
+    /**
+     * Guards against sending the next attempt while this one is still in flight: MINA completes dropped writes before
+     * it closes the connection, and it is the close that aborts this attempt.
+     */
     @Test
     void abortDroppedWithItsConnectionDoesNotCountAsWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
@@ -126,7 +132,10 @@
         assertFalse(connection.mayHaveExecuted(open.get(1)));
     }
 
-    /** Where settings allow no cancellation, nothing withdraws the command of a disconnected client; it is not written. */
+    /**
+     * If the settings disable cancellation, the command of a disconnected client is not withdrawn. The queue must skip
+     * it nevertheless.
+     */
     @Test
     void commandOfADisconnectedClientIsNeverWritten() {
         AtomicBoolean disconnected = new AtomicBoolean();
@@ -134,11 +143,11 @@
         connection.send(first, 0);
         disconnected.set(true);
         assertEquals("", session.write(ALL));
-        assertTrue(connection.withdraw(first), "a skipped command counts as never written");
+        assertTrue(connection.withdraw(first), "a skipped command must count as never written");
         assertFalse(connection.withdraw(first));
     }
 
-    /** The connection is made late: commands that wait for it are written only where their clients still wait. */
+    /** When the connection is established, only those commands are written whose clients are still connected. */
     @Test
     void commandOfADisconnectedClientIsNotWrittenWhenTheConnectionIsMade() {
         UpstreamConnection late = new UpstreamConnection(connection.server(), 100, 0);
--- a/src/test/java/petrelplank/wire/ParserFuzzer.java
+++ b/src/test/java/petrelplank/wire/ParserFuzzer.java
@@ -4,9 +4,9 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** Feeds bytes to a parser in random fragments, and corrupts them, for the tests of all parsers. */
+/** Splits input into random fragments and corrupts it, for the tests of all protocol parsers. */
 public final class ParserFuzzer {
-    /** One fragment in this many has a single byte. */
+    /** On average, one in this many fragments is forced to a single byte. */
     private static final int SINGLE_BYTE_ONE_IN = 3;
 
     private static final int MAX_CORRUPTED_BYTES = 4;
@@ -14,7 +14,7 @@
 
     private ParserFuzzer() {}
 
-    /** Hands the bytes on in fragments drawn from a seed; some are of one byte. The parser has to take all of each. */
+    /** Feeds bytes to a parser in pseudo-random fragments, some of a single byte; it must consume each fully. */
     public static void feed(byte[] bytes, long seed, Consumer<ByteBuffer> parser) {
         Random random = new Random(seed);
         for (int at = 0; at < bytes.length; ) {
@@ -23,12 +23,12 @@
             at += length;
             parser.accept(fragment);
             if (fragment.hasRemaining()) {
-                throw new AssertionError("the parser left " + fragment.remaining() + " bytes");
+                throw new AssertionError("parser left unread bytes in a fragment: " + fragment.remaining());
             }
         }
     }
 
-    /** A copy in which a few bytes are changed, so that it often gets past the checks of the first bytes. */
+    /** Returns a copy with at most 4 corrupted bytes; so few that it often passes the first checks of a parser. */
     public static byte[] corrupt(byte[] message, long seed) {
         Random random = new Random(seed);
         byte[] corrupted = message.clone();
@@ -38,7 +38,7 @@
         return corrupted;
     }
 
-    /** Whether a parser accepted the bytes, or rejected them with the exception that ends a connection. */
+    /** Returns whether a parser accepts the bytes, or rejects them with the exception that closes a connection. */
     public static boolean acceptsOrRejects(
             byte[] bytes, long seed, Class<? extends RuntimeException> rejection, Consumer<ByteBuffer> parser) {
         try {
--- a/src/test/java/petrelplank/wire/package-info.java
+++ b/src/test/java/petrelplank/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers for the tests of all parsers. */
+/** Shared helpers for the tests of the protocol parsers. */
 package petrelplank.wire;
