--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -6,7 +6,7 @@
 
 /** Encodes the commands of the line protocol that caches, parents and the origin understand. */
 final class CommandEncoder {
-    private static final int USUAL_HEADER_LENGTH = 160;
+    private static final int INITIAL_HEADER_CAPACITY = 160;
     private static final byte[] CR_LF = {'\r', '\n'};
 
     private CommandEncoder() {}
@@ -18,8 +18,8 @@
      * @param limitMs how long the proxy waits for the response, in milliseconds
      * @return the encoded command
      */
-    static byte[] fetch(UpstreamRequest request, long limitMs) {
-        byte[] header = header(request, limitMs).getBytes(StandardCharsets.ISO_8859_1);
+    static byte[] encodeFetch(UpstreamRequest request, long limitMs) {
+        byte[] header = encodeHeader(request, limitMs).getBytes(StandardCharsets.ISO_8859_1);
         byte[] body = request.body();
         byte[] command = new byte[header.length + body.length + CR_LF.length];
         System.arraycopy(header, 0, command, 0, header.length);
@@ -29,12 +29,12 @@
     }
 
     /** Encodes the command that aborts a request: the proxy no longer waits for its response. */
-    static byte[] abort(String requestId) {
+    static byte[] encodeAbort(String requestId) {
         return ("abort " + requestId + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String header(UpstreamRequest request, long limitMs) {
-        StringBuilder header = new StringBuilder(USUAL_HEADER_LENGTH);
+    private static String encodeHeader(UpstreamRequest request, long limitMs) {
+        StringBuilder header = new StringBuilder(INITIAL_HEADER_CAPACITY);
         header.append("fetch ").append(request.id());
         header.append(" cls=").append(request.serviceClass());
         header.append(",item=").append(request.object());
--- a/src/main/java/petrelplank/upstream/CommandQueue.java
+++ b/src/main/java/petrelplank/upstream/CommandQueue.java
@@ -21,31 +21,31 @@
         }
     }
 
-    private final Queue<WriteRequest> waiting = new ConcurrentLinkedQueue<>();
+    private final Queue<WriteRequest> commands = new ConcurrentLinkedQueue<>();
 
     @Override
     public WriteRequest poll(IoSession session) {
-        WriteRequest next = waiting.poll();
+        WriteRequest next = commands.poll();
         while (next instanceof EncodedCommand command && !command.take(session)) {
             ((AbstractIoSession) session).decreaseScheduledBytesAndMessages(next);
-            next = waiting.poll();
+            next = commands.poll();
         }
         return next;
     }
 
     @Override
     public void offer(IoSession session, WriteRequest request) {
-        waiting.offer(request);
+        commands.offer(request);
     }
 
     @Override
     public boolean isEmpty(IoSession session) {
-        return waiting.isEmpty();
+        return commands.isEmpty();
     }
 
     @Override
     public void clear(IoSession session) {
-        waiting.clear();
+        commands.clear();
     }
 
     @Override
@@ -53,6 +53,6 @@
 
     @Override
     public int size() {
-        return waiting.size();
+        return commands.size();
     }
 }
--- a/src/main/java/petrelplank/upstream/ConnectionLimits.java
+++ b/src/main/java/petrelplank/upstream/ConnectionLimits.java
@@ -6,7 +6,7 @@
  * Limits on the connections to upstream servers.
  *
  * @param descriptors the budget of file descriptors for upstream connections
- * @param maxStreams maximum number of open attempts on one connection
+ * @param maxOpenAttempts maximum number of open attempts on one connection
  * @param connectTimeoutUs time after which a connection that is not established counts as failed, in microseconds
  * @param idleTimeoutUs time after which servers close an idle connection, in microseconds
  * @param maxPerServer maximum number of shared connections to one server, at least 1; see {@link #maxPerServer(int)}
@@ -14,7 +14,7 @@
  */
 public record ConnectionLimits(
         DescriptorBudget descriptors,
-        int maxStreams,
+        int maxOpenAttempts,
         long connectTimeoutUs,
         long idleTimeoutUs,
         int maxPerServer,
@@ -24,7 +24,7 @@
      * Maximum number of connections to one server from all proxies of a zone together. In a zone with more proxies
      * than this, each proxy keeps one connection.
      */
-    private static final int MAX_OF_ZONE = 32;
+    private static final int MAX_PER_SERVER_AND_ZONE = 32;
 
     /**
      * Computes how many shared connections a proxy keeps to one server. Dedicated connections, which carry a single
@@ -36,6 +36,6 @@
      * @return the maximum number of shared connections to one server, from 1 to 8
      */
     public static int maxPerServer(int proxiesInZone) {
-        return Math.max(1, Math.min(MAX_PER_SERVER, MAX_OF_ZONE / proxiesInZone));
+        return Math.max(1, Math.min(MAX_PER_SERVER, MAX_PER_SERVER_AND_ZONE / proxiesInZone));
     }
 }
--- a/src/main/java/petrelplank/upstream/ConnectionListener.java
+++ b/src/main/java/petrelplank/upstream/ConnectionListener.java
@@ -17,7 +17,7 @@
     void responsesReceived(UpstreamConnection connection, List<UpstreamResponse> responses);
 
     /** Called when the server sent bytes that are not a valid response; the connection is already being closed. */
-    void malformed(UpstreamConnection connection, MalformedException fault);
+    void malformedResponse(UpstreamConnection connection, MalformedResponseException exception);
 
     /** Called when a connect failed or a connection closed; may be called more than once per connection. */
     void connectionLost(UpstreamConnection connection, LossCause cause);
--- a/src/main/java/petrelplank/upstream/ConnectionSelector.java
+++ b/src/main/java/petrelplank/upstream/ConnectionSelector.java
@@ -9,9 +9,9 @@
      * Number of open attempts on the least loaded connection at which another connection is opened, up to the maximum
      * per server. It is kept low because a malformed response or a reset ends all attempts on its connection.
      */
-    private static final int SHARED_BY_FEW = 2;
+    private static final int ATTEMPTS_BEFORE_NEW_CONNECTION = 2;
     /** Idle time after which a connection is not reused, in tenths of the servers' idle timeout. */
-    private static final int REUSE_TENTHS = 7;
+    private static final int MAX_IDLE_TENTHS = 7;
 
     private final EventLoop loop;
     private final UpstreamConnector connector;
@@ -35,21 +35,21 @@
             // connection is reset before anything is written to it, the request was certainly not executed.
             return connector.connectDedicated(server);
         }
-        UpstreamConnection best =
-                server.leastLoaded(request.id(), loop.now() - limits.idleTimeoutUs() * REUSE_TENTHS / 10);
-        if (best == null && server.hasCarried(request.id()) && hasFreeDescriptor()) {
+        UpstreamConnection leastLoaded =
+                server.leastLoaded(request.id(), loop.now() - limits.idleTimeoutUs() * MAX_IDLE_TENTHS / 10);
+        if (leastLoaded == null && server.hasSent(request.id()) && hasFreeDescriptor()) {
             // A retry on the same server gets a connection of its own. On the earlier connection, a late response to
             // the first attempt would be taken for the response to the retry.
             return connector.connectDedicated(server);
         }
-        boolean mayAdd = server.unretiredCount() < limits.maxPerServer() && hasFreeDescriptor();
-        return mayAdd && wantsFurther(best) ? connector.connect(server) : best;
+        boolean mayAddConnection = server.activeConnectionCount() < limits.maxPerServer() && hasFreeDescriptor();
+        return mayAddConnection && shouldAddConnection(leastLoaded) ? connector.connect(server) : leastLoaded;
     }
 
-    private boolean wantsFurther(UpstreamConnection leastLoaded) {
-        boolean descriptorsArePlenty =
+    private boolean shouldAddConnection(UpstreamConnection leastLoaded) {
+        boolean lessThanHalfInUse =
                 limits.descriptors().inUse() < limits.descriptors().capacity() / 2;
-        return leastLoaded == null || leastLoaded.openCount() >= SHARED_BY_FEW && descriptorsArePlenty;
+        return leastLoaded == null || leastLoaded.openCount() >= ATTEMPTS_BEFORE_NEW_CONNECTION && lessThanHalfInUse;
     }
 
     private boolean hasFreeDescriptor() {
--- a/src/main/java/petrelplank/upstream/EncodedCommand.java
+++ b/src/main/java/petrelplank/upstream/EncodedCommand.java
@@ -24,7 +24,7 @@
 
     private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
     private final int length;
-    private final BooleanSupplier stillWanted;
+    private final BooleanSupplier stillNeeded;
     /**
      * Number of bytes written on the connection before this command. It is set just before the command is taken, when
      * all earlier commands have been written.
@@ -36,13 +36,13 @@
      *
      * @param bytes the encoded command
      * @param future completed when the command was written or dropped; null if no notification is needed
-     * @param stillWanted whether the command still has to be written; called on the I/O thread when the command reaches
+     * @param stillNeeded whether the command still has to be written; called on the I/O thread when the command reaches
      *     the head of the queue
      */
-    EncodedCommand(byte[] bytes, WriteFuture future, BooleanSupplier stillWanted) {
+    EncodedCommand(byte[] bytes, WriteFuture future, BooleanSupplier stillNeeded) {
         super(IoBuffer.wrap(bytes), future);
         this.length = bytes.length;
-        this.stillWanted = stillWanted;
+        this.stillNeeded = stillNeeded;
     }
 
     /**
@@ -51,7 +51,7 @@
      * @return false if the command was withdrawn or is no longer needed, and so must not be written
      */
     boolean take(IoSession session) {
-        if (!stillWanted.getAsBoolean()) {
+        if (!stillNeeded.getAsBoolean()) {
             withdraw();
             return false;
         }
--- a/src/main/java/petrelplank/upstream/MalformedResponseException.java
+++ b/src/main/java/petrelplank/upstream/MalformedResponseException.java
@@ -1,19 +1,19 @@
 package petrelplank.upstream;
 
 /** Thrown when an upstream server sent bytes that are not a valid response. Its connection can't be used any more. */
-final class MalformedException extends RuntimeException {
+final class MalformedResponseException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /** The protocol rule that the received bytes violate. */
     enum Reason {
-        LINE_TOO_LONG("header line is longer than " + ResponseParser.MAX_LINE_LENGTH + " bytes"),
+        LINE_TOO_LONG("header line is longer than " + ResponseParser.MAX_HEADER_LINE_BYTES + " bytes"),
         LINE_WITHOUT_CR("header line does not end with CR LF"),
         WRONG_WORD_COUNT("header line must have 4 words, number of words found"),
         EMPTY_REQUEST_ID("empty request id in the header line"),
         UNKNOWN_STATUS("unknown status word in the header line"),
         FIELD_WITHOUT_VALUE("header field is not of the form name=value"),
         NOT_A_FINITE_NUMBER("header field is not a finite decimal number"),
-        INVALID_BODY_LENGTH("body length is not a whole number from 0 to " + ResponseParser.MAX_BODY_LENGTH),
+        INVALID_BODY_LENGTH("body length is not a whole number from 0 to " + ResponseParser.MAX_BODY_BYTES),
         BODY_NOT_TERMINATED("body is not followed by CR LF");
 
         private final String description;
@@ -25,7 +25,7 @@
 
     private final Reason reason;
 
-    MalformedException(Reason reason) {
+    MalformedResponseException(Reason reason) {
         super(reason.description);
         this.reason = reason;
     }
@@ -34,11 +34,11 @@
      * Creates an exception with a detail that is appended to the message.
      *
      * @param reason the violated rule
-     * @param place the name of the invalid field, or the invalid count; never text received from the server, which
+     * @param detail the name of the invalid field, or the invalid count; never text received from the server, which
      *     could be of any length
      */
-    MalformedException(Reason reason, String place) {
-        super(reason.description + ": " + place);
+    MalformedResponseException(Reason reason, String detail) {
+        super(reason.description + ": " + detail);
         this.reason = reason;
     }
 
--- a/src/main/java/petrelplank/upstream/PendingAborts.java
+++ b/src/main/java/petrelplank/upstream/PendingAborts.java
@@ -20,11 +20,12 @@
         final List<Attempt> heldBack = new ArrayList<>(1);
     }
 
-    private final Map<String, PendingRequest> requests = new HashMap<>();
+    private final Map<String, PendingRequest> requestsById = new HashMap<>();
 
     /** Called when an abort was queued on a connection, or when the connection is being closed to abort the request. */
     void abortQueued(String requestId, UpstreamConnection connection) {
-        requests.computeIfAbsent(requestId, id -> new PendingRequest())
+        requestsById
+                .computeIfAbsent(requestId, id -> new PendingRequest())
                 .connections
                 .add(connection);
     }
@@ -36,7 +37,7 @@
      * @return false if no abort is pending and the attempt may be sent at once
      */
     boolean holdBack(Attempt attempt) {
-        PendingRequest request = requests.get(attempt.request().id());
+        PendingRequest request = requestsById.get(attempt.request().id());
         if (request == null) {
             return false;
         }
@@ -46,7 +47,7 @@
 
     /** Called when an attempt is aborted: if it is held back, it is dropped and never sent. */
     void remove(Attempt attempt) {
-        PendingRequest request = requests.get(attempt.request().id());
+        PendingRequest request = requestsById.get(attempt.request().id());
         if (request != null) {
             request.heldBack.remove(attempt);
         }
@@ -58,11 +59,11 @@
      * @return the held-back attempts that may now be sent
      */
     List<Attempt> abortWritten(String requestId, UpstreamConnection connection) {
-        PendingRequest request = requests.get(requestId);
+        PendingRequest request = requestsById.get(requestId);
         if (request == null || !request.connections.remove(connection) || !request.connections.isEmpty()) {
             return List.of();
         }
-        requests.remove(requestId);
+        requestsById.remove(requestId);
         return request.heldBack;
     }
 
@@ -73,7 +74,7 @@
      */
     List<Attempt> connectionClosed(UpstreamConnection connection) {
         List<Attempt> released = new ArrayList<>();
-        for (String requestId : List.copyOf(requests.keySet())) {
+        for (String requestId : List.copyOf(requestsById.keySet())) {
             released.addAll(abortWritten(requestId, connection));
         }
         return released;
--- a/src/main/java/petrelplank/upstream/RequestIdHistory.java
+++ b/src/main/java/petrelplank/upstream/RequestIdHistory.java
@@ -10,30 +10,30 @@
  */
 final class RequestIdHistory {
     /** Maximum number of answered ids kept; a duplicate response follows the first within a few milliseconds. */
-    private static final int MAX_ANSWERED = 256;
+    private static final int MAX_ANSWERED_IDS = 256;
 
-    private final Set<String> aborted = new HashSet<>();
+    private final Set<String> abortedIds = new HashSet<>();
     /** In insertion order, oldest first. */
-    private final Set<String> answered = new LinkedHashSet<>();
+    private final Set<String> answeredIds = new LinkedHashSet<>();
 
     /** Adds the id of an aborted attempt, whose response may still arrive. */
     void addAborted(String requestId) {
-        aborted.add(requestId);
+        abortedIds.add(requestId);
     }
 
     /** Returns the number of aborted ids. They are never dropped, so the connection must be retired at some number. */
     int abortedCount() {
-        return aborted.size();
+        return abortedIds.size();
     }
 
     /** Adds the id of an answered attempt, and drops the oldest answered id if there are too many. */
     void addAnswered(String requestId) {
-        if (answered.add(requestId) && answered.size() > MAX_ANSWERED) {
-            answered.remove(answered.iterator().next());
+        if (answeredIds.add(requestId) && answeredIds.size() > MAX_ANSWERED_IDS) {
+            answeredIds.remove(answeredIds.iterator().next());
         }
     }
 
     boolean contains(String requestId) {
-        return aborted.contains(requestId) || answered.contains(requestId);
+        return abortedIds.contains(requestId) || answeredIds.contains(requestId);
     }
 }
--- a/src/main/java/petrelplank/upstream/ResponseFields.java
+++ b/src/main/java/petrelplank/upstream/ResponseFields.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import petrelplank.routing.CacheStatus;
-import petrelplank.upstream.MalformedException.Reason;
+import petrelplank.upstream.MalformedResponseException.Reason;
 
 /** The optional fields of a response header, as comma-separated {@code name=value} pairs. Unknown names are ignored. */
 final class ResponseFields {
     private static final String NO_FIELDS = "-";
     private static final int US_PER_MS = 1000;
-    private static final int MAX_TIME_DIGITS = 15;
+    private static final int MAX_BORN_MS_DIGITS = 15;
 
     private final List<String> loadFieldNames;
     private CacheStatus cacheStatus = CacheStatus.NONE;
@@ -27,29 +27,29 @@
      * @param text the fields, or {@code -} if there are none
      * @param loadFieldNames names of the values in a load report, in the order in which {@link #load} returns them
      * @return the decoded fields
-     * @throws MalformedException if a field has no value, or the value of a numeric field is not a finite number
+     * @throws MalformedResponseException if a field has no value, or a numeric field is not a finite number
      */
     static ResponseFields decode(String text, List<String> loadFieldNames) {
         ResponseFields fields = new ResponseFields(loadFieldNames);
         if (!text.equals(NO_FIELDS)) {
             for (String field : text.split(",", -1)) {
-                int equals = field.indexOf('=');
-                if (equals < 0) {
-                    throw new MalformedException(Reason.FIELD_WITHOUT_VALUE);
+                int separator = field.indexOf('=');
+                if (separator < 0) {
+                    throw new MalformedResponseException(Reason.FIELD_WITHOUT_VALUE);
                 }
-                fields.set(field.substring(0, equals), field.substring(equals + 1));
+                fields.setField(field.substring(0, separator), field.substring(separator + 1));
             }
         }
         return fields;
     }
 
-    private void set(String name, String value) {
+    private void setField(String name, String value) {
         switch (name) {
-            case "tell" -> cacheStatus = cacheStatus(value);
+            case "tell" -> cacheStatus = parseCacheStatus(value);
             case "ver" -> tag = value;
-            case "waited" -> sourceWaitUs = (long) (decimal("waited", value) * US_PER_MS);
-            case "born" -> bornMs = bornMs(value);
-            case "meter" -> load = load(value);
+            case "waited" -> sourceWaitUs = (long) (parseDecimal("waited", value) * US_PER_MS);
+            case "born" -> bornMs = parseBornMs(value);
+            case "meter" -> load = parseLoad(value);
             default -> {}
         }
     }
@@ -80,7 +80,7 @@
     }
 
     /** Maps a cache status word of the protocol; a word that only newer servers know maps to {@code NONE}. */
-    private static CacheStatus cacheStatus(String word) {
+    private static CacheStatus parseCacheStatus(String word) {
         return switch (word) {
             case "HIT" -> CacheStatus.HIT;
             case "MISS" -> CacheStatus.FILLED;
@@ -96,13 +96,13 @@
         };
     }
 
-    private double[] load(String report) {
+    private double[] parseLoad(String report) {
         double[] values = new double[loadFieldNames.size()];
         for (String pair : report.split(";")) {
             int colon = pair.indexOf(':');
             int index = colon < 0 ? -1 : loadFieldNames.indexOf(pair.substring(0, colon));
             if (index >= 0) {
-                values[index] = decimal("meter", pair.substring(colon + 1));
+                values[index] = parseDecimal("meter", pair.substring(colon + 1));
             }
         }
         return values;
@@ -112,19 +112,19 @@
      * Parses the issue time. It is only used in records, so an invalid time counts as not given instead of failing the
      * connection.
      */
-    private static long bornMs(String text) {
-        return isDigits(text, MAX_TIME_DIGITS) ? Long.parseLong(text) : 0;
+    private static long parseBornMs(String text) {
+        return isDigits(text, MAX_BORN_MS_DIGITS) ? Long.parseLong(text) : 0;
     }
 
-    private static double decimal(String field, String text) {
+    private static double parseDecimal(String field, String text) {
         double value;
         try {
             value = Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new MalformedException(Reason.NOT_A_FINITE_NUMBER, field);
+            throw new MalformedResponseException(Reason.NOT_A_FINITE_NUMBER, field);
         }
         if (!Double.isFinite(value)) {
-            throw new MalformedException(Reason.NOT_A_FINITE_NUMBER, field);
+            throw new MalformedResponseException(Reason.NOT_A_FINITE_NUMBER, field);
         }
         return value;
     }
--- a/src/main/java/petrelplank/upstream/ResponseHeader.java
+++ b/src/main/java/petrelplank/upstream/ResponseHeader.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import petrelplank.proxy.UpstreamResponse;
 import petrelplank.routing.AttemptStatus;
-import petrelplank.upstream.MalformedException.Reason;
+import petrelplank.upstream.MalformedResponseException.Reason;
 
 /**
  * The header line of a response: request id, status word, fields and body length, separated by single spaces.
@@ -15,9 +15,9 @@
  * @param bodyLength length of the body in bytes, without the CR LF that follows it
  */
 record ResponseHeader(String id, AttemptStatus status, boolean notModified, ResponseFields fields, int bodyLength) {
-    private static final int WORDS = 4;
+    private static final int WORD_COUNT = 4;
     private static final String NOT_MODIFIED = "NOMOD";
-    private static final int MAX_LENGTH_DIGITS = 9;
+    private static final int MAX_BODY_LENGTH_DIGITS = 9;
 
     /**
      * Decodes a header line.
@@ -26,18 +26,18 @@
      * @param loadFieldNames names of the values in a load report, in the order in which {@link ResponseFields#load}
      *     returns them
      * @return the decoded header
-     * @throws MalformedException if the line is not a valid header
+     * @throws MalformedResponseException if the line is not a valid header
      */
     static ResponseHeader decode(String line, List<String> loadFieldNames) {
         String[] words = line.split(" ", -1);
-        if (words.length != WORDS) {
-            throw new MalformedException(Reason.WRONG_WORD_COUNT, Integer.toString(words.length));
+        if (words.length != WORD_COUNT) {
+            throw new MalformedResponseException(Reason.WRONG_WORD_COUNT, Integer.toString(words.length));
         }
         if (words[0].isEmpty()) {
-            throw new MalformedException(Reason.EMPTY_REQUEST_ID);
+            throw new MalformedResponseException(Reason.EMPTY_REQUEST_ID);
         }
-        int bodyLength = bodyLength(words[3]);
-        AttemptStatus status = status(words[1]);
+        int bodyLength = parseBodyLength(words[3]);
+        AttemptStatus status = parseStatus(words[1]);
         ResponseFields fields = ResponseFields.decode(words[2], loadFieldNames);
         return new ResponseHeader(words[0], status, words[1].equals(NOT_MODIFIED), fields, bodyLength);
     }
@@ -57,24 +57,24 @@
     }
 
     /** Maps a status word of the protocol to the status of the attempt. */
-    private static AttemptStatus status(String word) {
+    private static AttemptStatus parseStatus(String word) {
         return switch (word) {
             case "ACK", NOT_MODIFIED, "READY" -> AttemptStatus.OK;
             case "NOENT" -> AttemptStatus.MISS;
             case "AGAIN" -> AttemptStatus.REJECTED;
             case "EIO", "AILING" -> AttemptStatus.ERROR;
             case "STALE" -> AttemptStatus.NOT_SENT;
-            default -> throw new MalformedException(Reason.UNKNOWN_STATUS);
+            default -> throw new MalformedResponseException(Reason.UNKNOWN_STATUS);
         };
     }
 
-    private static int bodyLength(String text) {
-        if (!ResponseFields.isDigits(text, MAX_LENGTH_DIGITS)) {
-            throw new MalformedException(Reason.INVALID_BODY_LENGTH);
+    private static int parseBodyLength(String text) {
+        if (!ResponseFields.isDigits(text, MAX_BODY_LENGTH_DIGITS)) {
+            throw new MalformedResponseException(Reason.INVALID_BODY_LENGTH);
         }
         int length = Integer.parseInt(text);
-        if (length > ResponseParser.MAX_BODY_LENGTH) {
-            throw new MalformedException(Reason.INVALID_BODY_LENGTH);
+        if (length > ResponseParser.MAX_BODY_BYTES) {
+            throw new MalformedResponseException(Reason.INVALID_BODY_LENGTH);
         }
         return length;
     }
--- a/src/main/java/petrelplank/upstream/ResponseParser.java
+++ b/src/main/java/petrelplank/upstream/ResponseParser.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import petrelplank.proxy.UpstreamResponse;
-import petrelplank.upstream.MalformedException.Reason;
+import petrelplank.upstream.MalformedResponseException.Reason;
 
 /**
  * Parses the bytes received on one connection into responses. A response is a header line, a body of the length given
@@ -13,9 +13,9 @@
  * body are limited. Not thread-safe.
  */
 final class ResponseParser {
-    static final int MAX_LINE_LENGTH = 4096;
-    static final int MAX_BODY_LENGTH = 240_000;
-    private static final byte[] NO_BYTES = new byte[0];
+    static final int MAX_HEADER_LINE_BYTES = 4096;
+    static final int MAX_BODY_BYTES = 240_000;
+    private static final byte[] EMPTY_BODY = new byte[0];
     private static final byte[] BODY_TERMINATOR = {'\r', '\n'};
 
     /** The part of a response that the next byte belongs to. */
@@ -27,12 +27,12 @@
 
     private final List<String> loadFieldNames;
     private Part part = Part.HEADER;
-    private final byte[] line = new byte[MAX_LINE_LENGTH];
-    private int lineLength;
+    private final byte[] headerLine = new byte[MAX_HEADER_LINE_BYTES];
+    private int headerLineLength;
     private ResponseHeader header;
     private byte[] body;
-    private int bodyRead;
-    private int terminatorRead;
+    private int bodyBytesRead;
+    private int terminatorBytesRead;
 
     /**
      * Creates a parser for a new connection.
@@ -48,7 +48,7 @@
      *
      * @param input the received bytes; all of them are consumed
      * @param responses called with each complete response
-     * @throws MalformedException if the bytes are not a valid response; the connection can't be used any more
+     * @throws MalformedResponseException if the bytes are not a valid response; the connection can't be used any more
      */
     void feed(ByteBuffer input, Consumer<UpstreamResponse> responses) {
         while (input.hasRemaining()) {
@@ -61,8 +61,8 @@
     }
 
     /** Returns whether a response was received in part. */
-    boolean insideResponse() {
-        return part != Part.HEADER || lineLength > 0;
+    boolean isInsideResponse() {
+        return part != Part.HEADER || headerLineLength > 0;
     }
 
     private void readHeader(ByteBuffer input) {
@@ -72,41 +72,41 @@
                 endHeader();
                 return;
             }
-            if (lineLength == MAX_LINE_LENGTH) {
-                throw new MalformedException(Reason.LINE_TOO_LONG);
+            if (headerLineLength == MAX_HEADER_LINE_BYTES) {
+                throw new MalformedResponseException(Reason.LINE_TOO_LONG);
             }
-            line[lineLength++] = next;
+            headerLine[headerLineLength++] = next;
         }
     }
 
     private void endHeader() {
-        if (lineLength == 0 || line[lineLength - 1] != '\r') {
-            throw new MalformedException(Reason.LINE_WITHOUT_CR);
+        if (headerLineLength == 0 || headerLine[headerLineLength - 1] != '\r') {
+            throw new MalformedResponseException(Reason.LINE_WITHOUT_CR);
         }
-        String text = new String(line, 0, lineLength - 1, StandardCharsets.ISO_8859_1);
-        lineLength = 0;
+        String text = new String(headerLine, 0, headerLineLength - 1, StandardCharsets.ISO_8859_1);
+        headerLineLength = 0;
         header = ResponseHeader.decode(text, loadFieldNames);
-        body = header.bodyLength() == 0 ? NO_BYTES : new byte[header.bodyLength()];
-        bodyRead = 0;
-        terminatorRead = 0;
+        body = header.bodyLength() == 0 ? EMPTY_BODY : new byte[header.bodyLength()];
+        bodyBytesRead = 0;
+        terminatorBytesRead = 0;
         part = body.length == 0 ? Part.BODY_TERMINATOR : Part.BODY;
     }
 
     private void readBody(ByteBuffer input) {
-        int count = Math.min(input.remaining(), body.length - bodyRead);
-        input.get(body, bodyRead, count);
-        bodyRead += count;
-        if (bodyRead == body.length) {
+        int count = Math.min(input.remaining(), body.length - bodyBytesRead);
+        input.get(body, bodyBytesRead, count);
+        bodyBytesRead += count;
+        if (bodyBytesRead == body.length) {
             part = Part.BODY_TERMINATOR;
         }
     }
 
     private void readTerminator(byte next, Consumer<UpstreamResponse> responses) {
-        if (next != BODY_TERMINATOR[terminatorRead]) {
-            throw new MalformedException(Reason.BODY_NOT_TERMINATED);
+        if (next != BODY_TERMINATOR[terminatorBytesRead]) {
+            throw new MalformedResponseException(Reason.BODY_NOT_TERMINATED);
         }
-        terminatorRead++;
-        if (terminatorRead == BODY_TERMINATOR.length) {
+        terminatorBytesRead++;
+        if (terminatorBytesRead == BODY_TERMINATOR.length) {
             UpstreamResponse response = header.withBody(body);
             header = null;
             body = null;
--- a/src/main/java/petrelplank/upstream/StallDetector.java
+++ b/src/main/java/petrelplank/upstream/StallDetector.java
@@ -24,9 +24,9 @@
     private static final int NOT_READING_SWEEPS = 2;
 
     /** Number of bytes read on the connection if a response was received in part, otherwise 0. */
-    private volatile long incompleteAtByte;
+    private volatile long incompleteResponseOffset;
 
-    private long incompleteAtLastSweep;
+    private long offsetAtLastSweep;
     private int sweepsWithoutProgress;
     private int unwrittenAborts;
     private int sweepsWithUnwrittenAborts;
@@ -38,7 +38,7 @@
      * @param insideResponse whether a response was received in part
      */
     void bytesRead(long totalBytes, boolean insideResponse) {
-        incompleteAtByte = insideResponse ? totalBytes : 0;
+        incompleteResponseOffset = insideResponse ? totalBytes : 0;
     }
 
     void abortQueued() {
@@ -51,20 +51,20 @@
 
     /** Checks for progress since the last sweep. Must be called at a constant interval. */
     Stall sweep() {
-        if (responseStandsStill()) {
+        if (isResponseStalled()) {
             return Stall.INCOMPLETE_RESPONSE;
         }
-        return abortsStandStill() ? Stall.NOT_READING : Stall.NONE;
+        return isAbortStalled() ? Stall.NOT_READING : Stall.NONE;
     }
 
-    private boolean responseStandsStill() {
-        long position = incompleteAtByte;
-        sweepsWithoutProgress = position > 0 && position == incompleteAtLastSweep ? sweepsWithoutProgress + 1 : 0;
-        incompleteAtLastSweep = position;
+    private boolean isResponseStalled() {
+        long offset = incompleteResponseOffset;
+        sweepsWithoutProgress = offset > 0 && offset == offsetAtLastSweep ? sweepsWithoutProgress + 1 : 0;
+        offsetAtLastSweep = offset;
         return sweepsWithoutProgress >= INCOMPLETE_RESPONSE_SWEEPS;
     }
 
-    private boolean abortsStandStill() {
+    private boolean isAbortStalled() {
         sweepsWithUnwrittenAborts = unwrittenAborts > 0 ? sweepsWithUnwrittenAborts + 1 : 0;
         return sweepsWithUnwrittenAborts >= NOT_READING_SWEEPS;
     }
--- a/src/main/java/petrelplank/upstream/StalledConnectionCloser.java
+++ b/src/main/java/petrelplank/upstream/StalledConnectionCloser.java
@@ -9,24 +9,24 @@
  * long as its connection is open. A server that does not read never receives an abort, so closing the connection is the
  * only way to abort the attempts in flight on it. Event thread only.
  */
-final class StalledConnections {
+final class StalledConnectionCloser {
     private static final long SWEEP_INTERVAL_US = 75_000;
 
     private final EventLoop loop;
     private final Collection<UpstreamConnection> connections;
-    private final UpstreamFaultLog faults;
+    private final UpstreamFaultLog faultLog;
 
     /**
      * Creates a monitor that is not started yet.
      *
      * @param loop the event loop on which the connections are checked
      * @param connections the connections to check, a live view
-     * @param faults counts and logs the connections that are closed
+     * @param faultLog counts and logs the connections that are closed
      */
-    StalledConnections(EventLoop loop, Collection<UpstreamConnection> connections, UpstreamFaultLog faults) {
+    StalledConnectionCloser(EventLoop loop, Collection<UpstreamConnection> connections, UpstreamFaultLog faultLog) {
         this.loop = loop;
         this.connections = connections;
-        this.faults = faults;
+        this.faultLog = faultLog;
     }
 
     /** Starts the periodic sweeps. May be called on any thread. */
@@ -45,11 +45,11 @@
         switch (connection.stallDetector().sweep()) {
             case NONE -> {}
             case INCOMPLETE_RESPONSE -> {
-                faults.incompleteResponse(connection.server().id());
+                faultLog.incompleteResponse(connection.server().id());
                 connection.close();
             }
             case NOT_READING -> {
-                faults.notReading(connection.server().id());
+                faultLog.serverNotReading(connection.server().id());
                 connection.close();
             }
         }
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -15,9 +15,9 @@
  */
 final class UpstreamConnection {
     /** Unwritten bytes at which no further attempt is sent on the connection: the server reads too slowly. */
-    private static final long MAX_UNREAD_BYTES = 1 << 20;
+    private static final long MAX_UNWRITTEN_BYTES = 1 << 20;
     /** A connection is retired if its aborted requests exceed this multiple of the maximum of open attempts. */
-    private static final int MAX_ABORTED_PER_STREAM = 4;
+    private static final int ABORTED_LIMIT_FACTOR = 4;
 
     /**
      * An attempt that was sent on this connection and has not ended.
@@ -28,7 +28,7 @@
     record OpenAttempt(Attempt attempt, EncodedCommand command) {}
 
     private final UpstreamServer server;
-    private final int maxStreams;
+    private final int maxOpenAttempts;
     private final long createdUs;
     private long lastActivityUs;
     /**
@@ -39,13 +39,13 @@
     /** Null until the connection is established. */
     private IoSession session;
 
-    private final Map<String, OpenAttempt> open = new LinkedHashMap<>();
-    private final RequestIdHistory history = new RequestIdHistory();
+    private final Map<String, OpenAttempt> openAttempts = new LinkedHashMap<>();
+    private final RequestIdHistory requestIdHistory = new RequestIdHistory();
     private final StallDetector stallDetector = new StallDetector();
 
-    UpstreamConnection(UpstreamServer server, int maxStreams, long createdUs) {
+    UpstreamConnection(UpstreamServer server, int maxOpenAttempts, long createdUs) {
         this.server = server;
-        this.maxStreams = maxStreams;
+        this.maxOpenAttempts = maxOpenAttempts;
         this.createdUs = createdUs;
         this.lastActivityUs = createdUs;
     }
@@ -72,36 +72,36 @@
     }
 
     boolean isIdle() {
-        return open.isEmpty();
+        return openAttempts.isEmpty();
     }
 
     int openCount() {
-        return open.size();
+        return openAttempts.size();
     }
 
     /**
      * Returns whether an attempt of the request was already sent on this connection, so that a late response to it
      * could be taken for the response to another attempt.
      */
-    boolean hasCarried(String requestId) {
-        return open.containsKey(requestId) || history.contains(requestId);
+    boolean hasSent(String requestId) {
+        return openAttempts.containsKey(requestId) || requestIdHistory.contains(requestId);
     }
 
     /** Returns whether an attempt of the request may be sent on this connection. */
     boolean accepts(String requestId) {
         return !retiring
-                && open.size() < maxStreams
-                && !hasCarried(requestId)
-                && (session == null || !session.isClosing() && session.getScheduledWriteBytes() < MAX_UNREAD_BYTES);
+                && openAttempts.size() < maxOpenAttempts
+                && !hasSent(requestId)
+                && (session == null || !session.isClosing() && session.getScheduledWriteBytes() < MAX_UNWRITTEN_BYTES);
     }
 
     /** Called when the connection is established: writes the attempts that were sent before. */
     void connected(IoSession newSession, long nowUs) {
         session = newSession;
         lastActivityUs = nowUs;
-        List<Attempt> waiting = new ArrayList<>();
-        open.values().forEach(held -> waiting.add(held.attempt()));
-        waiting.forEach(attempt -> write(attempt, nowUs));
+        List<Attempt> unsent = new ArrayList<>();
+        openAttempts.values().forEach(openAttempt -> unsent.add(openAttempt.attempt()));
+        unsent.forEach(attempt -> write(attempt, nowUs));
     }
 
     /** Called when at least one response was received. */
@@ -113,16 +113,16 @@
     /** Sends an attempt at once, or as soon as the connection is established. */
     void send(Attempt attempt, long nowUs) {
         if (session == null) {
-            open.put(attempt.request().id(), new OpenAttempt(attempt, null));
+            openAttempts.put(attempt.request().id(), new OpenAttempt(attempt, null));
         } else {
             write(attempt, nowUs);
         }
     }
 
     private void write(Attempt attempt, long nowUs) {
-        byte[] bytes = CommandEncoder.fetch(attempt.request(), attempt.remainingMs(nowUs));
+        byte[] bytes = CommandEncoder.encodeFetch(attempt.request(), attempt.remainingMs(nowUs));
         EncodedCommand command = new EncodedCommand(bytes, null, attempt::isAwaited);
-        open.put(attempt.request().id(), new OpenAttempt(attempt, command));
+        openAttempts.put(attempt.request().id(), new OpenAttempt(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
     }
 
@@ -137,16 +137,16 @@
      */
     boolean abort(Attempt attempt, Runnable onAbortWritten) {
         String requestId = attempt.request().id();
-        if (withdraw(attempt) || !open.containsKey(requestId)) {
+        if (withdraw(attempt) || !openAttempts.containsKey(requestId)) {
             return false;
         }
-        OpenAttempt aborted = open.remove(requestId);
+        OpenAttempt aborted = openAttempts.remove(requestId);
         if (!aborted.command().isFullyWritten(session)) {
             close();
             return true;
         }
-        history.addAborted(requestId);
-        if (history.abortedCount() > MAX_ABORTED_PER_STREAM * maxStreams) {
+        requestIdHistory.addAborted(requestId);
+        if (requestIdHistory.abortedCount() > ABORTED_LIMIT_FACTOR * maxOpenAttempts) {
             retiring = true;
         }
         writeAbort(requestId, onAbortWritten);
@@ -155,7 +155,7 @@
 
     private void writeAbort(String requestId, Runnable onWritten) {
         DefaultWriteFuture future = new DefaultWriteFuture(session);
-        EncodedCommand command = new EncodedCommand(CommandEncoder.abort(requestId), future, () -> true);
+        EncodedCommand command = new EncodedCommand(CommandEncoder.encodeAbort(requestId), future, () -> true);
         stallDetector.abortQueued();
         // MINA also completes the future if it drops the write because the connection is being closed.
         future.addListener(completed -> {
@@ -172,47 +172,47 @@
      * @return false if the attempt is not open, or if part of its command may have been written
      */
     boolean withdraw(Attempt attempt) {
-        OpenAttempt held = open.get(attempt.request().id());
-        if (held == null || session != null && !held.command().withdraw()) {
+        OpenAttempt openAttempt = openAttempts.get(attempt.request().id());
+        if (openAttempt == null || session != null && !openAttempt.command().withdraw()) {
             return false;
         }
-        open.remove(attempt.request().id());
+        openAttempts.remove(attempt.request().id());
         return true;
     }
 
     /** Removes the attempt that a response belongs to; returns null if no attempt of the request is open. */
     Attempt removeAnswered(String requestId) {
-        OpenAttempt held = open.remove(requestId);
-        return held == null ? null : held.attempt();
+        OpenAttempt openAttempt = openAttempts.remove(requestId);
+        return openAttempt == null ? null : openAttempt.attempt();
     }
 
     /** Prevents retries of a request on this connection: a duplicate response to its last attempt may still arrive. */
     void refuseRetriesOf(String requestId) {
-        history.addAnswered(requestId);
+        requestIdHistory.addAnswered(requestId);
     }
 
     /** Removes and returns all open attempts, in the order in which they were sent. */
     List<OpenAttempt> removeAll() {
-        List<OpenAttempt> all = new ArrayList<>(open.values());
-        open.clear();
+        List<OpenAttempt> all = new ArrayList<>(openAttempts.values());
+        openAttempts.clear();
         return all;
     }
 
     /**
      * Returns whether the server may have executed an attempt: at least one byte of its command may have been written.
      */
-    boolean mayHaveExecuted(OpenAttempt held) {
-        return session != null && held.command().isPartlyWritten(session);
+    boolean mayHaveExecuted(OpenAttempt openAttempt) {
+        return session != null && openAttempt.command().isPartlyWritten(session);
     }
 
     /** Accepts no further attempts from now on, and closes the connection once no attempt is open. */
     void retire() {
         retiring = true;
-        closeIfDone();
+        closeIfDrained();
     }
 
     /** Closes the connection if it is being retired and no attempt is open. */
-    void closeIfDone() {
+    void closeIfDrained() {
         if (retiring && isIdle()) {
             close();
         }
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -24,7 +24,7 @@
      * written are resent. Beyond it, these attempts end with {@link AttemptStatus#CONNECT_FAILED}, as if the server
      * were down.
      */
-    private static final int MAX_RESETS_IN_A_ROW = 3;
+    private static final int MAX_CONSECUTIVE_RESETS = 3;
 
     private final EventLoop loop;
     private final ResponseForwarder forwarder;
@@ -33,39 +33,40 @@
     private final ConnectionSelector selector;
     private final Map<String, UpstreamServer> servers = new HashMap<>();
     /** The connection of each attempt in flight. Its server may no longer be in {@link #servers}. */
-    private final Map<Attempt, UpstreamConnection> carriers = new HashMap<>();
+    private final Map<Attempt, UpstreamConnection> connectionsByAttempt = new HashMap<>();
 
     private final PendingAborts pendingAborts = new PendingAborts();
-    private final UpstreamFaultLog faults = new UpstreamFaultLog();
+    private final UpstreamFaultLog faultLog = new UpstreamFaultLog();
 
     /**
      * Creates a pool without servers, and starts to check its connections for stalls.
      *
      * @param loop the event loop that all state is confined to
      * @param forwarder notified when an attempt ends
-     * @param sockets the MINA connector; its handler, write queues and connect timeout are set here
+     * @param socketConnector the MINA connector; its handler, write queues and connect timeout are set here
      * @param limits limits on connections
      * @param loadFieldNames names of the values in load reports, in the order in which responses return them
      */
     public UpstreamConnectionPool(
             EventLoop loop,
             ResponseForwarder forwarder,
-            NioSocketConnector sockets,
+            NioSocketConnector socketConnector,
             ConnectionLimits limits,
             List<String> loadFieldNames) {
         this.loop = loop;
         this.forwarder = forwarder;
         this.limits = limits;
-        connector = new UpstreamConnector(loop, sockets, limits, new AttemptCarrier(), loadFieldNames);
+        connector =
+                new UpstreamConnector(loop, socketConnector, limits, new AttemptConnectionListener(), loadFieldNames);
         selector = new ConnectionSelector(loop, connector, limits);
-        new StalledConnections(loop, connector.connections(), faults).start();
+        new StalledConnectionCloser(loop, connector.connections(), faultLog).start();
     }
 
     @Override
     public void endpointListed(String id, InetSocketAddress address, long startedUs) {
         UpstreamServer server = servers.get(id);
         if (server != null && server.address().equals(address)) {
-            server.retireOlderThan(startedUs);
+            server.retireCreatedBefore(startedUs);
         } else {
             endpointRemoved(id);
             servers.put(id, new UpstreamServer(id, address));
@@ -92,20 +93,20 @@
         UpstreamConnection connection = server == null ? null : selector.select(server, attempt.request());
         if (connection == null) {
             AttemptStatus status = server == null ? AttemptStatus.CONNECT_FAILED : AttemptStatus.NOT_SENT;
-            loop.post(() -> end(attempt, status));
+            loop.post(() -> reportEnd(attempt, status));
             return;
         }
-        carriers.put(attempt, connection);
+        connectionsByAttempt.put(attempt, connection);
         connection.send(attempt, loop.now());
     }
 
-    private void end(Attempt attempt, AttemptStatus status) {
+    private void reportEnd(Attempt attempt, AttemptStatus status) {
         forwarder.attemptEnded(attempt, UpstreamResponse.ended(attempt.request().id(), status));
     }
 
     @Override
     public void abort(Attempt attempt) {
-        UpstreamConnection connection = carriers.remove(attempt);
+        UpstreamConnection connection = connectionsByAttempt.remove(attempt);
         if (connection == null) {
             pendingAborts.remove(attempt);
             return;
@@ -120,7 +121,7 @@
         if (silentSinceSent && loop.now() - attempt.sentUs() > limits.connectTimeoutUs()) {
             connection.retire();
         } else {
-            connection.closeIfDone();
+            connection.closeIfDrained();
         }
     }
 
@@ -131,16 +132,16 @@
 
     @Override
     public String counts() {
-        return "upstream connections " + connector.connections().size() + ", " + faults.counts();
+        return "upstream connections " + connector.connections().size() + ", " + faultLog.counts();
     }
 
     /** Ends or resends attempts according to the events of the connections that they were sent on. */
-    private final class AttemptCarrier implements ConnectionListener {
+    private final class AttemptConnectionListener implements ConnectionListener {
         @Override
         public void responsesReceived(UpstreamConnection connection, List<UpstreamResponse> responses) {
             connection.responseReceived(loop.now());
             responses.forEach(response -> responseReceived(connection, response));
-            connection.closeIfDone();
+            connection.closeIfDrained();
         }
 
         private void responseReceived(UpstreamConnection connection, UpstreamResponse response) {
@@ -149,16 +150,16 @@
                 connection.refuseRetriesOf(response.id());
             }
             if (attempt == null) {
-                faults.unsolicitedResponse();
+                faultLog.unsolicitedResponse();
             } else {
-                carriers.remove(attempt);
+                connectionsByAttempt.remove(attempt);
                 forwarder.attemptEnded(attempt, response);
             }
         }
 
         @Override
-        public void malformed(UpstreamConnection connection, MalformedException fault) {
-            faults.malformed(connection.server().id(), fault);
+        public void malformedResponse(UpstreamConnection connection, MalformedResponseException exception) {
+            faultLog.malformedResponse(connection.server().id(), exception);
         }
 
         @Override
@@ -168,18 +169,18 @@
             }
             pendingAborts.connectionClosed(connection).forEach(UpstreamConnectionPool.this::dispatch);
             List<OpenAttempt> lost = connection.removeAll();
-            lost.forEach(held -> carriers.remove(held.attempt()));
-            boolean mayResend = cause == LossCause.RESET && connection.server().countReset() <= MAX_RESETS_IN_A_ROW;
-            for (OpenAttempt held : lost) {
-                if (connection.mayHaveExecuted(held)) {
-                    end(held.attempt(), AttemptStatus.RESET);
+            lost.forEach(openAttempt -> connectionsByAttempt.remove(openAttempt.attempt()));
+            boolean mayResend = cause == LossCause.RESET && connection.server().countReset() <= MAX_CONSECUTIVE_RESETS;
+            for (OpenAttempt openAttempt : lost) {
+                if (connection.mayHaveExecuted(openAttempt)) {
+                    reportEnd(openAttempt.attempt(), AttemptStatus.RESET);
                 } else if (mayResend) {
                     // Nothing of the command was written, so the server has not executed it. The server reset the
                     // connection, or closed it as idle, just before. Resending on a new connection shows whether the
                     // server is down, instead of assuming so.
-                    dispatch(held.attempt());
+                    dispatch(openAttempt.attempt());
                 } else {
-                    end(held.attempt(), AttemptStatus.CONNECT_FAILED);
+                    reportEnd(openAttempt.attempt(), AttemptStatus.CONNECT_FAILED);
                 }
             }
         }
--- a/src/main/java/petrelplank/upstream/UpstreamConnector.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnector.java
@@ -18,10 +18,10 @@
  */
 final class UpstreamConnector {
     /** How long a failed connect may still hold its descriptor. */
-    private static final long FAILED_CONNECT_CLOSE_US = 100_000;
+    private static final long FAILED_CONNECT_RELEASE_DELAY_US = 100_000;
 
     private final EventLoop loop;
-    private final NioSocketConnector sockets;
+    private final NioSocketConnector socketConnector;
     private final ConnectionLimits limits;
     private final ConnectionListener listener;
     private final Set<UpstreamConnection> connections = new LinkedHashSet<>();
@@ -30,27 +30,27 @@
      * Creates a connector without connections.
      *
      * @param loop the event loop that all state is confined to
-     * @param sockets the MINA connector; its handler, write queues and connect timeout are set here
+     * @param socketConnector the MINA connector; its handler, write queues and connect timeout are set here
      * @param limits limits on connections
      * @param listener receives the events of the connections
      * @param loadFieldNames names of the values in load reports, in the order in which responses return them
      */
     UpstreamConnector(
             EventLoop loop,
-            NioSocketConnector sockets,
+            NioSocketConnector socketConnector,
             ConnectionLimits limits,
             ConnectionListener listener,
             List<String> loadFieldNames) {
         this.loop = loop;
-        this.sockets = sockets;
+        this.socketConnector = socketConnector;
         this.limits = limits;
         this.listener = listener;
-        sockets.setHandler(new UpstreamIoHandler(loop, listener, loadFieldNames));
-        sockets.setSessionDataStructureFactory(new CommandQueue.Factory());
+        socketConnector.setHandler(new UpstreamIoHandler(loop, listener, loadFieldNames));
+        socketConnector.setSessionDataStructureFactory(new CommandQueue.Factory());
         // MINA's connector thread handles established connections before connects that timed out, so a pause of the
         // proxy does not make a healthy server look unreachable. A timer on the event thread could fire before the
         // connector thread gets to run.
-        sockets.setConnectTimeoutMillis(Math.max(1, limits.connectTimeoutUs() / 1000));
+        socketConnector.setConnectTimeoutMillis(Math.max(1, limits.connectTimeoutUs() / 1000));
     }
 
     /** Returns an unmodifiable live view of all connections, oldest first. */
@@ -62,13 +62,13 @@
     UpstreamConnection connect(UpstreamServer server) {
         // Always succeeds: the caller has checked for a free place, and only the event thread acquires any.
         limits.descriptors().tryAcquire();
-        UpstreamConnection connection = new UpstreamConnection(server, limits.maxStreams(), loop.now());
+        UpstreamConnection connection = new UpstreamConnection(server, limits.maxOpenAttempts(), loop.now());
         server.add(connection);
         connections.add(connection);
-        ConnectFuture future =
-                sockets.connect(server.address(), (session, connecting) -> UpstreamIoHandler.bind(session, connection));
-        future.addListener(
-                (IoFutureListener<ConnectFuture>) completed -> loop.post(() -> completed(connection, completed)));
+        ConnectFuture future = socketConnector.connect(
+                server.address(), (session, connecting) -> UpstreamIoHandler.bind(session, connection));
+        future.addListener((IoFutureListener<ConnectFuture>)
+                completed -> loop.post(() -> connectCompleted(connection, completed)));
         return connection;
     }
 
@@ -79,14 +79,14 @@
         return connection;
     }
 
-    private void completed(UpstreamConnection connection, ConnectFuture future) {
+    private void connectCompleted(UpstreamConnection connection, ConnectFuture future) {
         if (future.isConnected()) {
             connection.connected(future.getSession(), loop.now());
-            connection.closeIfDone();
+            connection.closeIfDrained();
             return;
         }
         // MINA's connector thread reports the failure first, and closes the descriptor in its next iteration.
-        loop.at(loop.now() + FAILED_CONNECT_CLOSE_US, limits.descriptors()::release);
+        loop.at(loop.now() + FAILED_CONNECT_RELEASE_DELAY_US, limits.descriptors()::release);
         // MINA reports a timeout and a refusal as ConnectException; any other exception is a reset during the connect.
         boolean unreachable = future.getException() instanceof ConnectException;
         listener.connectionLost(connection, unreachable ? LossCause.UNREACHABLE : LossCause.RESET);
--- a/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
+++ b/src/main/java/petrelplank/upstream/UpstreamIoHandler.java
@@ -45,10 +45,10 @@
         ResponseParser parser = (ResponseParser) session.getAttribute(ResponseParser.class);
         try {
             parser.feed(((IoBuffer) message).buf(), responses::add);
-            connection.stallDetector().bytesRead(session.getReadBytes(), parser.insideResponse());
-        } catch (MalformedException e) {
+            connection.stallDetector().bytesRead(session.getReadBytes(), parser.isInsideResponse());
+        } catch (MalformedResponseException e) {
             session.closeNow();
-            loop.post(() -> listener.malformed(connection, e));
+            loop.post(() -> listener.malformedResponse(connection, e));
         }
         if (!responses.isEmpty()) {
             loop.post(() -> listener.responsesReceived(connection, responses));
--- a/src/main/java/petrelplank/upstream/UpstreamServer.java
+++ b/src/main/java/petrelplank/upstream/UpstreamServer.java
@@ -9,7 +9,7 @@
     private final String id;
     private final InetSocketAddress address;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
-    private int resetsInARow;
+    private int consecutiveResets;
 
     UpstreamServer(String id, InetSocketAddress address) {
         this.id = id;
@@ -37,51 +37,52 @@
      * too long are retired first: the server may be closing them while a command is on its way.
      *
      * @param requestId the id of the request
-     * @param idleSinceUs idle connections without activity since this time are retired
+     * @param idleCutoffUs idle connections without activity since this time are retired
      * @return the connection; null if none accepts the request
      */
-    UpstreamConnection leastLoaded(String requestId, long idleSinceUs) {
-        UpstreamConnection best = null;
+    UpstreamConnection leastLoaded(String requestId, long idleCutoffUs) {
+        UpstreamConnection leastLoaded = null;
         for (UpstreamConnection connection : List.copyOf(connections)) {
-            if (connection.isIdle() && !connection.isRetiring() && connection.lastActivityUs() < idleSinceUs) {
+            if (connection.isIdle() && !connection.isRetiring() && connection.lastActivityUs() < idleCutoffUs) {
                 connection.retire();
             }
-            if (connection.accepts(requestId) && (best == null || connection.openCount() < best.openCount())) {
-                best = connection;
+            if (connection.accepts(requestId)
+                    && (leastLoaded == null || connection.openCount() < leastLoaded.openCount())) {
+                leastLoaded = connection;
             }
         }
-        return best;
+        return leastLoaded;
     }
 
     /** Returns whether an attempt of the request was sent on a connection that is still open. */
-    boolean hasCarried(String requestId) {
-        return connections.stream().anyMatch(connection -> connection.hasCarried(requestId));
+    boolean hasSent(String requestId) {
+        return connections.stream().anyMatch(connection -> connection.hasSent(requestId));
     }
 
     /**
      * Returns the number of connections that are not being retired. Only these count towards the maximum per server, so
      * that a connection being retired does not prevent a new one.
      */
-    long unretiredCount() {
+    long activeConnectionCount() {
         return connections.stream()
                 .filter(connection -> !connection.isRetiring())
                 .count();
     }
 
-    /** Retires the connections created before the server last started: they belong to its previous process. */
-    void retireOlderThan(long unixUs) {
+    /** Retires the connections created before a restart of the server: they belong to its previous process. */
+    void retireCreatedBefore(long restartUs) {
         List.copyOf(connections).stream()
-                .filter(connection -> connection.createdUs() < unixUs)
+                .filter(connection -> connection.createdUs() < restartUs)
                 .forEach(UpstreamConnection::retire);
     }
 
     void retireAll() {
-        retireOlderThan(Long.MAX_VALUE);
+        retireCreatedBefore(Long.MAX_VALUE);
     }
 
     /** Called when a response was received, which ends a series of resets. */
     void responseReceived() {
-        resetsInARow = 0;
+        consecutiveResets = 0;
     }
 
     /**
@@ -90,6 +91,6 @@
      * @return the number of consecutive resets, with no response in between
      */
     int countReset() {
-        return ++resetsInARow;
+        return ++consecutiveResets;
     }
 }
--- a/src/test/java/petrelplank/upstream/CommandEncoderTest.java
+++ b/src/test/java/petrelplank/upstream/CommandEncoderTest.java
@@ -10,7 +10,7 @@
     private static final long LIMIT_MS = 900;
 
     @Test
-    void fieldsThatAskForNothingAreLeftOut() {
+    void unsetFieldsAreOmitted() {
         UpstreamRequest plain = new UpstreamRequest(
                 "9b1f",
                 "media",
@@ -49,6 +49,6 @@
     }
 
     private static String encoded(UpstreamRequest request) {
-        return new String(CommandEncoder.fetch(request, LIMIT_MS), StandardCharsets.ISO_8859_1);
+        return new String(CommandEncoder.encodeFetch(request, LIMIT_MS), StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/test/java/petrelplank/upstream/ConnectionLimitsTest.java
+++ b/src/test/java/petrelplank/upstream/ConnectionLimitsTest.java
@@ -11,10 +11,12 @@
     void connectionsOfAllProxiesToOneServerAreBounded() {
         int previous = 9;
         for (int proxies = 1; proxies <= 1000; proxies++) {
-            int each = ConnectionLimits.maxPerServer(proxies);
-            assertTrue(each >= 1 && each <= previous, proxies + " proxies, connections of each: " + each);
-            assertTrue(each * proxies <= Math.max(32, proxies), proxies + " proxies, connections of each: " + each);
-            previous = each;
+            int perProxy = ConnectionLimits.maxPerServer(proxies);
+            assertTrue(perProxy >= 1 && perProxy <= previous, proxies + " proxies, connections of each: " + perProxy);
+            assertTrue(
+                    perProxy * proxies <= Math.max(32, proxies),
+                    proxies + " proxies, connections of each: " + perProxy);
+            previous = perProxy;
         }
         assertEquals(8, ConnectionLimits.maxPerServer(1));
     }
--- a/src/test/java/petrelplank/upstream/FakeServer.java
+++ b/src/test/java/petrelplank/upstream/FakeServer.java
@@ -35,15 +35,15 @@
         }
     }
 
-    private final ServerSocket listener;
-    private final Thread accepting;
+    private final ServerSocket serverSocket;
+    private final Thread acceptThread;
     private final BlockingQueue<Line> lines = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> endedConnections = new LinkedBlockingQueue<>();
 
     /** Starts to listen on a free port. */
     public FakeServer() throws IOException {
-        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        accepting = startDaemon(this::accept);
+        serverSocket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        acceptThread = startDaemon(this::acceptConnections);
     }
 
     private static Thread startDaemon(Runnable task) {
@@ -53,18 +53,18 @@
         return thread;
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
-                Socket socket = listener.accept();
-                startDaemon(() -> read(socket));
+                Socket socket = serverSocket.accept();
+                startDaemon(() -> readLines(socket));
             }
         } catch (IOException e) {
             // the test has closed the listening socket
         }
     }
 
-    private void read(Socket socket) {
+    private void readLines(Socket socket) {
         try {
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
@@ -76,12 +76,12 @@
         } catch (IOException e) {
             // the connection was reset, or closed by the test
         }
-        ended.add(socket);
+        endedConnections.add(socket);
     }
 
     /** Returns the address that the server listens on, as HOST:PORT. */
     public String address() {
-        return "127.0.0.1:" + listener.getLocalPort();
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
     /** Waits for the next line on any connection. */
@@ -95,7 +95,7 @@
 
     /** Waits for the next connection to end; returns null if none does in time. */
     public Socket ended() throws InterruptedException {
-        return ended.poll(MAX_WAIT_S, TimeUnit.SECONDS);
+        return endedConnections.poll(MAX_WAIT_S, TimeUnit.SECONDS);
     }
 
     /** Returns whether no line is queued. */
@@ -105,9 +105,9 @@
 
     /** Stops listening and waits until connections are refused; a pending accept may succeed even after the close. */
     public void refuse() throws IOException, InterruptedException {
-        int port = listener.getLocalPort();
-        listener.close();
-        accepting.join();
+        int port = serverSocket.getLocalPort();
+        serverSocket.close();
+        acceptThread.join();
         try (Socket accepted = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
             throw new AssertionError("connection still accepted on closed port " + accepted.getPort());
         } catch (ConnectException e) {
@@ -117,6 +117,6 @@
 
     @Override
     public void close() throws IOException {
-        listener.close();
+        serverSocket.close();
     }
 }
--- a/src/test/java/petrelplank/upstream/PendingAbortsTest.java
+++ b/src/test/java/petrelplank/upstream/PendingAbortsTest.java
@@ -20,19 +20,19 @@
 
     /** Without hedging, the next attempt waits until the abort of the last is written or its connection has closed. */
     @Test
-    void nextAttemptIsHeldBackUntilTheLastIsAbortedOnTheWire() {
-        Attempt second = Attempts.of(REQUEST, 1);
-        assertFalse(pendingAborts.holdBack(second));
+    void nextAttemptIsHeldBackUntilTheAbortOfTheLastIsWritten() {
+        Attempt nextAttempt = Attempts.of(REQUEST, 1);
+        assertFalse(pendingAborts.holdBack(nextAttempt));
         pendingAborts.abortQueued(REQUEST, connection);
         pendingAborts.abortQueued(REQUEST, other);
-        assertTrue(pendingAborts.holdBack(second));
+        assertTrue(pendingAborts.holdBack(nextAttempt));
         assertFalse(pendingAborts.holdBack(Attempts.of("bbbbbbbbbbbbbbbb", 0)));
         assertEquals(List.of(), pendingAborts.abortWritten(REQUEST, connection));
-        assertEquals(List.of(second), pendingAborts.connectionClosed(other));
-        assertFalse(pendingAborts.holdBack(second));
+        assertEquals(List.of(nextAttempt), pendingAborts.connectionClosed(other));
+        assertFalse(pendingAborts.holdBack(nextAttempt));
         pendingAborts.abortQueued(REQUEST, connection);
-        assertTrue(pendingAborts.holdBack(second));
-        pendingAborts.remove(second);
+        assertTrue(pendingAborts.holdBack(nextAttempt));
+        pendingAborts.remove(nextAttempt);
         assertEquals(List.of(), pendingAborts.abortWritten(REQUEST, connection));
     }
 }
--- a/src/test/java/petrelplank/upstream/ResponseParserTest.java
+++ b/src/test/java/petrelplank/upstream/ResponseParserTest.java
@@ -19,7 +19,7 @@
 import petrelplank.proxy.UpstreamResponse;
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
-import petrelplank.upstream.MalformedException.Reason;
+import petrelplank.upstream.MalformedResponseException.Reason;
 import petrelplank.wire.ParserFuzzer;
 
 class ResponseParserTest {
@@ -62,7 +62,7 @@
         assertTrue(ParserFuzzer.acceptsOrRejects(
                 ParserFuzzer.corrupt(RESPONSES, seed),
                 seed,
-                MalformedException.class,
+                MalformedResponseException.class,
                 input -> fresh.feed(input, response -> {})));
     }
 
@@ -84,16 +84,16 @@
     @ParameterizedTest
     @MethodSource("malformedResponses")
     void malformedResponsesAreRejectedWithTheirReason(String text, Reason reason) {
-        MalformedException thrown =
-                assertThrows(MalformedException.class, () -> parser.feed(ByteBuffer.wrap(bytes(text)), responses::add));
+        MalformedResponseException thrown = assertThrows(
+                MalformedResponseException.class, () -> parser.feed(ByteBuffer.wrap(bytes(text)), responses::add));
         assertEquals(reason, thrown.reason());
     }
 
     @Test
     void headerLineOverTheLimitIsRejected() {
         assertThrows(
-                MalformedException.class,
-                () -> parser.feed(ByteBuffer.wrap(new byte[ResponseParser.MAX_LINE_LENGTH + 1]), responses::add));
+                MalformedResponseException.class,
+                () -> parser.feed(ByteBuffer.wrap(new byte[ResponseParser.MAX_HEADER_LINE_BYTES + 1]), responses::add));
     }
 
     @ParameterizedTest
--- a/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
@@ -23,35 +23,35 @@
 /** An aborted command that is still queued is never written; one that is partly written closes its connection. */
 class UpstreamConnectionTest {
     /** A session with a server that does not read: commands stay queued until the test writes them. */
-    private static final class UnreadSession extends DummySession {
+    private static final class NonReadingSession extends DummySession {
         private final CommandQueue queue = new CommandQueue();
 
-        UnreadSession() {
+        NonReadingSession() {
             setWriteRequestQueue(queue);
             suspendWrite();
         }
 
         /** Writes at most {@code maxBytes} bytes of queued commands, as the I/O thread does; returns them as text. */
         String write(int maxBytes) {
-            StringBuilder out = new StringBuilder();
+            StringBuilder written = new StringBuilder();
             for (WriteRequest next = queue.poll(this); next != null; next = queue.poll(this)) {
                 IoBuffer buffer = (IoBuffer) next.getMessage();
-                int count = Math.min(maxBytes - out.length(), buffer.remaining());
+                int count = Math.min(maxBytes - written.length(), buffer.remaining());
                 byte[] part = new byte[count];
                 buffer.get(part);
                 increaseWrittenBytes(count, 0);
-                out.append(new String(part, StandardCharsets.ISO_8859_1));
+                written.append(new String(part, StandardCharsets.ISO_8859_1));
                 if (buffer.hasRemaining()) {
-                    return out.toString();
+                    return written.toString();
                 }
                 next.getFuture().setWritten();
             }
-            return out.toString();
+            return written.toString();
         }
     }
 
-    private static final int ALL = Integer.MAX_VALUE;
-    private final UnreadSession session = new UnreadSession();
+    private static final int UNLIMITED = Integer.MAX_VALUE;
+    private final NonReadingSession session = new NonReadingSession();
     private final UpstreamConnection connection =
             new UpstreamConnection(new UpstreamServer("s-1", new InetSocketAddress("127.0.0.1", 1)), 100, 0);
     private final List<String> writtenAborts = new ArrayList<>();
@@ -81,20 +81,20 @@
         Attempt first = send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
         assertFalse(abort(first), "an abort is pending for a command that was never written");
-        String out = session.write(ALL);
-        assertTrue(out.startsWith("fetch bbbbbbbbbbbbbbbb ") && !out.contains("aaaaaaaaaaaaaaaa"), out);
+        String written = session.write(UNLIMITED);
+        assertTrue(written.startsWith("fetch bbbbbbbbbbbbbbbb ") && !written.contains("aaaaaaaaaaaaaaaa"), written);
         assertEquals(0, session.getScheduledWriteBytes(), "bytes of the withdrawn command still count as scheduled");
     }
 
     @Test
     void attemptAbortedAfterItWasWrittenIsInFlightUntilItsAbortIsWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
-        session.write(ALL);
+        session.write(UNLIMITED);
         assertTrue(abort(first));
         assertEquals(List.of(), writtenAborts);
         assertEquals(Stall.NONE, connection.stallDetector().sweep());
         assertEquals(Stall.NOT_READING, connection.stallDetector().sweep(), "an abort is unwritten for two sweeps");
-        assertEquals("abort aaaaaaaaaaaaaaaa\r\n", session.write(ALL));
+        assertEquals("abort aaaaaaaaaaaaaaaa\r\n", session.write(UNLIMITED));
         assertEquals(List.of("aaaaaaaaaaaaaaaa"), writtenAborts);
         connection.stallDetector().abortWritten();
         assertEquals(Stall.NONE, connection.stallDetector().sweep());
@@ -107,7 +107,7 @@
     @Test
     void abortDroppedWithItsConnectionDoesNotCountAsWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
-        session.write(ALL);
+        session.write(UNLIMITED);
         assertTrue(abort(first));
         connection.close();
         assertTrue(session.isClosing());
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void commandAbortedHalfWrittenClosesItsConnection() {
+    void abortOfAPartlyWrittenCommandClosesItsConnection() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         session.write(10);
         assertTrue(abort(first));
@@ -127,9 +127,9 @@
         send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
         session.write(10);
-        List<UpstreamConnection.OpenAttempt> open = connection.removeAll();
-        assertTrue(connection.mayHaveExecuted(open.get(0)));
-        assertFalse(connection.mayHaveExecuted(open.get(1)));
+        List<UpstreamConnection.OpenAttempt> openAttempts = connection.removeAll();
+        assertTrue(connection.mayHaveExecuted(openAttempts.get(0)));
+        assertFalse(connection.mayHaveExecuted(openAttempts.get(1)));
     }
 
     /**
@@ -142,7 +142,7 @@
         Attempt first = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
         connection.send(first, 0);
         disconnected.set(true);
-        assertEquals("", session.write(ALL));
+        assertEquals("", session.write(UNLIMITED));
         assertTrue(connection.withdraw(first), "a skipped command must count as never written");
         assertFalse(connection.withdraw(first));
     }
@@ -150,17 +150,17 @@
     /** When the connection is established, only those commands are written whose clients are still connected. */
     @Test
     void commandOfADisconnectedClientIsNotWrittenWhenTheConnectionIsMade() {
-        UpstreamConnection late = new UpstreamConnection(connection.server(), 100, 0);
+        UpstreamConnection lateConnection = new UpstreamConnection(connection.server(), 100, 0);
         AtomicBoolean disconnected = new AtomicBoolean();
-        Attempt abandoned = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
-        late.send(abandoned, 0);
-        late.send(Attempts.of("bbbbbbbbbbbbbbbb", 0), 0);
+        Attempt disconnectedAttempt = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
+        lateConnection.send(disconnectedAttempt, 0);
+        lateConnection.send(Attempts.of("bbbbbbbbbbbbbbbb", 0), 0);
         disconnected.set(true);
-        UnreadSession made = new UnreadSession();
-        late.connected(made, 0);
-        String out = made.write(ALL);
-        assertTrue(out.startsWith("fetch bbbbbbbbbbbbbbbb ") && !out.contains("aaaaaaaaaaaaaaaa"), out);
-        assertTrue(late.withdraw(abandoned));
+        NonReadingSession lateSession = new NonReadingSession();
+        lateConnection.connected(lateSession, 0);
+        String written = lateSession.write(UNLIMITED);
+        assertTrue(written.startsWith("fetch bbbbbbbbbbbbbbbb ") && !written.contains("aaaaaaaaaaaaaaaa"), written);
+        assertTrue(lateConnection.withdraw(disconnectedAttempt));
     }
 
     private static ResponseChannel channel(AtomicBoolean disconnected) {
--- a/src/test/java/petrelplank/wire/ParserFuzzer.java
+++ b/src/test/java/petrelplank/wire/ParserFuzzer.java
@@ -17,10 +17,10 @@
     /** Feeds bytes to a parser in pseudo-random fragments, some of a single byte; it must consume each fully. */
     public static void feed(byte[] bytes, long seed, Consumer<ByteBuffer> parser) {
         Random random = new Random(seed);
-        for (int at = 0; at < bytes.length; ) {
-            int length = random.nextInt(SINGLE_BYTE_ONE_IN) == 0 ? 1 : 1 + random.nextInt(bytes.length - at);
-            ByteBuffer fragment = ByteBuffer.wrap(bytes, at, length).slice();
-            at += length;
+        for (int position = 0; position < bytes.length; ) {
+            int length = random.nextInt(SINGLE_BYTE_ONE_IN) == 0 ? 1 : 1 + random.nextInt(bytes.length - position);
+            ByteBuffer fragment = ByteBuffer.wrap(bytes, position, length).slice();
+            position += length;
             parser.accept(fragment);
             if (fragment.hasRemaining()) {
                 throw new AssertionError("parser left unread bytes in a fragment: " + fragment.remaining());
