--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -4,20 +4,22 @@
 import java.util.StringJoiner;
 import petrelplank.proxy.UpstreamRequest;
 
-/** Encodes commands to caches, parents and the origin. */
+/** Encodes the commands of the line protocol that caches, parents and the origin understand. */
 final class CommandEncoder {
-    private static final int USUAL_HEADER_LENGTH = 160;
+    private static final int INITIAL_HEADER_CAPACITY = 160;
     private static final byte[] CR_LF = {'\r', '\n'};
 
     private CommandEncoder() {}
 
     /**
-     * A request: a header line, then the body and CR LF behind it. Fields that ask for nothing are left out.
+     * Encodes a request: a header line, the body and a final CR LF. Optional fields that are not set are omitted.
      *
-     * @param limitMs how long the proxy waits for the response
+     * @param request the request
+     * @param limitMs how long the proxy waits for the response, in milliseconds
+     * @return the encoded command
      */
-    static byte[] fetch(UpstreamRequest request, long limitMs) {
-        byte[] header = header(request, limitMs).getBytes(StandardCharsets.ISO_8859_1);
+    static byte[] encodeFetch(UpstreamRequest request, long limitMs) {
+        byte[] header = encodeHeader(request, limitMs).getBytes(StandardCharsets.ISO_8859_1);
         byte[] body = request.body();
         byte[] command = new byte[header.length + body.length + CR_LF.length];
         System.arraycopy(header, 0, command, 0, header.length);
@@ -26,13 +28,13 @@
         return command;
     }
 
-    /** Tells the server that nobody waits for the response to a request any more. */
-    static byte[] abort(String requestId) {
+    /** Encodes the command that aborts a request: the proxy no longer waits for its response. */
+    static byte[] encodeAbort(String requestId) {
         return ("abort " + requestId + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String header(UpstreamRequest request, long limitMs) {
-        StringBuilder header = new StringBuilder(USUAL_HEADER_LENGTH);
+    private static String encodeHeader(UpstreamRequest request, long limitMs) {
+        StringBuilder header = new StringBuilder(INITIAL_HEADER_CAPACITY);
         header.append("fetch ").append(request.id());
         header.append(" cls=").append(request.serviceClass());
         header.append(",item=").append(request.object());
--- a/src/main/java/petrelplank/upstream/CommandQueue.java
+++ b/src/main/java/petrelplank/upstream/CommandQueue.java
@@ -8,9 +8,12 @@
 import org.apache.mina.core.write.WriteRequest;
 import org.apache.mina.core.write.WriteRequestQueue;
 
-/** Commands that wait to be written on one connection; those withdrawn meanwhile are skipped when polled. */
+/**
+ * The write queue of one connection. Commands that were withdrawn, or are no longer needed, stay in the queue until
+ * they are polled, and are then skipped.
+ */
 final class CommandQueue implements WriteRequestQueue {
-    /** Gives each connection of a connector a queue of its own. */
+    /** Makes MINA create a separate {@link CommandQueue} for each connection. */
     static final class Factory extends DefaultIoSessionDataStructureFactory {
         @Override
         public WriteRequestQueue getWriteRequestQueue(IoSession session) {
@@ -18,31 +21,31 @@
         }
     }
 
-    private final Queue<WriteRequest> waiting = new ConcurrentLinkedQueue<>();
+    private final Queue<WriteRequest> commands = new ConcurrentLinkedQueue<>();
 
     @Override
     public WriteRequest poll(IoSession session) {
-        WriteRequest next = waiting.poll();
+        WriteRequest next = commands.poll();
         while (next instanceof EncodedCommand command && !command.take(session)) {
             ((AbstractIoSession) session).decreaseScheduledBytesAndMessages(next);
-            next = waiting.poll();
+            next = commands.poll();
         }
         return next;
     }
 
     @Override
     public void offer(IoSession session, WriteRequest request) {
-        waiting.offer(request);
+        commands.offer(request);
     }
 
     @Override
     public boolean isEmpty(IoSession session) {
-        return waiting.isEmpty();
+        return commands.isEmpty();
     }
 
     @Override
     public void clear(IoSession session) {
-        waiting.clear();
+        commands.clear();
     }
 
     @Override
@@ -50,6 +53,6 @@
 
     @Override
     public int size() {
-        return waiting.size();
+        return commands.size();
     }
 }
--- a/src/main/java/petrelplank/upstream/ResponseFields.java
+++ b/src/main/java/petrelplank/upstream/ResponseFields.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import petrelplank.routing.CacheStatus;
-import petrelplank.upstream.MalformedException.Reason;
+import petrelplank.upstream.MalformedResponseException.Reason;
 
-/** The optional fields of a response header, {@code name=value} with commas between; unknown names are ignored. */
+/** The optional fields of a response header, as comma-separated {@code name=value} pairs. Unknown names are ignored. */
 final class ResponseFields {
     private static final String NO_FIELDS = "-";
     private static final int US_PER_MS = 1000;
-    private static final int MAX_TIME_DIGITS = 15;
+    private static final int MAX_BORN_MS_DIGITS = 15;
 
     private final List<String> loadFieldNames;
     private CacheStatus cacheStatus = CacheStatus.NONE;
@@ -24,62 +24,63 @@
     /**
      * Decodes the fields of a header.
      *
-     * @param text the fields, or a dash for none
-     * @param loadFieldNames names of the values in a load report, in the order in which they are returned
-     * @throws MalformedException where a field has no value, or a number is expected and none is there
+     * @param text the fields, or {@code -} if there are none
+     * @param loadFieldNames names of the values in a load report, in the order in which {@link #load} returns them
+     * @return the decoded fields
+     * @throws MalformedResponseException if a field has no value, or a numeric field is not a finite number
      */
     static ResponseFields decode(String text, List<String> loadFieldNames) {
         ResponseFields fields = new ResponseFields(loadFieldNames);
         if (!text.equals(NO_FIELDS)) {
             for (String field : text.split(",", -1)) {
-                int equals = field.indexOf('=');
-                if (equals < 0) {
-                    throw new MalformedException(Reason.FIELD_WITHOUT_VALUE);
+                int separator = field.indexOf('=');
+                if (separator < 0) {
+                    throw new MalformedResponseException(Reason.FIELD_WITHOUT_VALUE);
                 }
-                fields.set(field.substring(0, equals), field.substring(equals + 1));
+                fields.setField(field.substring(0, separator), field.substring(separator + 1));
             }
         }
         return fields;
     }
 
-    private void set(String name, String value) {
+    private void setField(String name, String value) {
         switch (name) {
-            case "tell" -> cacheStatus = cacheStatus(value);
+            case "tell" -> cacheStatus = parseCacheStatus(value);
             case "ver" -> tag = value;
-            case "waited" -> sourceWaitUs = (long) (decimal("waited", value) * US_PER_MS);
-            case "born" -> bornMs = bornMs(value);
-            case "meter" -> load = load(value);
+            case "waited" -> sourceWaitUs = (long) (parseDecimal("waited", value) * US_PER_MS);
+            case "born" -> bornMs = parseBornMs(value);
+            case "meter" -> load = parseLoad(value);
             default -> {}
         }
     }
 
-    /** What the response says about the copy or the fill; {@link CacheStatus#NONE} where it says nothing. */
+    /** Returns how the cache served the copy or why its fill failed; {@link CacheStatus#NONE} if not given. */
     CacheStatus cacheStatus() {
         return cacheStatus;
     }
 
-    /** The tag of the copy that the response is about; null where none is given. */
+    /** Returns the entity tag of the copy; null if not given. */
     String tag() {
         return tag;
     }
 
-    /** Time that the cache waited for its fill source. */
+    /** Returns how long the cache waited for its fill source, in microseconds; 0 if not given. */
     long sourceWaitUs() {
         return sourceWaitUs;
     }
 
-    /** Unix millisecond at which the origin issued the copy; 0 where it is not given. */
+    /** Returns the Unix time in milliseconds at which the origin issued the copy; 0 if not given. */
     long bornMs() {
         return bornMs;
     }
 
-    /** The load report, in the order of the load fields' names; null where there is none. */
+    /** Returns the values of the load report, in the order of the load field names; null if there is no report. */
     double[] load() {
         return load;
     }
 
-    /** The one mapping from cache status words on the wire to the router's; a word of a newer server says nothing. */
-    private static CacheStatus cacheStatus(String word) {
+    /** Maps a cache status word of the protocol; a word that only newer servers know maps to {@code NONE}. */
+    private static CacheStatus parseCacheStatus(String word) {
         return switch (word) {
             case "HIT" -> CacheStatus.HIT;
             case "MISS" -> CacheStatus.FILLED;
@@ -95,37 +96,40 @@
         };
     }
 
-    private double[] load(String report) {
+    private double[] parseLoad(String report) {
         double[] values = new double[loadFieldNames.size()];
         for (String pair : report.split(";")) {
             int colon = pair.indexOf(':');
             int index = colon < 0 ? -1 : loadFieldNames.indexOf(pair.substring(0, colon));
             if (index >= 0) {
-                values[index] = decimal("meter", pair.substring(colon + 1));
+                values[index] = parseDecimal("meter", pair.substring(colon + 1));
             }
         }
         return values;
     }
 
-    /** Only records use it, so an unreadable time counts as not given and is no reason to end a connection. */
-    private static long bornMs(String text) {
-        return isDigits(text, MAX_TIME_DIGITS) ? Long.parseLong(text) : 0;
+    /**
+     * Parses the issue time. It is only used in records, so an invalid time counts as not given instead of failing the
+     * connection.
+     */
+    private static long parseBornMs(String text) {
+        return isDigits(text, MAX_BORN_MS_DIGITS) ? Long.parseLong(text) : 0;
     }
 
-    private static double decimal(String field, String text) {
+    private static double parseDecimal(String field, String text) {
         double value;
         try {
             value = Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new MalformedException(Reason.NOT_A_FINITE_NUMBER, field);
+            throw new MalformedResponseException(Reason.NOT_A_FINITE_NUMBER, field);
         }
         if (!Double.isFinite(value)) {
-            throw new MalformedException(Reason.NOT_A_FINITE_NUMBER, field);
+            throw new MalformedResponseException(Reason.NOT_A_FINITE_NUMBER, field);
         }
         return value;
     }
 
-    /** Whether a text is a decimal number without sign of at most so many digits. */
+    /** Returns whether a text is an unsigned decimal integer of at most {@code maxDigits} digits. */
     static boolean isDigits(String text, int maxDigits) {
         return !text.isEmpty()
                 && text.length() <= maxDigits
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -9,39 +9,43 @@
 import petrelplank.proxy.Attempt;
 
 /**
- * One connection to a server, from the start of its connect to its close, with the attempts open on it. Attempts sent
- * before it is made wait for that. Event thread only, but for the {@link StallDetector}.
+ * A connection to an upstream server and its open attempts, from the start of the connect until the connection closes.
+ * Attempts sent before it is established are written as soon as it is. Event thread only, except for the
+ * {@link StallDetector}.
  */
 final class UpstreamConnection {
-    /** Bytes that a server may leave unread before nothing more is sent to it. */
-    private static final long MAX_UNREAD_BYTES = 1 << 20;
-    /** A connection is retired once it remembers more aborted requests than this many times its streams. */
-    private static final int MAX_ABORTED_PER_STREAM = 4;
+    /** Unwritten bytes at which no further attempt is sent on the connection: the server reads too slowly. */
+    private static final long MAX_UNWRITTEN_BYTES = 1 << 20;
+    /** A connection is retired if its aborted requests exceed this multiple of the maximum of open attempts. */
+    private static final int ABORTED_LIMIT_FACTOR = 4;
 
     /**
-     * An attempt on this connection.
+     * An attempt that was sent on this connection and has not ended.
      *
      * @param attempt the attempt
-     * @param command its command; null as long as the connection is not made
+     * @param command its command; null until the connection is established
      */
     record OpenAttempt(Attempt attempt, EncodedCommand command) {}
 
     private final UpstreamServer server;
-    private final int maxStreams;
+    private final int maxOpenAttempts;
     private final long createdUs;
     private long lastActivityUs;
-    /** It accepts nothing new and is closed once no attempt is open on it; also possible before it is made. */
+    /**
+     * Whether the connection accepts no further attempts and closes once none is open. This may be set before the
+     * connection is established.
+     */
     private boolean retiring;
-    /** Null until the connection is made. */
+    /** Null until the connection is established. */
     private IoSession session;
 
-    private final Map<String, OpenAttempt> open = new LinkedHashMap<>();
-    private final RequestIdHistory history = new RequestIdHistory();
+    private final Map<String, OpenAttempt> openAttempts = new LinkedHashMap<>();
+    private final RequestIdHistory requestIdHistory = new RequestIdHistory();
     private final StallDetector stallDetector = new StallDetector();
 
-    UpstreamConnection(UpstreamServer server, int maxStreams, long createdUs) {
+    UpstreamConnection(UpstreamServer server, int maxOpenAttempts, long createdUs) {
         this.server = server;
-        this.maxStreams = maxStreams;
+        this.maxOpenAttempts = maxOpenAttempts;
         this.createdUs = createdUs;
         this.lastActivityUs = createdUs;
     }
@@ -54,7 +58,7 @@
         return createdUs;
     }
 
-    /** When the server last showed that it is there: when the connection was made, or with a response. */
+    /** Returns when the server last responded or, before that, when the connection was established. */
     long lastActivityUs() {
         return lastActivityUs;
     }
@@ -68,77 +72,81 @@
     }
 
     boolean isIdle() {
-        return open.isEmpty();
+        return openAttempts.isEmpty();
     }
 
     int openCount() {
-        return open.size();
+        return openAttempts.size();
     }
 
-    /** Whether an attempt of the request was sent here before, so that a late response could be to either. */
-    boolean hasCarried(String requestId) {
-        return open.containsKey(requestId) || history.contains(requestId);
+    /**
+     * Returns whether an attempt of the request was already sent on this connection, so that a late response to it
+     * could be taken for the response to another attempt.
+     */
+    boolean hasSent(String requestId) {
+        return openAttempts.containsKey(requestId) || requestIdHistory.contains(requestId);
     }
 
-    /** Whether a further attempt may be sent here. */
+    /** Returns whether an attempt of the request may be sent on this connection. */
     boolean accepts(String requestId) {
         return !retiring
-                && open.size() < maxStreams
-                && !hasCarried(requestId)
-                && (session == null || !session.isClosing() && session.getScheduledWriteBytes() < MAX_UNREAD_BYTES);
+                && openAttempts.size() < maxOpenAttempts
+                && !hasSent(requestId)
+                && (session == null || !session.isClosing() && session.getScheduledWriteBytes() < MAX_UNWRITTEN_BYTES);
     }
 
-    /** The connection is made: what waited for it is written. */
+    /** Called when the connection is established: writes the attempts that were sent before. */
     void connected(IoSession newSession, long nowUs) {
         session = newSession;
         lastActivityUs = nowUs;
-        List<Attempt> waiting = new ArrayList<>();
-        open.values().forEach(held -> waiting.add(held.attempt()));
-        waiting.forEach(attempt -> write(attempt, nowUs));
+        List<Attempt> unsent = new ArrayList<>();
+        openAttempts.values().forEach(openAttempt -> unsent.add(openAttempt.attempt()));
+        unsent.forEach(attempt -> write(attempt, nowUs));
     }
 
-    /** Responses were received. */
+    /** Called when at least one response was received. */
     void responseReceived(long nowUs) {
         lastActivityUs = nowUs;
         server.responseReceived();
     }
 
-    /** Sends an attempt, at once or when the connection is made. */
+    /** Sends an attempt at once, or as soon as the connection is established. */
     void send(Attempt attempt, long nowUs) {
         if (session == null) {
-            open.put(attempt.request().id(), new OpenAttempt(attempt, null));
+            openAttempts.put(attempt.request().id(), new OpenAttempt(attempt, null));
         } else {
             write(attempt, nowUs);
         }
     }
 
     private void write(Attempt attempt, long nowUs) {
-        byte[] bytes = CommandEncoder.fetch(attempt.request(), attempt.remainingMs(nowUs));
+        byte[] bytes = CommandEncoder.encodeFetch(attempt.request(), attempt.remainingMs(nowUs));
         EncodedCommand command = new EncodedCommand(bytes, null, attempt::isAwaited);
-        open.put(attempt.request().id(), new OpenAttempt(attempt, command));
+        openAttempts.put(attempt.request().id(), new OpenAttempt(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
     }
 
     /**
-     * Gives an attempt up. A command not written yet never is; one written in part, as where the server reads nothing,
-     * can't be taken back and would be completed later: then the connection is closed.
+     * Aborts an attempt. If its command is still queued, it is withdrawn and never written. If the command was written
+     * in part, for example because the server does not read, the rest would still be written later; the connection is
+     * closed to prevent that. If it was written completely, an abort command is sent.
      *
-     * @param onAbortWritten run in the I/O thread once the abort is written; never where the connection closes before
-     * @return whether an abort waits to be written, or the connection is being closed: until then the attempt is in
-     *     flight
+     * @param attempt the attempt
+     * @param onAbortWritten run on the I/O thread once the abort is written; not run if the connection closes first
+     * @return whether the attempt is still in flight, until the abort is written or the connection has closed
      */
     boolean abort(Attempt attempt, Runnable onAbortWritten) {
         String requestId = attempt.request().id();
-        if (withdraw(attempt) || !open.containsKey(requestId)) {
+        if (withdraw(attempt) || !openAttempts.containsKey(requestId)) {
             return false;
         }
-        OpenAttempt aborted = open.remove(requestId);
+        OpenAttempt aborted = openAttempts.remove(requestId);
         if (!aborted.command().isFullyWritten(session)) {
             close();
             return true;
         }
-        history.addAborted(requestId);
-        if (history.abortedCount() > MAX_ABORTED_PER_STREAM * maxStreams) {
+        requestIdHistory.addAborted(requestId);
+        if (requestIdHistory.abortedCount() > ABORTED_LIMIT_FACTOR * maxOpenAttempts) {
             retiring = true;
         }
         writeAbort(requestId, onAbortWritten);
@@ -147,9 +155,9 @@
 
     private void writeAbort(String requestId, Runnable onWritten) {
         DefaultWriteFuture future = new DefaultWriteFuture(session);
-        EncodedCommand command = new EncodedCommand(CommandEncoder.abort(requestId), future, () -> true);
+        EncodedCommand command = new EncodedCommand(CommandEncoder.encodeAbort(requestId), future, () -> true);
         stallDetector.abortQueued();
-        // MINA reports a write as done also where it drops it because the connection is being closed.
+        // MINA also completes the future if it drops the write because the connection is being closed.
         future.addListener(completed -> {
             if (command.isFullyWritten(session)) {
                 onWritten.run();
@@ -158,47 +166,53 @@
         session.getFilterChain().fireFilterWrite(command);
     }
 
-    /** Takes back an attempt of which nothing has been written; false where its writing may have begun. */
+    /**
+     * Removes an attempt if no byte of its command has been written.
+     *
+     * @return false if the attempt is not open, or if part of its command may have been written
+     */
     boolean withdraw(Attempt attempt) {
-        OpenAttempt held = open.get(attempt.request().id());
-        if (held == null || session != null && !held.command().withdraw()) {
+        OpenAttempt openAttempt = openAttempts.get(attempt.request().id());
+        if (openAttempt == null || session != null && !openAttempt.command().withdraw()) {
             return false;
         }
-        open.remove(attempt.request().id());
+        openAttempts.remove(attempt.request().id());
         return true;
     }
 
-    /** Removes an answered attempt; null where none is open under the id. */
+    /** Removes the attempt that a response belongs to; returns null if no attempt of the request is open. */
     Attempt removeAnswered(String requestId) {
-        OpenAttempt held = open.remove(requestId);
-        return held == null ? null : held.attempt();
+        OpenAttempt openAttempt = openAttempts.remove(requestId);
+        return openAttempt == null ? null : openAttempt.attempt();
     }
 
-    /** Keeps retries of a request off this connection, where a second response to its last attempt may still come. */
+    /** Prevents retries of a request on this connection: a duplicate response to its last attempt may still arrive. */
     void refuseRetriesOf(String requestId) {
-        history.addAnswered(requestId);
+        requestIdHistory.addAnswered(requestId);
     }
 
-    /** Removes all attempts, in the order in which they were sent. */
+    /** Removes and returns all open attempts, in the order in which they were sent. */
     List<OpenAttempt> removeAll() {
-        List<OpenAttempt> all = new ArrayList<>(open.values());
-        open.clear();
+        List<OpenAttempt> all = new ArrayList<>(openAttempts.values());
+        openAttempts.clear();
         return all;
     }
 
-    /** Whether any byte of an attempt's command may have been written: otherwise it can't have been executed. */
-    boolean mayHaveExecuted(OpenAttempt held) {
-        return session != null && held.command().isPartlyWritten(session);
+    /**
+     * Returns whether the server may have executed an attempt: at least one byte of its command may have been written.
+     */
+    boolean mayHaveExecuted(OpenAttempt openAttempt) {
+        return session != null && openAttempt.command().isPartlyWritten(session);
     }
 
-    /** Accepts nothing new from now on, and closes once no attempt is open. */
+    /** Accepts no further attempts from now on, and closes the connection once no attempt is open. */
     void retire() {
         retiring = true;
-        closeIfDone();
+        closeIfDrained();
     }
 
-    /** Closes the connection where it is retiring and no attempt is open on it. */
-    void closeIfDone() {
+    /** Closes the connection if it is being retired and no attempt is open. */
+    void closeIfDrained() {
         if (retiring && isIdle()) {
             close();
         }
--- a/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
+++ b/src/main/java/petrelplank/upstream/UpstreamFaultLog.java
@@ -2,46 +2,52 @@
 
 import java.util.logging.Logger;
 
-/** Counts faults of upstream servers, and logs one in some of them. Event thread only. */
+/** Counts protocol faults of upstream servers and logs a sample of each kind. Event thread only. */
 final class UpstreamFaultLog {
     private static final Logger LOG = Logger.getLogger(UpstreamFaultLog.class.getName());
+    /** Of each kind of fault, one in this many is logged, starting with the first. */
     private static final int LOGGED_ONE_IN = 25;
 
-    private long malformed;
-    private long incomplete;
-    private long notReading;
-    private long unsolicited;
+    private long malformedResponses;
+    private long incompleteResponses;
+    private long nonReadingConnections;
+    private long unsolicitedResponses;
 
-    /** A server sent bytes that are not a response. */
-    void malformed(String server, MalformedException fault) {
-        if (malformed++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("malformed response from " + server + ", connection closed: " + fault.getMessage() + ", "
-                    + malformed + " so far");
+    /** Called when a server sent bytes that are not a valid response. */
+    void malformedResponse(String server, MalformedResponseException exception) {
+        if (malformedResponses++ % LOGGED_ONE_IN == 0) {
+            LOG.warning("malformed response from server " + server + ", connection closed: " + exception.getMessage()
+                    + "; malformed responses from all servers so far: " + malformedResponses);
         }
     }
 
-    /** A response stopped before its end. */
+    /** Called when the rest of a partly received response does not arrive. */
     void incompleteResponse(String server) {
-        if (incomplete++ % LOGGED_ONE_IN == 0) {
-            LOG.warning("incomplete response from " + server + ", connection closed, " + incomplete + " so far");
+        if (incompleteResponses++ % LOGGED_ONE_IN == 0) {
+            LOG.warning("incomplete response from server " + server
+                    + ", connection closed; incomplete responses from all servers so far: " + incompleteResponses);
         }
     }
 
-    /** A server reads nothing of what it is sent. */
-    void notReading(String server) {
-        if (notReading++ % LOGGED_ONE_IN == 0) {
-            LOG.warning(server + " does not read, connection closed, " + notReading + " so far");
+    /** Called when a server does not read what it is sent. */
+    void serverNotReading(String server) {
+        if (nonReadingConnections++ % LOGGED_ONE_IN == 0) {
+            LOG.warning("server " + server
+                    + " does not read, connection closed; connections to all servers closed for this so far: "
+                    + nonReadingConnections);
         }
     }
 
-    /** A response came that no attempt waits for. */
+    /** Called when a response was received for which no attempt is open. */
     void unsolicitedResponse() {
-        unsolicited++;
+        unsolicitedResponses++;
     }
 
-    /** The counts in one line. */
+    /** Returns all counts in one line, for the log. */
     String counts() {
-        return "malformed " + malformed + ", incomplete " + incomplete + ", not reading " + notReading
-                + ", unsolicited responses " + unsolicited;
+        return "malformed responses " + malformedResponses + ", incomplete responses " + incompleteResponses
+                + ", connections closed because the server did not read " + nonReadingConnections
+                + ", unsolicited responses "
+                + unsolicitedResponses;
     }
 }
--- a/src/main/java/petrelplank/upstream/UpstreamServer.java
+++ b/src/main/java/petrelplank/upstream/UpstreamServer.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listed upstream server and its connections. Event thread only. */
+/** A server from the endpoint list and its connections. Event thread only. */
 final class UpstreamServer {
     private final String id;
     private final InetSocketAddress address;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
-    private int resetsInARow;
+    private int consecutiveResets;
 
     UpstreamServer(String id, InetSocketAddress address) {
         this.id = id;
@@ -33,56 +33,64 @@
     }
 
     /**
-     * The connection with the fewest open attempts that accepts a request; null where none does. A connection idle
-     * since before a time is retired, as a guard against a command that crosses the server's own close of it.
+     * Returns the connection with the fewest open attempts that accepts a request. Connections that have been idle for
+     * too long are retired first: the server may be closing them while a command is on its way.
+     *
+     * @param requestId the id of the request
+     * @param idleCutoffUs idle connections without activity since this time are retired
+     * @return the connection; null if none accepts the request
      */
-    UpstreamConnection leastLoaded(String requestId, long idleSinceUs) {
-        UpstreamConnection best = null;
+    UpstreamConnection leastLoaded(String requestId, long idleCutoffUs) {
+        UpstreamConnection leastLoaded = null;
         for (UpstreamConnection connection : List.copyOf(connections)) {
-            if (connection.isIdle() && !connection.isRetiring() && connection.lastActivityUs() < idleSinceUs) {
+            if (connection.isIdle() && !connection.isRetiring() && connection.lastActivityUs() < idleCutoffUs) {
                 connection.retire();
             }
-            if (connection.accepts(requestId) && (best == null || connection.openCount() < best.openCount())) {
-                best = connection;
+            if (connection.accepts(requestId)
+                    && (leastLoaded == null || connection.openCount() < leastLoaded.openCount())) {
+                leastLoaded = connection;
             }
         }
-        return best;
+        return leastLoaded;
     }
 
-    /** Whether an attempt of the request was sent on a connection that is still open. */
-    boolean hasCarried(String requestId) {
-        return connections.stream().anyMatch(connection -> connection.hasCarried(requestId));
+    /** Returns whether an attempt of the request was sent on a connection that is still open. */
+    boolean hasSent(String requestId) {
+        return connections.stream().anyMatch(connection -> connection.hasSent(requestId));
     }
 
-    /** Connections that accept new attempts: those being retired must not keep a fresh one out. */
-    long unretiredCount() {
+    /**
+     * Returns the number of connections that are not being retired. Only these count towards the maximum per server, so
+     * that a connection being retired does not prevent a new one.
+     */
+    long activeConnectionCount() {
         return connections.stream()
                 .filter(connection -> !connection.isRetiring())
                 .count();
     }
 
-    /** Retires connections made before a time: they belong to an earlier process of the server. */
-    void retireOlderThan(long unixUs) {
+    /** Retires the connections created before a restart of the server: they belong to its previous process. */
+    void retireCreatedBefore(long restartUs) {
         List.copyOf(connections).stream()
-                .filter(connection -> connection.createdUs() < unixUs)
+                .filter(connection -> connection.createdUs() < restartUs)
                 .forEach(UpstreamConnection::retire);
     }
 
     void retireAll() {
-        retireOlderThan(Long.MAX_VALUE);
+        retireCreatedBefore(Long.MAX_VALUE);
     }
 
-    /** A response has come: the server is there. */
+    /** Called when a response was received, which ends a series of resets. */
     void responseReceived() {
-        resetsInARow = 0;
+        consecutiveResets = 0;
     }
 
     /**
-     * Counts a connection lost to a reset.
+     * Counts a connection that was reset or closed.
      *
-     * @return connections lost so in a row, with no response between
+     * @return the number of consecutive resets, with no response in between
      */
     int countReset() {
-        return ++resetsInARow;
+        return ++consecutiveResets;
     }
 }
--- a/src/test/java/petrelplank/upstream/PendingAbortsTest.java
+++ b/src/test/java/petrelplank/upstream/PendingAbortsTest.java
@@ -18,21 +18,21 @@
     private final UpstreamConnection other = new UpstreamConnection(server, 100, 0);
     private final PendingAborts pendingAborts = new PendingAborts();
 
-    /** Where hedging is not allowed, the next attempt waits for the abort of the last, or its connection's end. */
+    /** Without hedging, the next attempt waits until the abort of the last is written or its connection has closed. */
     @Test
-    void nextAttemptIsHeldBackUntilTheLastIsAbortedOnTheWire() {
-        Attempt second = Attempts.of(REQUEST, 1);
-        assertFalse(pendingAborts.holdBack(second));
+    void nextAttemptIsHeldBackUntilTheAbortOfTheLastIsWritten() {
+        Attempt nextAttempt = Attempts.of(REQUEST, 1);
+        assertFalse(pendingAborts.holdBack(nextAttempt));
         pendingAborts.abortQueued(REQUEST, connection);
         pendingAborts.abortQueued(REQUEST, other);
-        assertTrue(pendingAborts.holdBack(second));
+        assertTrue(pendingAborts.holdBack(nextAttempt));
         assertFalse(pendingAborts.holdBack(Attempts.of("bbbbbbbbbbbbbbbb", 0)));
         assertEquals(List.of(), pendingAborts.abortWritten(REQUEST, connection));
-        assertEquals(List.of(second), pendingAborts.connectionClosed(other));
-        assertFalse(pendingAborts.holdBack(second));
+        assertEquals(List.of(nextAttempt), pendingAborts.connectionClosed(other));
+        assertFalse(pendingAborts.holdBack(nextAttempt));
         pendingAborts.abortQueued(REQUEST, connection);
-        assertTrue(pendingAborts.holdBack(second));
-        pendingAborts.remove(second);
+        assertTrue(pendingAborts.holdBack(nextAttempt));
+        pendingAborts.remove(nextAttempt);
         assertEquals(List.of(), pendingAborts.abortWritten(REQUEST, connection));
     }
 }
--- a/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
@@ -20,38 +20,38 @@
 import petrelplank.proxy.ResponseChannel;
 import petrelplank.upstream.StallDetector.Stall;
 
-/** A command aborted before it was written never is; one aborted half written ends its connection. */
+/** An aborted command that is still queued is never written; one that is partly written closes its connection. */
 class UpstreamConnectionTest {
-    /** A session with a server that reads nothing: commands wait until the test writes them. */
-    private static final class UnreadSession extends DummySession {
+    /** A session with a server that does not read: commands stay queued until the test writes them. */
+    private static final class NonReadingSession extends DummySession {
         private final CommandQueue queue = new CommandQueue();
 
-        UnreadSession() {
+        NonReadingSession() {
             setWriteRequestQueue(queue);
             suspendWrite();
         }
 
-        /** Writes up to so many bytes of what waits, as the I/O thread does; the bytes written. */
+        /** Writes at most {@code maxBytes} bytes of queued commands, as the I/O thread does; returns them as text. */
         String write(int maxBytes) {
-            StringBuilder out = new StringBuilder();
+            StringBuilder written = new StringBuilder();
             for (WriteRequest next = queue.poll(this); next != null; next = queue.poll(this)) {
                 IoBuffer buffer = (IoBuffer) next.getMessage();
-                int count = Math.min(maxBytes - out.length(), buffer.remaining());
+                int count = Math.min(maxBytes - written.length(), buffer.remaining());
                 byte[] part = new byte[count];
                 buffer.get(part);
                 increaseWrittenBytes(count, 0);
-                out.append(new String(part, StandardCharsets.ISO_8859_1));
+                written.append(new String(part, StandardCharsets.ISO_8859_1));
                 if (buffer.hasRemaining()) {
-                    return out.toString();
+                    return written.toString();
                 }
                 next.getFuture().setWritten();
             }
-            return out.toString();
+            return written.toString();
         }
     }
 
-    private static final int ALL = Integer.MAX_VALUE;
-    private final UnreadSession session = new UnreadSession();
+    private static final int UNLIMITED = Integer.MAX_VALUE;
+    private final NonReadingSession session = new NonReadingSession();
     private final UpstreamConnection connection =
             new UpstreamConnection(new UpstreamServer("s-1", new InetSocketAddress("127.0.0.1", 1)), 100, 0);
     private final List<String> writtenAborts = new ArrayList<>();
@@ -72,36 +72,42 @@
                 attempt, () -> writtenAborts.add(attempt.request().id()));
     }
 
-    /** It used to be written once the server read again, after the request's final response, with its abort behind it. */
+    /**
+     * Guards against writing an aborted command, followed by its abort, once the server reads again. By then the client
+     * already has its final response.
+     */
     @Test
     void commandAbortedWhileQueuedIsNeverWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
-        assertFalse(abort(first), "an abort of a command that was never written");
-        String out = session.write(ALL);
-        assertTrue(out.startsWith("fetch bbbbbbbbbbbbbbbb ") && !out.contains("aaaaaaaaaaaaaaaa"), out);
-        assertEquals(0, session.getScheduledWriteBytes(), "the bytes withdrawn are still counted");
+        assertFalse(abort(first), "an abort is pending for a command that was never written");
+        String written = session.write(UNLIMITED);
+        assertTrue(written.startsWith("fetch bbbbbbbbbbbbbbbb ") && !written.contains("aaaaaaaaaaaaaaaa"), written);
+        assertEquals(0, session.getScheduledWriteBytes(), "bytes of the withdrawn command still count as scheduled");
     }
 
     @Test
     void attemptAbortedAfterItWasWrittenIsInFlightUntilItsAbortIsWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
-        session.write(ALL);
+        session.write(UNLIMITED);
         assertTrue(abort(first));
         assertEquals(List.of(), writtenAborts);
         assertEquals(Stall.NONE, connection.stallDetector().sweep());
-        assertEquals(Stall.NOT_READING, connection.stallDetector().sweep(), "an abort waits over two sweeps");
-        assertEquals("abort aaaaaaaaaaaaaaaa\r\n", session.write(ALL));
+        assertEquals(Stall.NOT_READING, connection.stallDetector().sweep(), "an abort is unwritten for two sweeps");
+        assertEquals("abort aaaaaaaaaaaaaaaa\r\n", session.write(UNLIMITED));
         assertEquals(List.of("aaaaaaaaaaaaaaaa"), writtenAborts);
         connection.stallDetector().abortWritten();
         assertEquals(Stall.NONE, connection.stallDetector().sweep());
     }
 
-    /** The next attempt used to be sent before the close that aborts this one: MINA closes after all queued writes. */
+    /**
+     * Guards against sending the next attempt while this one is still in flight: MINA completes dropped writes before
+     * it closes the connection, and it is the close that aborts this attempt.
+     */
     @Test
     void abortDroppedWithItsConnectionDoesNotCountAsWritten() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
-        session.write(ALL);
+        session.write(UNLIMITED);
         assertTrue(abort(first));
         connection.close();
         assertTrue(session.isClosing());
@@ -109,7 +115,7 @@
     }
 
     @Test
-    void commandAbortedHalfWrittenClosesItsConnection() {
+    void abortOfAPartlyWrittenCommandClosesItsConnection() {
         Attempt first = send("aaaaaaaaaaaaaaaa");
         session.write(10);
         assertTrue(abort(first));
@@ -121,37 +127,40 @@
         send("aaaaaaaaaaaaaaaa");
         send("bbbbbbbbbbbbbbbb");
         session.write(10);
-        List<UpstreamConnection.OpenAttempt> open = connection.removeAll();
-        assertTrue(connection.mayHaveExecuted(open.get(0)));
-        assertFalse(connection.mayHaveExecuted(open.get(1)));
+        List<UpstreamConnection.OpenAttempt> openAttempts = connection.removeAll();
+        assertTrue(connection.mayHaveExecuted(openAttempts.get(0)));
+        assertFalse(connection.mayHaveExecuted(openAttempts.get(1)));
     }
 
-    /** Where settings allow no cancellation, nothing withdraws the command of a disconnected client; it is not written. */
+    /**
+     * If the settings disable cancellation, the command of a disconnected client is not withdrawn. The queue must skip
+     * it nevertheless.
+     */
     @Test
     void commandOfADisconnectedClientIsNeverWritten() {
         AtomicBoolean disconnected = new AtomicBoolean();
         Attempt first = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
         connection.send(first, 0);
         disconnected.set(true);
-        assertEquals("", session.write(ALL));
-        assertTrue(connection.withdraw(first), "a skipped command counts as never written");
+        assertEquals("", session.write(UNLIMITED));
+        assertTrue(connection.withdraw(first), "a skipped command must count as never written");
         assertFalse(connection.withdraw(first));
     }
 
-    /** The connection is made late: commands that wait for it are written only where their clients still wait. */
+    /** When the connection is established, only those commands are written whose clients are still connected. */
     @Test
     void commandOfADisconnectedClientIsNotWrittenWhenTheConnectionIsMade() {
-        UpstreamConnection late = new UpstreamConnection(connection.server(), 100, 0);
+        UpstreamConnection lateConnection = new UpstreamConnection(connection.server(), 100, 0);
         AtomicBoolean disconnected = new AtomicBoolean();
-        Attempt abandoned = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
-        late.send(abandoned, 0);
-        late.send(Attempts.of("bbbbbbbbbbbbbbbb", 0), 0);
+        Attempt disconnectedAttempt = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
+        lateConnection.send(disconnectedAttempt, 0);
+        lateConnection.send(Attempts.of("bbbbbbbbbbbbbbbb", 0), 0);
         disconnected.set(true);
-        UnreadSession made = new UnreadSession();
-        late.connected(made, 0);
-        String out = made.write(ALL);
-        assertTrue(out.startsWith("fetch bbbbbbbbbbbbbbbb ") && !out.contains("aaaaaaaaaaaaaaaa"), out);
-        assertTrue(late.withdraw(abandoned));
+        NonReadingSession lateSession = new NonReadingSession();
+        lateConnection.connected(lateSession, 0);
+        String written = lateSession.write(UNLIMITED);
+        assertTrue(written.startsWith("fetch bbbbbbbbbbbbbbbb ") && !written.contains("aaaaaaaaaaaaaaaa"), written);
+        assertTrue(lateConnection.withdraw(disconnectedAttempt));
     }
 
     private static ResponseChannel channel(AtomicBoolean disconnected) {
