--- a/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
+++ b/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
@@ -2,10 +2,10 @@
 
 import java.util.logging.Logger;
 
-/** Counts faults of clients and closes of their connections, and logs few of them. Event thread only. */
+/** Counts client connections that the proxy closed, by reason, and logs a sample. Used by the event thread only. */
 final class ClientFaultLog {
     private static final Logger LOG = Logger.getLogger(ClientFaultLog.class.getName());
-    /** Faulty clients send at full speed: a line for each would cost CPU and memory that good ones need. */
+    /** Faulty clients may send at full speed: logging each fault would take CPU and memory from other clients. */
     private static final int LOG_ONE_IN = 250;
 
     private final int maxConnections;
@@ -14,39 +14,40 @@
     private long evicted;
     private long idle;
 
-    /** A log; {@code maxConnections} are the most connections that clients may hold. */
+    /** Creates a log; {@code maxConnections} is the maximum number of client connections. */
     ClientFaultLog(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
-    /** A client's bytes violated the protocol. */
+    /** Counts a connection that was closed because the client's input violated the protocol. */
     void malformed(MalformedException violation) {
         if (malformed++ % LOG_ONE_IN == 0) {
-            LOG.warning("malformed FastCGI record from a client, connection closed: " + violation.getMessage() + ", "
-                    + malformed + " so far");
+            LOG.warning("client connection closed after malformed FastCGI input: " + violation.getMessage() + "; "
+                    + malformed + " closed for this reason so far");
         }
     }
 
-    /** A connection was closed since too much stood unread on it. */
+    /** Counts a connection that was closed because the client left too many response bytes unread. */
     void slowReader() {
         if (slowReaders++ % LOG_ONE_IN == 0) {
-            LOG.warning("client does not read its responses, connection closed, " + slowReaders + " so far");
+            LOG.warning("client connection closed because the client does not read its responses; " + slowReaders
+                    + " closed for this reason so far");
         }
     }
 
-    /** A connection that nothing was open on was closed. */
+    /** Counts a connection that was closed while it had no open request. */
     void closed(IdleClose.Reason reason) {
         if (reason == IdleClose.Reason.IDLE) {
             idle++;
         } else if (evicted++ % LOG_ONE_IN == 0) {
-            LOG.warning("near the limit of " + maxConnections + " client connections, least recently used one closed, "
-                    + evicted + " so far");
+            LOG.warning("least recently used client connection closed near the limit of " + maxConnections
+                    + " connections; " + evicted + " closed for this reason so far");
         }
     }
 
-    /** One line of counts. */
+    /** Returns the counts as one line of text. */
     String counts() {
-        return "malformed " + malformed + ", slow readers " + slowReaders + ", evicted near the limit " + evicted
-                + ", idle " + idle;
+        return "closed for malformed input " + malformed + ", for unread responses " + slowReaders
+                + ", near the connection limit " + evicted + ", when idle or timed out " + idle;
     }
 }
--- a/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
@@ -3,15 +3,15 @@
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
 
-/** When a connection was last in use. Written by the I/O thread and the event thread, read by any. */
+/** Tracks when a connection was last used. Written by the I/O thread and the event thread, read by any thread. */
 final class ConnectionActivity {
-    /** A connection that brings no complete request in this time, or leaves one half sent, is closed. */
+    /** A connection is closed if its first request, or one that was started, is incomplete after this time. */
     static final long REQUEST_TIMEOUT_US = 2_000_000;
-    /** Clients close idle connections after 4 s; those that never do are closed after this. */
+    /** A connection that has been idle for this long is closed. Clients close theirs after 4 s. */
     static final long IDLE_TIMEOUT_US = 5_000_000;
     /**
-     * A new connection's first request may still lie unread in the kernel; the connection is not closed to make room
-     * before this time and two turns of the I/O loop.
+     * The first request of a new connection may still be unread in the kernel. The connection is therefore not evicted
+     * before this time and two turns of the I/O loop have passed.
      */
     private static final long FIRST_REQUEST_US = REQUEST_TIMEOUT_US / 8;
 
@@ -20,14 +20,14 @@
     private final EventLoop loop;
     private final BoundedAcceptor acceptor;
     private final long acceptedInTurn;
-    /** When it last brought a complete request, or a response was written to it; its start before that. */
+    /** When a complete request was last received or a response sent; initially when the connection was opened. */
     private volatile long lastUsedUs;
 
     private volatile boolean receivedRequest;
-    /** Since when a request is being received; {@link #NONE} while none is. */
+    /** When the I/O thread first saw that a request or record was incomplete; {@link #NONE} while there is none. */
     private volatile long partialSinceUs = NONE;
 
-    /** A state to compare a later one with. */
+    /** The activity at one moment, to be compared with a later one. */
     record Snapshot(long lastUsedUs, long partialSinceUs) {}
 
     ConnectionActivity(EventLoop loop, BoundedAcceptor acceptor) {
@@ -46,7 +46,7 @@
         lastUsedUs = loop.clock();
     }
 
-    /** Bytes were read, and end inside a request or not. */
+    /** Called after each read; {@code insideRequest} says whether the input so far ends inside a request or record. */
     void bytesRead(boolean insideRequest) {
         if (!insideRequest) {
             partialSinceUs = NONE;
@@ -67,12 +67,12 @@
         return lastUsedUs == earlier.lastUsedUs && partialSinceUs == earlier.partialSinceUs;
     }
 
-    /** Whether it has brought a request, or would have by now. */
+    /** Whether a request has been received, or would have been if the client had sent one when it connected. */
     boolean isPastFirstRequest(long nowUs) {
         return receivedRequest || nowUs - lastUsedUs > FIRST_REQUEST_US && acceptor.turns() > acceptedInTurn + 1;
     }
 
-    /** Whether it was idle, or a request on it incomplete, for too long. */
+    /** Whether the connection has been idle, or a request on it incomplete, for too long. */
     boolean isTimedOut(long nowUs) {
         long partialSince = partialSinceUs;
         if (partialSince > NONE && receivedRequest) {
--- a/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
@@ -5,7 +5,10 @@
 import petrelplank.transport.BoundedAcceptor;
 import petrelplank.transport.DescriptorBudget;
 
-/** Closes connections that are of no use: regularly those that timed out, and idle ones where descriptors run short. */
+/**
+ * Closes unused connections: those that timed out, at regular intervals, and idle ones when few file descriptors are
+ * left.
+ */
 final class ConnectionReaper {
     private static final long SWEEP_INTERVAL_US = 250_000;
 
@@ -16,11 +19,11 @@
     private final Collection<FastCgiConnection> connections;
 
     /**
-     * A reaper.
+     * Creates a reaper; {@link #sweep} starts it.
      *
-     * @param context what the connections share
-     * @param budget the descriptors that connections may hold
-     * @param connections all that are open; a concurrent collection
+     * @param context the objects that all connections of the listener share
+     * @param budget the file descriptors that client connections may hold
+     * @param connections all open connections; a concurrent collection
      */
     ConnectionReaper(ListenerContext context, DescriptorBudget budget, Collection<FastCgiConnection> connections) {
         this.context = context;
@@ -31,8 +34,9 @@
     }
 
     /**
-     * Guards descriptors and memory against clients that send nothing, stop half way or keep connections that they
-     * don't use. Repeats itself; in the event thread.
+     * Closes connections that timed out, and schedules the next sweep. This frees the descriptors and memory of clients
+     * that send nothing, stop in the middle of a request, or keep connections open without using them. Called by the
+     * event thread.
      */
     void sweep() {
         long nowUs = loop.now();
@@ -47,9 +51,9 @@
     }
 
     /**
-     * Guards good clients against those that keep connections: where descriptors run short, the least recently used
-     * connections are closed. Where all have open requests, new connections wait in the kernel's queue until one has
-     * its response. In the accepting thread.
+     * Closes the least recently used idle connections when few file descriptors are left, so that clients which keep
+     * idle connections open do not block others. While every connection has open requests, new connections wait in the
+     * accept queue of the kernel until a response has been sent. Called by the accepting thread.
      */
     void makeRoom() {
         long nowUs = loop.clock();
--- a/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
@@ -12,21 +12,21 @@
 import petrelplank.transport.BoundedAcceptor;
 import petrelplank.transport.DescriptorBudget;
 
-/** A FastCGI responder on MINA. Requests are posted to the event thread, responses come from it. */
+/** FastCGI responder based on Apache MINA. It posts requests to the event thread, which sends the responses. */
 public final class FastCgiAcceptor {
     private final ListenerContext context;
     private final ConnectionReaper reaper;
     private final Set<FastCgiConnection> connections = ConcurrentHashMap.newKeySet();
 
     /**
-     * A responder; {@link #listen} opens it.
+     * Creates a responder; {@link #listen} opens its socket.
      *
-     * @param loop the event thread
-     * @param proxy takes the requests
-     * @param acceptor accepts connections; its handler is set here
-     * @param budget the descriptors that connections may hold
-     * @param memory bytes that the process may hold
-     * @param sizeScale bytes on the sockets over those in which clients send sizes, above 0
+     * @param loop the loop of the event thread
+     * @param proxy handles the requests
+     * @param acceptor accepts connections; this constructor sets its handler
+     * @param budget the file descriptors that client connections may hold
+     * @param memory the memory limit of the process in bytes
+     * @param sizeScale factor from sizes as the client sends them to bytes on the sockets; greater than 0
      */
     public FastCgiAcceptor(
             EventLoop loop,
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
-     * @param address on this address only
-     * @throws IOException where it can't be bound
+     * @param address the only address to listen on
+     * @throws IOException if the address cannot be bound
      */
     public void listen(InetSocketAddress address) throws IOException {
         context.acceptor().bind(address);
@@ -61,18 +61,18 @@
     }
 
     /**
-     * Sets the answer to health requests.
+     * Sets how health requests are answered.
      *
-     * @param now whether the proxy serves
+     * @param now true for success (status 200), false for status 503
      */
     public void ready(boolean now) {
         context.status().ready(now);
     }
 
     /**
-     * Closes what is open and not in use, at the end of a shutdown; a connection with an unread request is kept.
+     * Closes unused connections at the end of a shutdown. A connection with an unread request is kept open.
      *
-     * @return connections that are not closed yet
+     * @return the number of connections that are still open
      */
     public int closeUnused() {
         connections.stream()
@@ -81,19 +81,19 @@
         return connections.size();
     }
 
-    /** Accepts no further connections. */
+    /** Stops accepting connections; those that are open stay open. */
     public void stopListening() {
         context.acceptor().setCloseOnDeactivation(false);
         context.acceptor().unbind();
     }
 
     /**
-     * Connections and faults of clients, in one line.
+     * Returns the number of open client connections, and of those that the proxy closed, by reason.
      *
-     * @return the counts
+     * @return the counts as one line of text
      */
     public String counts() {
-        return "client connections " + connections.size() + ", "
+        return "client connections open " + connections.size() + ", "
                 + context.faults().counts();
     }
 
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -8,9 +8,9 @@
 import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.EventLoop;
 
-/** One connection; records are read in its I/O thread, responses are written from the event thread. */
+/** A connection from a web server. The I/O thread reads its records; the event thread writes most responses. */
 final class FastCgiConnection implements RequestAssembler.Listener {
-    /** How long the client may take to close a connection whose sending side was shut down. */
+    /** How long the client has to close a connection after the proxy has shut down its sending side. */
     private static final long LINGER_US = 1_000_000;
 
     private static final String HEALTH_SCRIPT = "/_health";
@@ -23,9 +23,9 @@
     private final OpenRequests openRequests = new OpenRequests();
     private final ConnectionActivity activity;
     private final IdleClose idleClose;
-    /** What still comes is ignored, since what came before violated the protocol. Of the I/O thread. */
+    /** Whether the input violated the protocol; further input is then ignored. Used by the I/O thread only. */
     private boolean malformed;
-    /** When the sending side was shut down; 0 before. Written by the I/O thread. */
+    /** When the sending side was shut down; 0 while it is open. Written by the I/O thread. */
     private volatile long outputShutdownUs;
 
     FastCgiConnection(ListenerContext context, IoSession session) {
@@ -38,24 +38,25 @@
         this.idleClose = new IdleClose(session, context, activity, this::isUnused);
     }
 
-    /** Nothing is open and nothing unsent, so that it may be closed. */
+    /** Whether the connection has no open requests and no unsent bytes, so that it may be closed. */
     boolean isUnused() {
         return openRequests.isEmpty() && session.getScheduledWriteBytes() == 0;
     }
 
-    /** Whether it may be closed to make room: it is unused, and would have brought a first request by now. */
+    /** Whether the connection may be closed to make room: it is unused, and its first request would have arrived. */
     boolean isEvictable(long nowUs) {
-        // In this order: a first request that comes in meanwhile is open before it counts as received.
+        // The order matters: a request is added to the open requests before it counts as received, so isUnused() sees
+        // a first request that arrives during these checks.
         return idleClose.isOpen() && activity.isPastFirstRequest(nowUs) && isUnused();
     }
 
-    /** Whether it was idle, or a request on it incomplete, for too long. */
+    /** Whether the connection is unused and has been idle, or a request on it incomplete, for too long. */
     boolean isTimedOut(long nowUs) {
         boolean timedOut = activity.isTimedOut(nowUs);
         return isUnused() && timedOut;
     }
 
-    /** Whether its client has not closed it in good time after its sending side was shut down. */
+    /** Whether the client has not closed the connection in time after its sending side was shut down. */
     boolean lingersTooLong(long nowUs) {
         return outputShutdownUs > 0 && nowUs - outputShutdownUs > LINGER_US;
     }
@@ -64,7 +65,7 @@
         return activity.lastUsedUs();
     }
 
-    /** Closes it unless a request comes in meanwhile, see {@link IdleClose#request}. */
+    /** Closes the connection unless a request arrives meanwhile; see {@link IdleClose#request}. */
     void closeIfIdle(IdleClose.Reason reason) {
         idleClose.request(reason);
     }
@@ -73,7 +74,10 @@
         session.closeNow();
     }
 
-    /** Closes it once all responses are written, without a reset, which would destroy them on their way. */
+    /**
+     * Shuts down the sending side once all responses are written. Closing the socket at once could reset the
+     * connection, and responses in transit would be lost.
+     */
     void closeAfterResponses() {
         context.acceptor().shutdownOutput(session, () -> {
             if (isUnused()) {
@@ -83,7 +87,7 @@
         });
     }
 
-    /** Bytes were read; in the I/O thread. */
+    /** Processes bytes that were read. Called by the I/O thread. */
     void received(IoBuffer bytes) {
         if (malformed || outputShutdownUs > 0) {
             return;
@@ -98,7 +102,7 @@
         }
     }
 
-    /** The session is closed; in the I/O thread. */
+    /** Releases the requests of the connection after it was closed. Called by the I/O thread. */
     void closed() {
         if (idleClose.closed()) {
             loop.post(() -> context.faults().closed(idleClose.reason()));
@@ -112,7 +116,7 @@
         String requestId = params.getOrDefault(RequestDecoder.REQUEST_ID, "");
         FastCgiResponseChannel channel =
                 new FastCgiResponseChannel(this, openRequests, id, keepConnection, requestId, body.length);
-        // Guards memory against clients that open hundreds of requests with large bodies.
+        // Limits the memory that clients can take by opening hundreds of requests with large bodies.
         context.memory().requestBytes().addAndGet(body.length);
         openRequests.add(id, channel);
         activity.requestReceived();
@@ -170,7 +174,7 @@
         write(ManagementRecords.reply(record, context.maxConnections()));
     }
 
-    /** Writes the response to a request that was removed from those open. */
+    /** Writes the response to a request that has been removed from the open requests. */
     void respond(int id, ClientResponse response, int requestBodyLength) {
         context.memory().requestBytes().addAndGet(-requestBodyLength);
         activity.responseSent();
@@ -178,7 +182,7 @@
     }
 
     private void write(byte[] bytes) {
-        // Guards memory against a client that goes on requesting and does not read.
+        // Limits the memory that a client can take by sending requests without reading the responses.
         long unreadBytes = session.getScheduledWriteBytes();
         if (context.memory().isOverUnreadLimit(unreadBytes, context.acceptor().getScheduledWriteBytes())) {
             session.closeNow();
--- a/src/main/java/petrelplank/fastcgi/FastCgiRecord.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiRecord.java
@@ -1,18 +1,18 @@
 package petrelplank.fastcgi;
 
 /**
- * One FastCGI record; the constants are numbers of the protocol.
+ * A FastCGI record. The constants are defined by the FastCGI specification.
  *
- * @param type its type, see the constants
- * @param id the request that it belongs to; {@link #MANAGEMENT_ID} for the connection itself
- * @param content its content, without padding
+ * @param type the record type, one of the constants
+ * @param id the id of the request on this connection; {@link #MANAGEMENT_ID} for management records
+ * @param content the content, without padding
  */
 record FastCgiRecord(int type, int id, byte[] content) {
-    /** The only version of the protocol. */
+    /** The only protocol version. */
     static final int VERSION = 1;
-    /** Bytes before a record's content. */
+    /** Length of the header of a record, in bytes. */
     static final int HEADER_LENGTH = 8;
-    /** Id of the records that belong to the connection and to no request. */
+    /** Id in management records, which belong to the connection and not to a request. */
     static final int MANAGEMENT_ID = 0;
 
     static final int BEGIN_REQUEST = 1;
@@ -25,14 +25,14 @@
     static final int GET_VALUES_RESULT = 10;
     static final int UNKNOWN_TYPE = 11;
 
-    /** Length of the content of BEGIN_REQUEST, END_REQUEST and UNKNOWN_TYPE. */
+    /** Content length of BEGIN_REQUEST, END_REQUEST and UNKNOWN_TYPE, in bytes. */
     static final int FIXED_BODY_LENGTH = 8;
-    /** In BEGIN_REQUEST: the role of an application that makes the response. */
+    /** Role in BEGIN_REQUEST of an application that generates the response. */
     static final int ROLE_RESPONDER = 1;
-    /** In BEGIN_REQUEST, a flag: the connection stays open after the response. */
+    /** Flag in BEGIN_REQUEST: the connection stays open after the response. */
     static final int FLAG_KEEP_CONNECTION = 1;
 
-    /** How a request ended, as END_REQUEST says it. */
+    /** Protocol status in END_REQUEST: how a request ended. */
     enum ProtocolStatus {
         REQUEST_COMPLETE(0),
         OVERLOADED(2),
@@ -44,18 +44,18 @@
             this.code = code;
         }
 
-        /** The number on the wire. */
+        /** The number that is sent in END_REQUEST. */
         int code() {
             return code;
         }
     }
 
-    /** Whether it belongs to the connection itself. */
+    /** Whether the record belongs to the connection and not to a request. */
     boolean isManagement() {
         return id == MANAGEMENT_ID;
     }
 
-    /** Whether it has no content, which ends a stream. */
+    /** Whether the record has no content; such a record ends a stream. */
     boolean isEmpty() {
         return content.length == 0;
     }
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -3,7 +3,7 @@
 import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.ResponseChannel;
 
-/** The way back to a FastCGI client, for one request on its connection. */
+/** Sends the response to one request on a FastCGI connection. */
 final class FastCgiResponseChannel implements ResponseChannel {
     private final FastCgiConnection connection;
     private final OpenRequests openRequests;
@@ -27,17 +27,17 @@
         this.bodyLength = bodyLength;
     }
 
-    /** The client's id of the request. */
+    /** The client's request id (HTTP_X_REQUEST_ID), in contrast to the FastCGI id on the connection. */
     String requestId() {
         return requestId;
     }
 
-    /** Bytes of the request that are held until it is answered. */
+    /** Bytes of the request body; they stay in memory until the request is answered. */
     int bodyLength() {
         return bodyLength;
     }
 
-    /** A response and an abort may meet: whichever removes the request first wins. */
+    /** A response may race with an abort by the client: whichever removes the request from the open ones first wins. */
     @Override
     public void answer(ClientResponse response) {
         openRequests.beginResponse();
--- a/src/main/java/petrelplank/fastcgi/IdleClose.java
+++ b/src/main/java/petrelplank/fastcgi/IdleClose.java
@@ -6,15 +6,15 @@
 import petrelplank.transport.BoundedAcceptor;
 
 /**
- * Closes one connection that nothing is open on, unless a request has come in meanwhile. Requested in any thread; the
- * I/O thread decides, which may keep the connection open, so that the close may be requested again later.
+ * Closes one connection without open requests, unless a request arrives meanwhile. Any thread may request the close;
+ * the I/O thread then closes the connection or keeps it open. If it is kept open, the close can be requested again.
  */
 final class IdleClose {
-    /** Why a connection is closed. */
+    /** Reason for closing a connection. */
     enum Reason {
-        /** It was idle, or left a request incomplete, for too long. */
+        /** The connection was idle, or a request on it incomplete, for too long, or the proxy is shutting down. */
         IDLE,
-        /** Connections run short, and others need its place. */
+        /** The number of connections is near its limit, and new ones need room. */
         CONNECTION_LIMIT
     }
 
@@ -24,7 +24,7 @@
         CLOSED
     }
 
-    /** Bytes of a request at its limits; a body in small records takes up to as many again for their headers. */
+    /** Bytes of a request of maximum size. The factor 2 allows for the record headers of a body in small records. */
     private static final long MAX_REQUEST_BYTES =
             2L * (RequestAssembler.MAX_PARAMS_BYTES + RequestAssembler.MAX_BODY_BYTES);
 
@@ -36,18 +36,22 @@
 
     private final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
     private volatile Reason reason = Reason.IDLE;
-    /** Of the first request since the connection was last used: when that was, and the bytes read in all by then. */
+    /**
+     * When the connection was last used, as seen by the first close request after that use. Together with
+     * {@link #requestedReadBytes} the baseline for later close requests.
+     */
     private volatile long requestedLastUsedUs;
 
+    /** Total bytes read from the connection at the first close request since it was last used. */
     private volatile long requestedReadBytes;
 
     /**
-     * For one connection, which is open.
+     * Creates the idle close of one connection, which is open.
      *
      * @param session the connection
-     * @param context what it shares with others
-     * @param activity when it was last in use
-     * @param unused whether nothing is open on it and nothing unsent
+     * @param context the objects that all connections of the listener share
+     * @param activity when the connection was last used
+     * @param unused whether the connection has no open request and no unsent bytes
      */
     IdleClose(IoSession session, ListenerContext context, ConnectionActivity activity, BooleanSupplier unused) {
         this.session = session;
@@ -57,18 +61,20 @@
         this.unused = unused;
     }
 
-    /** Whether the connection is open and no close is requested. */
+    /** Whether the connection is open and no close has been requested. */
     boolean isOpen() {
         return state.get() == State.OPEN;
     }
 
     /**
-     * Closes the connection, unless something lies unread on it when the I/O thread looks, or a request came. Where
-     * more was read since the first request than a client's request can hold, and nothing complete came of it, it is
-     * junk: then the connection is closed whatever lies unread. Less may be a long request, which takes several reads.
+     * Requests a close. The I/O thread keeps the connection open if bytes lie unread on it or a request has arrived
+     * meanwhile. If more bytes have been read since the first close request than the largest request has, and none was
+     * completed, the input is invalid and the connection is closed even if bytes are unread. Fewer bytes may belong to
+     * a long request, which takes several reads.
      */
     void request(Reason why) {
-        // Counted first: the I/O thread may be closing it for a reason of its own.
+        // Incremented before the state changes: the I/O thread may close the connection for another reason right
+        // afterwards, and then decrements the count.
         listener.closeRequested();
         if (!state.compareAndSet(State.OPEN, State.CLOSE_REQUESTED)) {
             listener.closeDecided();
@@ -83,6 +89,10 @@
         acceptor.closeIfIdle(session, () -> unused.getAsBoolean() && activity.isUnchangedSince(before), this::kept);
     }
 
+    /**
+     * Whether more has been read since the first close request than the largest request has, without completing one.
+     * Sets the baseline if the connection has been used since.
+     */
     private boolean hasReadOnlyJunk(ConnectionActivity.Snapshot now) {
         long readBytes = session.getReadBytes();
         if (now.lastUsedUs() != requestedLastUsedUs) {
@@ -93,6 +103,7 @@
         return readBytes - requestedReadBytes > MAX_REQUEST_BYTES;
     }
 
+    /** Called by the I/O thread if it keeps the connection open. */
     private void kept() {
         if (state.compareAndSet(State.CLOSE_REQUESTED, State.OPEN)) {
             listener.closeDecided();
@@ -100,9 +111,9 @@
     }
 
     /**
-     * The connection is closed, for whatever reason.
+     * Called when the connection has been closed, for whatever reason.
      *
-     * @return whether a close was requested
+     * @return whether an idle close was requested
      */
     boolean closed() {
         if (state.getAndSet(State.CLOSED) != State.CLOSE_REQUESTED) {
@@ -112,7 +123,7 @@
         return true;
     }
 
-    /** Why the close was requested last. */
+    /** The reason of the last close request. */
     Reason reason() {
         return reason;
     }
--- a/src/main/java/petrelplank/fastcgi/ListenerContext.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerContext.java
@@ -5,16 +5,16 @@
 import petrelplank.transport.BoundedAcceptor;
 
 /**
- * What the connections of one listener share.
+ * Objects that all connections of one listener share.
  *
- * @param loop the event thread
- * @param proxy takes the requests
- * @param acceptor accepts connections
+ * @param loop the loop of the event thread
+ * @param proxy handles the requests
+ * @param acceptor accepts the connections
  * @param decoder decodes requests
- * @param memory what requests and unread responses may take
- * @param faults counts faults of clients; of the event thread
- * @param status whether the listener is ready, and how many connections are being closed
- * @param maxConnections the most connections that clients may hold
+ * @param memory limits the memory that requests and unread responses use
+ * @param faults counts connections closed by the proxy, and why; used by the event thread only
+ * @param status whether the listener is ready, and how many closes are pending
+ * @param maxConnections the maximum number of client connections
  */
 record ListenerContext(
         EventLoop loop,
--- a/src/main/java/petrelplank/fastcgi/ListenerStatus.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerStatus.java
@@ -2,17 +2,18 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The state of one listener that its connections share. Any thread. */
+/** State of a listener that all its connections share. Thread-safe. */
 final class ListenerStatus {
     private volatile boolean ready;
-    /** Connections whose idle close was requested, and that were neither closed nor kept since. */
+    /** Connections with a requested idle close that the I/O thread has neither closed nor kept open yet. */
     private final AtomicInteger pendingCloses = new AtomicInteger();
 
-    /** What health requests are answered. */
+    /** Whether health requests are answered with success. */
     boolean isReady() {
         return ready;
     }
 
+    /** Sets whether health requests are answered with success. */
     void ready(boolean now) {
         ready = now;
     }
@@ -21,11 +22,12 @@
         return pendingCloses.get();
     }
 
+    /** Counts a connection whose idle close is requested. */
     void closeRequested() {
         pendingCloses.incrementAndGet();
     }
 
-    /** A connection whose close was requested is closed, or is kept. */
+    /** Removes a connection from the count: it was closed, or is kept open. */
     void closeDecided() {
         pendingCloses.decrementAndGet();
     }
--- a/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
@@ -8,8 +8,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Sends some hundred health requests to the proxy as clients do, before it is ready: what reads requests and writes
- * responses is then compiled when the first clients come, all at once, under part of a core.
+ * Sends several hundred health requests to the proxy over a socket before the proxy reports that it is ready. The JIT
+ * compiler has then already compiled the code that reads requests and writes responses. Without this, compilation would
+ * compete with the first clients, which arrive all at once, for less than one processor core.
  */
 public final class ListenerWarmup {
     private static final int REQUESTS_PER_ROUND = 16;
@@ -20,7 +21,7 @@
     private static final byte[] BEGIN_REQUEST_BODY = {
         0, FastCgiRecord.ROLE_RESPONDER, FastCgiRecord.FLAG_KEEP_CONNECTION, 0, 0, 0, 0, 0
     };
-    /** Names, each followed by its value. */
+    /** Parameters of the requests: names, each followed by its value. */
     private static final String[] PARAMS = {
         "SCRIPT_NAME",
         "/_health",
@@ -54,11 +55,12 @@
     }
 
     /**
-     * Sends requests and waits for the responses, whatever they are; fewer rounds where they take too long.
+     * Sends rounds of requests and waits for the responses, whatever their status. Starts no further round after one
+     * second.
      *
-     * @param proxy where the proxy listens
-     * @param rounds how many times 16 requests are sent at once
-     * @throws IOException where the connection breaks
+     * @param proxy the address that the proxy listens on
+     * @param rounds the number of rounds, of 16 requests each
+     * @throws IOException if the connection cannot be opened, fails, or times out
      */
     public static void run(InetSocketAddress proxy, int rounds) throws IOException {
         long deadlineNs = System.nanoTime() + TIMEOUT_MS * NS_PER_MS;
@@ -78,7 +80,7 @@
         }
     }
 
-    /** Reads until there were so many responses in all; false where the connection was closed before. */
+    /** Reads until the total number of responses is reached; false if the connection was closed before that. */
     private boolean readResponses(int expected) throws IOException {
         InputStream input = socket.getInputStream();
         while (responses < expected) {
--- a/src/main/java/petrelplank/fastcgi/MalformedException.java
+++ b/src/main/java/petrelplank/fastcgi/MalformedException.java
@@ -1,19 +1,19 @@
 package petrelplank.fastcgi;
 
-/** A client's bytes violate the FastCGI protocol; the connection can't be used further. */
+/** Thrown when input from a client violates the FastCGI protocol; the connection must not be read any further. */
 final class MalformedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The rule that was violated. */
+    /** The protocol rule that was violated. */
     enum Violation {
-        UNSUPPORTED_VERSION("version"),
-        INVALID_BEGIN_REQUEST("length of a BEGIN_REQUEST"),
-        DUPLICATE_REQUEST_ID("a second BEGIN_REQUEST for an open id"),
-        PARAMS_AFTER_END("parameters after their end"),
-        STDIN_BEFORE_PARAMS_END("a body before the end of the parameters"),
-        STREAM_TOO_LONG("a stream over its limit in bytes"),
-        TRUNCATED_LENGTH("parameters end inside a length"),
-        TRUNCATED_VALUE("parameters end inside a value");
+        UNSUPPORTED_VERSION("unsupported FastCGI version, should be 1"),
+        INVALID_BEGIN_REQUEST("BEGIN_REQUEST of the wrong length, should be 8 bytes"),
+        DUPLICATE_REQUEST_ID("BEGIN_REQUEST with the id of a request that is still open"),
+        PARAMS_AFTER_END("PARAMS record after the end of the PARAMS stream"),
+        STDIN_BEFORE_PARAMS_END("end of the STDIN stream before the end of the PARAMS stream"),
+        STREAM_TOO_LONG("PARAMS or STDIN stream is longer than its limit in bytes"),
+        TRUNCATED_LENGTH("name-value pairs end inside the length of a name or value"),
+        TRUNCATED_VALUE("name-value pairs end inside a name or value");
 
         private final String description;
 
@@ -29,7 +29,12 @@
         this.violation = violation;
     }
 
-    /** With the number found, or the limit exceeded. */
+    /**
+     * Creates an exception with a number in its message.
+     *
+     * @param violation the rule that was violated
+     * @param value the number that was found; for {@link Violation#STREAM_TOO_LONG} the limit
+     */
     MalformedException(Violation violation, int value) {
         super(violation.description + ": " + value);
         this.violation = violation;
--- a/src/main/java/petrelplank/fastcgi/ManagementRecords.java
+++ b/src/main/java/petrelplank/fastcgi/ManagementRecords.java
@@ -3,15 +3,15 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Map;
 
-/** Replies to FastCGI's management records, which belong to the connection and to no request. Any thread. */
+/** Encodes replies to FastCGI management records, which belong to a connection and not to a request. Thread-safe. */
 final class ManagementRecords {
     private ManagementRecords() {}
 
     /**
-     * The reply to a management record: GET_VALUES_RESULT to GET_VALUES, UNKNOWN_TYPE to any other.
+     * Encodes the reply to a management record: GET_VALUES_RESULT for GET_VALUES, UNKNOWN_TYPE for any other type.
      *
      * @param record the management record
-     * @param maxConnections the most connections that clients may hold
+     * @param maxConnections the maximum number of client connections
      */
     static byte[] reply(FastCgiRecord record, int maxConnections) {
         if (record.type() == FastCgiRecord.GET_VALUES) {
--- a/src/main/java/petrelplank/fastcgi/OpenRequests.java
+++ b/src/main/java/petrelplank/fastcgi/OpenRequests.java
@@ -5,22 +5,22 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntConsumer;
 
-/** The requests of one connection that are not answered yet, by their ids. Any thread. */
+/** The requests of one connection that are not answered yet, by their FastCGI ids. Thread-safe. */
 final class OpenRequests {
     private final Map<Integer, FastCgiResponseChannel> channels = new ConcurrentHashMap<>();
-    /** Responses between the removal of their request and standing among the bytes to write. */
+    /** Responses whose request may already be removed but whose bytes are not yet queued for writing. */
     private final AtomicInteger responding = new AtomicInteger();
 
     void add(int id, FastCgiResponseChannel channel) {
         channels.put(id, channel);
     }
 
-    /** Removes what is open under an id; null where nothing is. */
+    /** Removes the request with this id; returns null if there is none. */
     FastCgiResponseChannel remove(int id) {
         return channels.remove(id);
     }
 
-    /** Removes this request; false where it was answered or aborted before. */
+    /** Removes this request; returns false if it was already answered or aborted. */
     boolean remove(int id, FastCgiResponseChannel channel) {
         return channels.remove(id, channel);
     }
@@ -37,9 +37,9 @@
         return channels.size();
     }
 
-    /** Whether nothing is open and no response is being written. */
+    /** Whether no request is open and no response is about to be queued for writing. */
     boolean isEmpty() {
-        // In this order: a response is counted before its request is removed.
+        // The order matters: a response is counted before its request is removed, so that one of the checks sees it.
         return channels.isEmpty() && responding.get() == 0;
     }
 
@@ -47,10 +47,12 @@
         channels.keySet().forEach(action::accept);
     }
 
+    /** Must be called before the request is removed. */
     void beginResponse() {
         responding.incrementAndGet();
     }
 
+    /** Must be called once the response is queued for writing, or if there is none to send. */
     void endResponse() {
         responding.decrementAndGet();
     }
--- a/src/main/java/petrelplank/fastcgi/ParamsDecoder.java
+++ b/src/main/java/petrelplank/fastcgi/ParamsDecoder.java
@@ -6,9 +6,12 @@
 import java.util.Map;
 import petrelplank.fastcgi.MalformedException.Violation;
 
-/** Decodes FastCGI name-value pairs: two lengths of one or four bytes each, the name, the value. */
+/**
+ * Decodes and encodes FastCGI name-value pairs. Each pair consists of the lengths of its name and value, of one or four
+ * bytes each, followed by the name and the value.
+ */
 final class ParamsDecoder {
-    /** Set in the first byte of a length of four bytes. */
+    /** Flag in the first byte of a length that takes four bytes. */
     private static final int LONG_LENGTH_FLAG = 0x80;
 
     private final byte[] bytes;
@@ -19,15 +22,15 @@
     }
 
     /**
-     * The pairs in their order; of pairs with one name, the last value.
+     * Decodes pairs, in their order. If a name occurs more than once, its last value is returned.
      *
-     * @throws MalformedException where the bytes end inside a pair
+     * @throws MalformedException if the bytes end in the middle of a pair
      */
     static Map<String, String> decode(byte[] bytes) {
         return new ParamsDecoder(bytes).pairs();
     }
 
-    /** Appends one pair whose name and value are shorter than 128 bytes. */
+    /** Appends one pair; name and value must be shorter than 128 bytes each. */
     static void append(ByteArrayOutputStream pairs, String name, String value) {
         pairs.write(name.length());
         pairs.write(value.length());
--- a/src/main/java/petrelplank/fastcgi/RecordEncoder.java
+++ b/src/main/java/petrelplank/fastcgi/RecordEncoder.java
@@ -5,20 +5,20 @@
 import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
 import petrelplank.proxy.ClientResponse;
 
-/** Encodes responses and single records as bytes of FastCGI. */
+/** Encodes responses and single records in the FastCGI format. Thread-safe. */
 final class RecordEncoder {
-    /** The longest content of a record that is a multiple of eight bytes, so that records stay aligned. */
+    /** Maximum content length of a record that is a multiple of 8 bytes, so that records stay aligned. */
     private static final int MAX_CONTENT_LENGTH = 65_528;
-    /** Room for the headers of a response's records and for its END_REQUEST; the buffer grows where it needs more. */
+    /** Initial space for record headers and the END_REQUEST record; the buffer grows if this is not enough. */
     private static final int RECORD_OVERHEAD = 64;
 
     private static final int RESPONSE_HEAD_LENGTH = 128;
-    /** In END_REQUEST, behind the four bytes of the application's status. */
+    /** Offset in the content of END_REQUEST, after the four bytes of the application status. */
     private static final int PROTOCOL_STATUS_AT = 4;
 
     private RecordEncoder() {}
 
-    /** A complete response: the CGI head and the body as STDOUT, the end of STDOUT, and END_REQUEST. */
+    /** Encodes a complete response: CGI headers and body as the STDOUT stream, its end, and END_REQUEST. */
     static byte[] response(int id, ClientResponse response) {
         byte[] head = responseHead(response).getBytes(StandardCharsets.ISO_8859_1);
         byte[] body = response.body();
@@ -58,14 +58,14 @@
                 .toString();
     }
 
-    /** An END_REQUEST alone, for a request that was rejected before it was read. */
+    /** Encodes only an END_REQUEST record, for a request that was rejected before it was received completely. */
     static byte[] endRequest(int id, ProtocolStatus status) {
         RecordBuffer buffer = new RecordBuffer(FastCgiRecord.HEADER_LENGTH + FastCgiRecord.FIXED_BODY_LENGTH);
         buffer.endRequest(id, status);
         return buffer.toByteArray();
     }
 
-    /** One record of any type. */
+    /** Encodes one record of any type, without padding. */
     static byte[] record(int type, int id, byte[] content) {
         RecordBuffer buffer = new RecordBuffer(FastCgiRecord.HEADER_LENGTH + content.length);
         buffer.header(type, id, content.length);
@@ -83,7 +83,7 @@
             write(type);
             writeShort(id);
             writeShort(contentLength);
-            write(0); // length of the padding
+            write(0); // padding length
             write(0); // reserved
         }
 
--- a/src/main/java/petrelplank/fastcgi/RecordParser.java
+++ b/src/main/java/petrelplank/fastcgi/RecordParser.java
@@ -4,10 +4,13 @@
 import java.util.function.Consumer;
 import petrelplank.fastcgi.MalformedException.Violation;
 
-/** Reads FastCGI records, however they were fragmented. The format itself limits each record to 64 KB. */
+/**
+ * Parses FastCGI records from input that may be fragmented at any point. It needs no limit on the length of a record:
+ * the format allows at most 64 KB of content.
+ */
 final class RecordParser {
     private static final byte[] EMPTY = new byte[0];
-    /** Places of the fields in a header; ids and lengths are of two bytes. */
+    /** Offsets of the fields in a header. The request id and the content length take two bytes. */
     private static final int VERSION_AT = 0;
 
     private static final int TYPE_AT = 1;
@@ -17,18 +20,18 @@
 
     private final byte[] header = new byte[FastCgiRecord.HEADER_LENGTH];
     private int headerRead;
-    /** Null until the header is complete. */
+    /** The content of the current record; null until its header is complete. */
     private byte[] content;
 
     private int contentRead;
     private int paddingLeft;
 
     /**
-     * Consumes the bytes and hands on each complete record.
+     * Parses bytes and passes on each record that they complete.
      *
      * @param input the bytes; all are consumed
-     * @param records gets each record that ended
-     * @throws MalformedException where a header is not FastCGI; the connection can't be read further
+     * @param records receives each complete record
+     * @throws MalformedException if a header has an unsupported version; the connection must not be read any further
      */
     void feed(ByteBuffer input, Consumer<FastCgiRecord> records) {
         while (input.hasRemaining()) {
@@ -44,12 +47,12 @@
         }
     }
 
-    /** Whether a record has begun and not ended. */
+    /** Whether the input so far ends in the middle of a record. */
     boolean isInsideRecord() {
         return headerRead > 0;
     }
 
-    /** Reads on in the header; true once it is complete. */
+    /** Reads as much of the header as is available; returns true once it is complete. */
     private boolean readHeader(ByteBuffer input) {
         int count = Math.min(input.remaining(), header.length - headerRead);
         input.get(header, headerRead, count);
@@ -67,7 +70,7 @@
         return true;
     }
 
-    /** Reads on in the content and skips padding; true once both are complete. */
+    /** Reads the available content and skips padding; returns true once both are complete. */
     private boolean readContent(ByteBuffer input) {
         int count = Math.min(input.remaining(), content.length - contentRead);
         input.get(content, contentRead, count);
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -7,35 +7,35 @@
 import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
 import petrelplank.fastcgi.MalformedException.Violation;
 
-/** Assembles the records of one connection to requests; I/O thread only. */
+/** Assembles the FastCGI records of one connection into requests. Used by the I/O thread only. */
 final class RequestAssembler {
     static final int MAX_PARAMS_BYTES = 16_384;
     static final int MAX_BODY_BYTES = 262_144;
-    /** Requests on one connection, being received or not yet answered. */
+    /** Maximum number of requests on one connection that are being received or not yet answered. */
     static final int MAX_OPEN_REQUESTS = 32;
 
-    /** Gets what is complete. */
+    /** Receives complete requests and the other events of a connection. */
     interface Listener {
-        /** A request was received completely. */
+        /** Called when a request has been received completely. */
         void request(int id, boolean keepConnection, Map<String, String> params, byte[] body);
 
-        /** A client stopped waiting for a request. */
+        /** Called when the client aborts a request. */
         void abort(int id);
 
-        /** The connection's own records: GET_VALUES and unknown types. */
+        /** Called for a management record: GET_VALUES or an unknown type. */
         void management(FastCgiRecord record);
 
-        /** A request is ended with a protocol status, before it was read. */
+        /** Called when a request is rejected at its BEGIN_REQUEST record, with the protocol status to send. */
         void rejected(int id, ProtocolStatus status, boolean keepConnection);
 
         /** Whether a request with this id has not been answered yet. */
         boolean isOpen(int id);
 
-        /** Requests not answered yet. */
+        /** Returns the number of requests that have not been answered yet. */
         int openRequests();
     }
 
-    /** A request that is being received. */
+    /** A request of which not all records have been received. */
     private static final class PartialRequest {
         private static final int INITIAL_PARAMS_BYTES = 512;
 
@@ -54,7 +54,7 @@
     }
 
     private final Listener listener;
-    /** Bytes of requests of all connections. */
+    /** Bytes held by the requests of all connections. */
     private final AtomicLong totalBytes;
 
     private final long maxTotalBytes;
@@ -62,11 +62,11 @@
     private final Map<Integer, PartialRequest> partialRequests = new HashMap<>();
 
     /**
-     * An assembler for one connection.
+     * Creates an assembler for one connection.
      *
-     * @param listener gets what is complete
-     * @param totalBytes bytes of requests of all connections; partial requests are counted in
-     * @param maxTotalBytes new requests are rejected while {@code totalBytes} is above it
+     * @param listener receives complete requests and the other events
+     * @param totalBytes bytes held by the requests of all connections; this assembler adds its partial requests
+     * @param maxTotalBytes new requests are rejected while {@code totalBytes} exceeds this limit
      */
     RequestAssembler(Listener listener, AtomicLong totalBytes, long maxTotalBytes) {
         this.listener = listener;
@@ -74,21 +74,21 @@
         this.maxTotalBytes = maxTotalBytes;
     }
 
-    /** The connection was closed: partial requests are dropped. */
+    /** Discards partial requests after the connection was closed. */
     void close() {
         partialRequests.clear();
         count(-partialBytes);
     }
 
-    /** Whether a request has begun and not ended. */
+    /** Whether any request has been started but not received completely. */
     boolean isInsideRequest() {
         return !partialRequests.isEmpty();
     }
 
     /**
-     * Takes the connection's next record.
+     * Processes the next record of the connection.
      *
-     * @throws MalformedException where it violates the protocol; the connection can't be used further
+     * @throws MalformedException if the record violates the protocol; the connection must not be read any further
      */
     void accept(FastCgiRecord record) {
         if (record.isManagement()) {
@@ -104,7 +104,7 @@
             case FastCgiRecord.PARAMS -> params(record);
             case FastCgiRecord.STDIN -> stdin(record);
             default -> {
-                // Other streams have no meaning for a responder.
+                // Other record types, such as DATA, do not apply to a responder and are ignored.
             }
         }
     }
--- a/src/main/java/petrelplank/fastcgi/RequestDecoder.java
+++ b/src/main/java/petrelplank/fastcgi/RequestDecoder.java
@@ -4,11 +4,11 @@
 import java.util.regex.Pattern;
 import petrelplank.proxy.ClientRequest;
 
-/** Decodes requests from a web server's parameters. Any thread. */
+/** Decodes client requests from the FastCGI parameters that a web server sends. Thread-safe. */
 final class RequestDecoder {
-    /** The parameter that says what is requested. */
+    /** Name of the parameter with the requested path. */
     static final String SCRIPT_NAME = "SCRIPT_NAME";
-    /** The parameter of the request's id. */
+    /** Name of the parameter with the client's request id. */
     static final String REQUEST_ID = "HTTP_X_REQUEST_ID";
 
     private static final String CONTENT_LENGTH = "CONTENT_LENGTH";
@@ -21,13 +21,13 @@
     private static final String IDEMPOTENCY_KEY = "HTTP_IDEMPOTENCY_KEY";
     private static final String TENANT = "HTTP_X_TENANT";
 
-    /** What comes before the name of the service class. */
+    /** Path prefix that is followed by the name of the service class. */
     private static final String SCRIPT_PREFIX = "/invoke/";
-    /** Numbers of so many digits fit into 32 bits, so that no arithmetic with them overflows. */
+    /** Numbers with up to nine digits fit into 32 bits, so that calculations with them do not overflow. */
     private static final int MAX_DIGITS = 9;
-    /** A size that no part has, in KB as clients send it. */
+    /** Upper limit of sizes, in KB as the client sends them; no part of an object is this large. */
     private static final double MAX_SIZE_KB = 1e9;
-    /** Digits, at most one point among them. */
+    /** A decimal number without sign or exponent. */
     private static final Pattern SIZE = Pattern.compile("[0-9]{1,10}(\\.[0-9]{0,10})?");
 
     private static final String WEAK_TAG_PREFIX = "W/";
@@ -36,26 +36,26 @@
     private final double sizeScale;
 
     /**
-     * A decoder.
+     * Creates a decoder.
      *
-     * @param sizeScale bytes on the sockets over those in which clients send sizes, above 0
+     * @param sizeScale factor from sizes as the client sends them to bytes on the sockets; greater than 0
      */
     RequestDecoder(double sizeScale) {
         if (!(sizeScale > 0)) {
-            throw new IllegalArgumentException("size scale: should be above 0, found " + sizeScale);
+            throw new IllegalArgumentException("size scale: should be greater than 0, found " + sizeScale);
         }
         this.sizeScale = sizeScale;
     }
 
     /**
-     * The request that the parameters make.
+     * Decodes a request from its parameters and body.
      *
-     * @throws InvalidRequestException where they make none
+     * @throws InvalidRequestException if a parameter is missing or invalid
      */
     ClientRequest decode(Map<String, String> params, byte[] body) {
         String script = params.getOrDefault(SCRIPT_NAME, "");
         if (!script.startsWith(SCRIPT_PREFIX)) {
-            throw new InvalidRequestException(SCRIPT_NAME, script, "below " + SCRIPT_PREFIX);
+            throw new InvalidRequestException(SCRIPT_NAME, script, "a path that starts with " + SCRIPT_PREFIX);
         }
         checkLength(params, body.length);
         return new ClientRequest(
@@ -75,14 +75,14 @@
     private static void checkLength(Map<String, String> params, int bodyLength) {
         String text = params.getOrDefault(CONTENT_LENGTH, "");
         if (!text.isEmpty() && number(params, CONTENT_LENGTH) != bodyLength) {
-            throw new InvalidRequestException(CONTENT_LENGTH, text, "the body's length, " + bodyLength);
+            throw new InvalidRequestException(CONTENT_LENGTH, text, "the length of the body in bytes, " + bodyLength);
         }
     }
 
     private static int number(Map<String, String> params, String name) {
         String text = params.getOrDefault(name, "");
         if (text.isEmpty() || text.length() > MAX_DIGITS || !text.chars().allMatch(RequestDecoder::isDigit)) {
-            throw new InvalidRequestException(name, text, "a number of 1 to " + MAX_DIGITS + " digits");
+            throw new InvalidRequestException(name, text, "a whole number of 1 to " + MAX_DIGITS + " digits");
         }
         return Integer.parseInt(text);
     }
@@ -91,19 +91,19 @@
         return character >= '0' && character <= '9';
     }
 
-    /** KB on the sockets; 0 where the client sent no size. */
+    /** Returns the size in KB on the sockets; 0 if the client sent none. */
     private double sizeKb(Map<String, String> params) {
         String text = params.getOrDefault(SIZE_KB, "");
         if (text.isEmpty()) {
             return 0;
         }
         if (!SIZE.matcher(text).matches() || Double.parseDouble(text) > MAX_SIZE_KB) {
-            throw new InvalidRequestException(SIZE_KB, text, "a size in KB of at most " + MAX_SIZE_KB);
+            throw new InvalidRequestException(SIZE_KB, text, "a decimal number of KB, at most " + MAX_SIZE_KB);
         }
         return Double.parseDouble(text) * sizeScale;
     }
 
-    /** An entity tag without the marks that HTTP puts round it; null where there is none. */
+    /** Removes the weak prefix and the quotes from an HTTP entity tag; returns null if there is no tag. */
     private static String withoutQuotes(String tag) {
         if (tag == null || tag.isEmpty()) {
             return null;
--- a/src/main/java/petrelplank/fastcgi/package-info.java
+++ b/src/main/java/petrelplank/fastcgi/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The clients' side: a FastCGI responder. Connections of web servers are read in the I/O thread, record by record
- * ({@link petrelplank.fastcgi.RecordParser}), assembled to requests and posted to the event thread; responses are
- * written from there. Idle connections and those that send no requests are closed, and what clients may hold in
- * descriptors and memory is bounded.
+ * FastCGI responder that receives requests from clients. The I/O thread reads records from the connections of web
+ * servers ({@link petrelplank.fastcgi.RecordParser}), assembles them into requests and posts these to the event thread,
+ * which writes the responses. Connections that are idle or send no requests are closed, and the file descriptors and
+ * memory that clients can use are limited.
  */
 package petrelplank.fastcgi;
--- a/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
@@ -20,7 +20,7 @@
             origin.next();
         }
         sendRequest(4, "aaaaaaaaaaaaaaaa", "media");
-        assertEquals("4 declined 2", client.readResponse());
+        assertEquals("4 rejected, protocol status 2", client.readResponse());
         for (FakeServer.Line one : sent) {
             one.reply(one.word(1) + " ACK - 2\r\nok\r\n");
             assertTrue(client.readResponse().endsWith("ok"));
--- a/src/test/java/petrelplank/fastcgi/FastCgiClient.java
+++ b/src/test/java/petrelplank/fastcgi/FastCgiClient.java
@@ -13,13 +13,13 @@
 import java.util.Map;
 import java.util.Queue;
 
-/** A web server's side of FastCGI, blocking, for loopback tests. */
+/** Blocking FastCGI client for loopback tests; it takes the place of a web server. */
 public final class FastCgiClient implements AutoCloseable {
     private static final int TIMEOUT_MS = 20_000;
     private static final int READ_BUFFER_BYTES = 65_536;
-    /** In a BEGIN_REQUEST record: behind its header and the role. */
+    /** Offset of the flags in a BEGIN_REQUEST record, after its header and the role. */
     private static final int FLAGS_AT = FastCgiRecord.HEADER_LENGTH + 2;
-    /** In the content of END_REQUEST: behind the application's status. */
+    /** Offset in the content of END_REQUEST, after the application status. */
     private static final int PROTOCOL_STATUS_AT = 4;
 
     private static final byte[] BEGIN_RESPONDER = {0, 1, 1, 0, 0, 0, 0, 0};
@@ -28,16 +28,16 @@
     private final Socket socket;
     private final RecordParser parser = new RecordParser();
     private final Queue<FastCgiRecord> records = new ArrayDeque<>();
-    /** The responses that are coming in, by the ids of their requests. */
+    /** The responses received so far in part, by the ids of their requests. */
     private final Map<Integer, ByteArrayOutputStream> stdout = new HashMap<>();
 
-    /** Connects. */
+    /** Connects to a proxy. */
     public FastCgiClient(InetSocketAddress address) throws IOException {
         socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(TIMEOUT_MS);
     }
 
-    /** Sends a request under an id of the connection; {@code headers} are pairs of name and value. */
+    /** Sends a complete request; {@code headers} alternates header names and values. */
     public void sendRequest(int id, String script, byte[] body, String... headers) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(start(id, script, body, headers));
@@ -45,7 +45,7 @@
         raw(bytes.toByteArray());
     }
 
-    /** Sends a request without KEEP_CONN: the proxy is to close the connection after the response. */
+    /** Sends a request without the KEEP_CONN flag, so that the proxy closes the connection after the response. */
     public void sendLastRequest(int id, String script) throws IOException {
         byte[] bytes = start(id, script, EMPTY);
         bytes[FLAGS_AT] = 0;
@@ -53,12 +53,12 @@
         endRequest(id);
     }
 
-    /** Sends a request without its end; see {@link #endRequest}. */
+    /** Sends a request without the end of its STDIN stream; see {@link #endRequest}. */
     public void beginRequest(int id, String script, byte[] body, String... headers) throws IOException {
         raw(start(id, script, body, headers));
     }
 
-    /** Sends the end of a request that was begun. */
+    /** Sends the end of the STDIN stream of a request, which completes it. */
     public void endRequest(int id) throws IOException {
         raw(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
     }
@@ -80,17 +80,20 @@
         return bytes.toByteArray();
     }
 
-    /** Sends bytes as they are. */
+    /** Sends bytes unchanged; they need not be FastCGI. */
     public void raw(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
     }
 
-    /** Aborts a request. */
+    /** Sends an ABORT_REQUEST record for a request. */
     public void abort(int id) throws IOException {
         raw(RecordEncoder.record(FastCgiRecord.ABORT_REQUEST, id, EMPTY));
     }
 
-    /** The next response on the connection, as its id, a blank and the CGI response. */
+    /**
+     * Reads the next response on the connection. Returns its id, a space and the CGI response; the id and the protocol
+     * status if the proxy rejected the request; or "closed" if the proxy closed the connection.
+     */
     public String readResponse() throws IOException {
         byte[] buffer = new byte[READ_BUFFER_BYTES];
         while (true) {
@@ -114,13 +117,13 @@
         int id = endRequest.id();
         int protocolStatus = endRequest.content()[PROTOCOL_STATUS_AT];
         if (protocolStatus != 0) {
-            return id + " declined " + protocolStatus;
+            return id + " rejected, protocol status " + protocolStatus;
         }
         byte[] response = stdout.remove(id).toByteArray();
         return id + " " + new String(response, StandardCharsets.ISO_8859_1);
     }
 
-    /** Whether the proxy has closed the connection, as far as one can see; no response may be pending on it. */
+    /** Whether a close by the proxy has reached this client. Must not be called while a response is pending. */
     public boolean closed() throws IOException {
         socket.setSoTimeout(1);
         try {
--- a/src/test/java/petrelplank/fastcgi/RecordParserTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordParserTest.java
@@ -11,14 +11,14 @@
 import net.jqwik.api.Property;
 import petrelplank.wire.ParserFuzzer;
 
-/** The parser with an assembler behind it, as on a connection. */
+/** Tests the parser together with a {@link RequestAssembler}, as they are used on a connection. */
 class RecordParserTest {
     private static final long MAX_TOTAL_BYTES = 1 << 20;
     private static final byte[] BEGIN_RESPONDER = {0, 1, 1, 0, 0, 0, 0, 0};
     private static final byte[] EMPTY = new byte[0];
     private static final byte[] STDIN_WITH_PADDING = {1, FastCgiRecord.STDIN, 0, 1, 0, 2, 3, 0, 'h', 'i', 0, 0, 0};
 
-    /** Two pairs; the length of the second value has four bytes. */
+    /** Two name-value pairs; the length of the second value is encoded in four bytes. */
     private static byte[] params() {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         params.writeBytes(new byte[] {11, 3});
@@ -27,7 +27,7 @@
         return params.toByteArray();
     }
 
-    /** Two requests whose records are mixed, one of them with padding, and an abort of a third. */
+    /** Two requests with interleaved records, one of which has padding, and a third request that is aborted. */
     private static byte[] interleavedRequests() {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         for (int id = 1; id <= 3; id++) {
--- a/src/test/java/petrelplank/fastcgi/RecordingListener.java
+++ b/src/test/java/petrelplank/fastcgi/RecordingListener.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
 
-/** Notes what an assembler hands on, as one line of text each. */
+/** Records the calls from a {@link RequestAssembler}, as one line of text each. */
 final class RecordingListener implements RequestAssembler.Listener {
     final List<String> received = new ArrayList<>();
-    /** What {@link #openRequests} says. */
+    /** The value that {@link #openRequests()} returns. */
     int openRequests;
 
     @Override
--- a/src/test/java/petrelplank/fastcgi/RequestDecoderTest.java
+++ b/src/test/java/petrelplank/fastcgi/RequestDecoderTest.java
@@ -29,7 +29,10 @@
                 "17"));
     }
 
-    /** Numbers out of range once overflowed the deadline, and lengths that don't fit were passed on. */
+    /**
+     * Guards against two earlier faults: numbers out of range overflowed the calculation of the deadline, and requests
+     * with a CONTENT_LENGTH that differs from the length of the body were passed on.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
