--- a/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
@@ -7,7 +7,7 @@
 final class ConnectionActivity {
     /** A connection is closed if its first request, or one that was started, is incomplete after this time. */
     static final long REQUEST_TIMEOUT_US = 2_000_000;
-    /** A connection that has been idle for this long is closed. Clients close theirs after 4 s. */
+    /** Clients close idle connections after 4 s; a connection that a client leaves idle is closed after this time. */
     static final long IDLE_TIMEOUT_US = 5_000_000;
     /**
      * The first request of a new connection may still be unread in the kernel. The connection is therefore not evicted
