--- a/src/main/java/petrelplank/fastcgi/ClientFaultLog.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionCloseLog.java
@@ -3,8 +3,8 @@
 import java.util.logging.Logger;
 
 /** Counts client connections that the proxy closed, by reason, and logs a sample. Used by the event thread only. */
-final class ClientFaultLog {
-    private static final Logger LOG = Logger.getLogger(ClientFaultLog.class.getName());
+final class ConnectionCloseLog {
+    private static final Logger LOG = Logger.getLogger(ConnectionCloseLog.class.getName());
     /** Faulty clients may send at full speed: logging each fault would take CPU and memory from other clients. */
     private static final int LOG_ONE_IN = 250;
 
@@ -15,12 +15,12 @@
     private long idle;
 
     /** Creates a log; {@code maxConnections} is the maximum number of client connections. */
-    ClientFaultLog(int maxConnections) {
+    ConnectionCloseLog(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
     /** Counts a connection that was closed because the client's input violated the protocol. */
-    void malformed(MalformedException violation) {
+    void malformed(ProtocolViolationException violation) {
         if (malformed++ % LOG_ONE_IN == 0) {
             LOG.warning("client connection closed after malformed FastCGI input: " + violation.getMessage() + "; "
                     + malformed + " closed for this reason so far");
@@ -36,8 +36,8 @@
     }
 
     /** Counts a connection that was closed while it had no open request. */
-    void closed(IdleClose.Reason reason) {
-        if (reason == IdleClose.Reason.IDLE) {
+    void closed(IdleConnectionCloser.Reason reason) {
+        if (reason == IdleConnectionCloser.Reason.IDLE) {
             idle++;
         } else if (evicted++ % LOG_ONE_IN == 0) {
             LOG.warning("least recently used client connection closed near the limit of " + maxConnections
--- a/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
@@ -44,7 +44,7 @@
             if (connection.lingersTooLong(nowUs)) {
                 connection.closeNow();
             } else if (connection.isTimedOut(nowUs)) {
-                connection.closeIfIdle(IdleClose.Reason.IDLE);
+                connection.closeIfIdle(IdleConnectionCloser.Reason.IDLE);
             }
         }
         loop.at(nowUs + SWEEP_INTERVAL_US, this::sweep);
@@ -62,7 +62,7 @@
             if (candidate == null) {
                 return;
             }
-            candidate.closeIfIdle(IdleClose.Reason.CONNECTION_LIMIT);
+            candidate.closeIfIdle(IdleConnectionCloser.Reason.CONNECTION_LIMIT);
         }
     }
 
--- a/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
@@ -41,7 +41,7 @@
                 acceptor,
                 new RequestDecoder(sizeScale),
                 new ListenerMemory(memory),
-                new ClientFaultLog(budget.capacity()),
+                new ConnectionCloseLog(budget.capacity()),
                 new ListenerStatus(),
                 budget.capacity());
         reaper = new ConnectionReaper(context, budget, connections);
@@ -77,7 +77,7 @@
     public int closeUnused() {
         connections.stream()
                 .filter(FastCgiConnection::isUnused)
-                .forEach(connection -> connection.closeIfIdle(IdleClose.Reason.IDLE));
+                .forEach(connection -> connection.closeIfIdle(IdleConnectionCloser.Reason.IDLE));
         return connections.size();
     }
 
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -22,7 +22,7 @@
     private final RequestAssembler assembler;
     private final OpenRequests openRequests = new OpenRequests();
     private final ConnectionActivity activity;
-    private final IdleClose idleClose;
+    private final IdleConnectionCloser idleClose;
     /** Whether the input violated the protocol; further input is then ignored. Used by the I/O thread only. */
     private boolean malformed;
     /** When the sending side was shut down; 0 while it is open. Written by the I/O thread. */
@@ -35,7 +35,7 @@
         ListenerMemory memory = context.memory();
         this.assembler = new RequestAssembler(this, memory.requestBytes(), memory.maxRequestBytes());
         this.activity = new ConnectionActivity(loop, context.acceptor());
-        this.idleClose = new IdleClose(session, context, activity, this::isUnused);
+        this.idleClose = new IdleConnectionCloser(session, context, activity, this::isUnused);
     }
 
     /** Whether the connection has no open requests and no unsent bytes, so that it may be closed. */
@@ -65,8 +65,8 @@
         return activity.lastUsedUs();
     }
 
-    /** Closes the connection unless a request arrives meanwhile; see {@link IdleClose#request}. */
-    void closeIfIdle(IdleClose.Reason reason) {
+    /** Closes the connection unless a request arrives meanwhile; see {@link IdleConnectionCloser#request}. */
+    void closeIfIdle(IdleConnectionCloser.Reason reason) {
         idleClose.request(reason);
     }
 
@@ -95,7 +95,7 @@
         try {
             parser.feed(bytes.buf(), assembler::accept);
             activity.bytesRead(parser.isInsideRecord() || assembler.isInsideRequest());
-        } catch (MalformedException e) {
+        } catch (ProtocolViolationException e) {
             malformed = true;
             closeAfterResponses();
             loop.post(() -> context.faults().malformed(e));
--- a/src/main/java/petrelplank/fastcgi/IdleClose.java
+++ b/src/main/java/petrelplank/fastcgi/IdleConnectionCloser.java
@@ -9,7 +9,7 @@
  * Closes one connection without open requests, unless a request arrives meanwhile. Any thread may request the close;
  * the I/O thread then closes the connection or keeps it open. If it is kept open, the close can be requested again.
  */
-final class IdleClose {
+final class IdleConnectionCloser {
     /** Reason for closing a connection. */
     enum Reason {
         /** The connection was idle, or a request on it incomplete, for too long, or the proxy is shutting down. */
@@ -53,7 +53,8 @@
      * @param activity when the connection was last used
      * @param unused whether the connection has no open request and no unsent bytes
      */
-    IdleClose(IoSession session, ListenerContext context, ConnectionActivity activity, BooleanSupplier unused) {
+    IdleConnectionCloser(
+            IoSession session, ListenerContext context, ConnectionActivity activity, BooleanSupplier unused) {
         this.session = session;
         this.acceptor = context.acceptor();
         this.listener = context.status();
--- a/src/main/java/petrelplank/fastcgi/ListenerContext.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerContext.java
@@ -22,6 +22,6 @@
         BoundedAcceptor acceptor,
         RequestDecoder decoder,
         ListenerMemory memory,
-        ClientFaultLog faults,
+        ConnectionCloseLog faults,
         ListenerStatus status,
         int maxConnections) {}
--- a/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
@@ -102,7 +102,7 @@
     private static byte[] requests() {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         for (int i = 0; i < PARAMS.length; i += 2) {
-            ParamsDecoder.append(params, PARAMS[i], PARAMS[i + 1]);
+            NameValuePairs.append(params, PARAMS[i], PARAMS[i + 1]);
         }
         ByteArrayOutputStream requests = new ByteArrayOutputStream();
         for (int id = 1; id <= REQUESTS_PER_ROUND; id++) {
--- a/src/main/java/petrelplank/fastcgi/ManagementRecords.java
+++ b/src/main/java/petrelplank/fastcgi/ManagementRecords.java
@@ -32,9 +32,9 @@
                 "FCGI_MPXS_CONNS",
                 "1");
         ByteArrayOutputStream pairs = new ByteArrayOutputStream();
-        for (String name : ParamsDecoder.decode(getValues.content()).keySet()) {
+        for (String name : NameValuePairs.decode(getValues.content()).keySet()) {
             if (known.containsKey(name)) {
-                ParamsDecoder.append(pairs, name, known.get(name));
+                NameValuePairs.append(pairs, name, known.get(name));
             }
         }
         return pairs.toByteArray();
--- a/src/main/java/petrelplank/fastcgi/ParamsDecoder.java
+++ b/src/main/java/petrelplank/fastcgi/NameValuePairs.java
@@ -4,30 +4,30 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import petrelplank.fastcgi.MalformedException.Violation;
+import petrelplank.fastcgi.ProtocolViolationException.Violation;
 
 /**
  * Decodes and encodes FastCGI name-value pairs. Each pair consists of the lengths of its name and value, of one or four
  * bytes each, followed by the name and the value.
  */
-final class ParamsDecoder {
+final class NameValuePairs {
     /** Flag in the first byte of a length that takes four bytes. */
     private static final int LONG_LENGTH_FLAG = 0x80;
 
     private final byte[] bytes;
     private int position;
 
-    private ParamsDecoder(byte[] bytes) {
+    private NameValuePairs(byte[] bytes) {
         this.bytes = bytes;
     }
 
     /**
      * Decodes pairs, in their order. If a name occurs more than once, its last value is returned.
      *
-     * @throws MalformedException if the bytes end in the middle of a pair
+     * @throws ProtocolViolationException if the bytes end in the middle of a pair
      */
     static Map<String, String> decode(byte[] bytes) {
-        return new ParamsDecoder(bytes).pairs();
+        return new NameValuePairs(bytes).pairs();
     }
 
     /** Appends one pair; name and value must be shorter than 128 bytes each. */
@@ -43,7 +43,7 @@
             int nameLength = length();
             int valueLength = length();
             if ((long) nameLength + valueLength > bytes.length - position) {
-                throw new MalformedException(Violation.TRUNCATED_VALUE);
+                throw new ProtocolViolationException(Violation.TRUNCATED_VALUE);
             }
             String name = text(nameLength);
             pairs.put(name, text(valueLength));
@@ -53,14 +53,14 @@
 
     private int length() {
         if (position >= bytes.length) {
-            throw new MalformedException(Violation.TRUNCATED_LENGTH);
+            throw new ProtocolViolationException(Violation.TRUNCATED_LENGTH);
         }
         int first = unsignedByte();
         if (first < LONG_LENGTH_FLAG) {
             return first;
         }
         if (position + 3 > bytes.length) {
-            throw new MalformedException(Violation.TRUNCATED_LENGTH);
+            throw new ProtocolViolationException(Violation.TRUNCATED_LENGTH);
         }
         int highest = first & ~LONG_LENGTH_FLAG;
         return highest << 24 | unsignedByte() << 16 | unsignedByte() << 8 | unsignedByte();
--- a/src/main/java/petrelplank/fastcgi/MalformedException.java
+++ b/src/main/java/petrelplank/fastcgi/ProtocolViolationException.java
@@ -1,7 +1,7 @@
 package petrelplank.fastcgi;
 
 /** Thrown when input from a client violates the FastCGI protocol; the connection must not be read any further. */
-final class MalformedException extends RuntimeException {
+final class ProtocolViolationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /** The protocol rule that was violated. */
@@ -24,7 +24,7 @@
 
     private final Violation violation;
 
-    MalformedException(Violation violation) {
+    ProtocolViolationException(Violation violation) {
         super(violation.description);
         this.violation = violation;
     }
@@ -35,7 +35,7 @@
      * @param violation the rule that was violated
      * @param value the number that was found; for {@link Violation#STREAM_TOO_LONG} the limit
      */
-    MalformedException(Violation violation, int value) {
+    ProtocolViolationException(Violation violation, int value) {
         super(violation.description + ": " + value);
         this.violation = violation;
     }
--- a/src/main/java/petrelplank/fastcgi/RecordParser.java
+++ b/src/main/java/petrelplank/fastcgi/RecordParser.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
-import petrelplank.fastcgi.MalformedException.Violation;
+import petrelplank.fastcgi.ProtocolViolationException.Violation;
 
 /**
  * Parses FastCGI records from input that may be fragmented at any point. It needs no limit on the length of a record:
@@ -31,7 +31,8 @@
      *
      * @param input the bytes; all are consumed
      * @param records receives each complete record
-     * @throws MalformedException if a header has an unsupported version; the connection must not be read any further
+     * @throws ProtocolViolationException if a header has an unsupported version; the connection must not be read
+     *     any further
      */
     void feed(ByteBuffer input, Consumer<FastCgiRecord> records) {
         while (input.hasRemaining()) {
@@ -61,7 +62,7 @@
             return false;
         }
         if (header[VERSION_AT] != FastCgiRecord.VERSION) {
-            throw new MalformedException(Violation.UNSUPPORTED_VERSION, header[VERSION_AT]);
+            throw new ProtocolViolationException(Violation.UNSUPPORTED_VERSION, header[VERSION_AT]);
         }
         int length = unsignedShort(CONTENT_LENGTH_AT);
         content = length == 0 ? EMPTY : new byte[length];
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
-import petrelplank.fastcgi.MalformedException.Violation;
+import petrelplank.fastcgi.ProtocolViolationException.Violation;
 
 /** Assembles the FastCGI records of one connection into requests. Used by the I/O thread only. */
 final class RequestAssembler {
@@ -88,7 +88,8 @@
     /**
      * Processes the next record of the connection.
      *
-     * @throws MalformedException if the record violates the protocol; the connection must not be read any further
+     * @throws ProtocolViolationException if the record violates the protocol; the connection must not be read any
+     *     further
      */
     void accept(FastCgiRecord record) {
         if (record.isManagement()) {
@@ -112,11 +113,11 @@
     private void begin(FastCgiRecord record) {
         byte[] body = record.content();
         if (body.length != FastCgiRecord.FIXED_BODY_LENGTH) {
-            throw new MalformedException(Violation.INVALID_BEGIN_REQUEST, body.length);
+            throw new ProtocolViolationException(Violation.INVALID_BEGIN_REQUEST, body.length);
         }
         int id = record.id();
         if (partialRequests.containsKey(id) || listener.isOpen(id)) {
-            throw new MalformedException(Violation.DUPLICATE_REQUEST_ID);
+            throw new ProtocolViolationException(Violation.DUPLICATE_REQUEST_ID);
         }
         int role = (body[0] & 0xff) << 8 | body[1] & 0xff;
         boolean keepConnection = (body[2] & FastCgiRecord.FLAG_KEEP_CONNECTION) != 0;
@@ -140,7 +141,7 @@
             return;
         }
         if (request.paramsComplete) {
-            throw new MalformedException(Violation.PARAMS_AFTER_END);
+            throw new ProtocolViolationException(Violation.PARAMS_AFTER_END);
         }
         request.paramsComplete = record.isEmpty();
         append(request.params, record.content(), MAX_PARAMS_BYTES);
@@ -156,19 +157,19 @@
             return;
         }
         if (!request.paramsComplete) {
-            throw new MalformedException(Violation.STDIN_BEFORE_PARAMS_END);
+            throw new ProtocolViolationException(Violation.STDIN_BEFORE_PARAMS_END);
         }
         remove(record.id());
         listener.request(
                 record.id(),
                 request.keepConnection,
-                ParamsDecoder.decode(request.params.toByteArray()),
+                NameValuePairs.decode(request.params.toByteArray()),
                 request.body.toByteArray());
     }
 
     private void append(ByteArrayOutputStream stream, byte[] bytes, int maxBytes) {
         if (stream.size() + bytes.length > maxBytes) {
-            throw new MalformedException(Violation.STREAM_TOO_LONG, maxBytes);
+            throw new ProtocolViolationException(Violation.STREAM_TOO_LONG, maxBytes);
         }
         stream.write(bytes, 0, bytes.length);
         count(bytes.length);
--- a/src/test/java/petrelplank/fastcgi/FastCgiClient.java
+++ b/src/test/java/petrelplank/fastcgi/FastCgiClient.java
@@ -65,10 +65,10 @@
 
     private static byte[] start(int id, String script, byte[] body, String... headers) {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
-        ParamsDecoder.append(params, "SCRIPT_NAME", script);
+        NameValuePairs.append(params, "SCRIPT_NAME", script);
         for (int i = 0; i < headers.length; i += 2) {
             String name = "HTTP_" + headers[i].toUpperCase(Locale.ROOT).replace('-', '_');
-            ParamsDecoder.append(params, name, headers[i + 1]);
+            NameValuePairs.append(params, name, headers[i + 1]);
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_RESPONDER));
--- a/src/test/java/petrelplank/fastcgi/RecordParserTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordParserTest.java
@@ -61,7 +61,7 @@
         assertTrue(ParserFuzzer.acceptsOrRejects(
                 ParserFuzzer.corrupt(interleavedRequests(), seed),
                 seed,
-                MalformedException.class,
+                ProtocolViolationException.class,
                 input -> parser.feed(input, assembler::accept)));
     }
 }
--- a/src/test/java/petrelplank/fastcgi/RequestAssemblerTest.java
+++ b/src/test/java/petrelplank/fastcgi/RequestAssemblerTest.java
@@ -23,9 +23,9 @@
         assembler.accept(beginRequest(1, BEGIN_AUTHORIZER));
         assembler.accept(beginRequest(2, BEGIN_RESPONDER));
         assertEquals(List.of("rejected 1 3", "rejected 2 2"), listener.received);
-        MalformedException malformed =
-                assertThrows(MalformedException.class, () -> assembler.accept(beginRequest(3, new byte[7])));
-        assertEquals(MalformedException.Violation.INVALID_BEGIN_REQUEST, malformed.violation());
+        ProtocolViolationException malformed =
+                assertThrows(ProtocolViolationException.class, () -> assembler.accept(beginRequest(3, new byte[7])));
+        assertEquals(ProtocolViolationException.Violation.INVALID_BEGIN_REQUEST, malformed.violation());
     }
 
     @Test
