--- a/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
@@ -13,45 +13,48 @@
      * The first request of a new connection may still be unread in the kernel. The connection is therefore not evicted
      * before this time and two turns of the I/O loop have passed.
      */
-    private static final long FIRST_REQUEST_US = REQUEST_TIMEOUT_US / 8;
+    private static final long FIRST_REQUEST_WAIT_US = REQUEST_TIMEOUT_US / 8;
 
-    private static final long NONE = 0;
+    private static final long NO_PARTIAL_REQUEST = 0;
 
     private final EventLoop loop;
     private final BoundedAcceptor acceptor;
-    private final long acceptedInTurn;
+    private final long acceptedAtTurn;
     /** When a complete request was last received or a response sent; initially when the connection was opened. */
     private volatile long lastUsedUs;
 
     private volatile boolean receivedRequest;
-    /** When the I/O thread first saw that a request or record was incomplete; {@link #NONE} while there is none. */
-    private volatile long partialSinceUs = NONE;
+    /**
+     * When the I/O thread first saw that a request or record was incomplete; {@link #NO_PARTIAL_REQUEST} while there is
+     * none.
+     */
+    private volatile long partialRequestSinceUs = NO_PARTIAL_REQUEST;
 
     /** The activity at one moment, to be compared with a later one. */
-    record Snapshot(long lastUsedUs, long partialSinceUs) {}
+    record Snapshot(long lastUsedUs, long partialRequestSinceUs) {}
 
     ConnectionActivity(EventLoop loop, BoundedAcceptor acceptor) {
         this.loop = loop;
         this.acceptor = acceptor;
         this.lastUsedUs = loop.clock();
-        this.acceptedInTurn = acceptor.turns();
+        this.acceptedAtTurn = acceptor.turns();
     }
 
-    void requestReceived() {
+    void onRequestReceived() {
         receivedRequest = true;
         lastUsedUs = loop.clock();
     }
 
-    void responseSent() {
+    void onResponseSent() {
         lastUsedUs = loop.clock();
     }
 
     /** Called after each read; {@code insideRequest} says whether the input so far ends inside a request or record. */
-    void bytesRead(boolean insideRequest) {
+    void onBytesRead(boolean insideRequest) {
         if (!insideRequest) {
-            partialSinceUs = NONE;
-        } else if (partialSinceUs == NONE) {
-            partialSinceUs = loop.clock();
+            partialRequestSinceUs = NO_PARTIAL_REQUEST;
+        } else if (partialRequestSinceUs == NO_PARTIAL_REQUEST) {
+            partialRequestSinceUs = loop.clock();
         }
     }
 
@@ -60,23 +63,23 @@
     }
 
     Snapshot snapshot() {
-        return new Snapshot(lastUsedUs, partialSinceUs);
+        return new Snapshot(lastUsedUs, partialRequestSinceUs);
     }
 
     boolean isUnchangedSince(Snapshot earlier) {
-        return lastUsedUs == earlier.lastUsedUs && partialSinceUs == earlier.partialSinceUs;
+        return lastUsedUs == earlier.lastUsedUs && partialRequestSinceUs == earlier.partialRequestSinceUs;
     }
 
     /** Whether a request has been received, or would have been if the client had sent one when it connected. */
-    boolean isPastFirstRequest(long nowUs) {
-        return receivedRequest || nowUs - lastUsedUs > FIRST_REQUEST_US && acceptor.turns() > acceptedInTurn + 1;
+    boolean isFirstRequestReceivedOrOverdue(long nowUs) {
+        return receivedRequest || nowUs - lastUsedUs > FIRST_REQUEST_WAIT_US && acceptor.turns() > acceptedAtTurn + 1;
     }
 
     /** Whether the connection has been idle, or a request on it incomplete, for too long. */
     boolean isTimedOut(long nowUs) {
-        long partialSince = partialSinceUs;
-        if (partialSince > NONE && receivedRequest) {
-            return nowUs - partialSince > REQUEST_TIMEOUT_US;
+        long sinceUs = partialRequestSinceUs;
+        if (sinceUs > NO_PARTIAL_REQUEST && receivedRequest) {
+            return nowUs - sinceUs > REQUEST_TIMEOUT_US;
         }
         return nowUs - lastUsedUs > (receivedRequest ? IDLE_TIMEOUT_US : REQUEST_TIMEOUT_US);
     }
--- a/src/main/java/petrelplank/fastcgi/ConnectionCloseLog.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionCloseLog.java
@@ -6,13 +6,13 @@
 final class ConnectionCloseLog {
     private static final Logger LOG = Logger.getLogger(ConnectionCloseLog.class.getName());
     /** Faulty clients may send at full speed: logging each fault would take CPU and memory from other clients. */
-    private static final int LOG_ONE_IN = 250;
+    private static final int LOG_EVERY_NTH = 250;
 
     private final int maxConnections;
-    private long malformed;
+    private long malformedInputs;
     private long slowReaders;
-    private long evicted;
-    private long idle;
+    private long evictions;
+    private long idleCloses;
 
     /** Creates a log; {@code maxConnections} is the maximum number of client connections. */
     ConnectionCloseLog(int maxConnections) {
@@ -20,34 +20,34 @@
     }
 
     /** Counts a connection that was closed because the client's input violated the protocol. */
-    void malformed(ProtocolViolationException violation) {
-        if (malformed++ % LOG_ONE_IN == 0) {
+    void countMalformedInput(ProtocolViolationException violation) {
+        if (malformedInputs++ % LOG_EVERY_NTH == 0) {
             LOG.warning("client connection closed after malformed FastCGI input: " + violation.getMessage() + "; "
-                    + malformed + " closed for this reason so far");
+                    + malformedInputs + " closed for this reason so far");
         }
     }
 
     /** Counts a connection that was closed because the client left too many response bytes unread. */
-    void slowReader() {
-        if (slowReaders++ % LOG_ONE_IN == 0) {
+    void countSlowReader() {
+        if (slowReaders++ % LOG_EVERY_NTH == 0) {
             LOG.warning("client connection closed because the client does not read its responses; " + slowReaders
                     + " closed for this reason so far");
         }
     }
 
     /** Counts a connection that was closed while it had no open request. */
-    void closed(IdleConnectionCloser.Reason reason) {
+    void countIdleClose(IdleConnectionCloser.Reason reason) {
         if (reason == IdleConnectionCloser.Reason.IDLE) {
-            idle++;
-        } else if (evicted++ % LOG_ONE_IN == 0) {
+            idleCloses++;
+        } else if (evictions++ % LOG_EVERY_NTH == 0) {
             LOG.warning("least recently used client connection closed near the limit of " + maxConnections
-                    + " connections; " + evicted + " closed for this reason so far");
+                    + " connections; " + evictions + " closed for this reason so far");
         }
     }
 
     /** Returns the counts as one line of text. */
     String counts() {
-        return "closed for malformed input " + malformed + ", for unread responses " + slowReaders
-                + ", near the connection limit " + evicted + ", when idle or timed out " + idle;
+        return "closed for malformed input " + malformedInputs + ", for unread responses " + slowReaders
+                + ", near the connection limit " + evictions + ", when idle or timed out " + idleCloses;
     }
 }
--- a/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
@@ -41,7 +41,7 @@
     void sweep() {
         long nowUs = loop.now();
         for (FastCgiConnection connection : connections) {
-            if (connection.lingersTooLong(nowUs)) {
+            if (connection.hasLingerTimedOut(nowUs)) {
                 connection.closeNow();
             } else if (connection.isTimedOut(nowUs)) {
                 connection.closeIfIdle(IdleConnectionCloser.Reason.IDLE);
@@ -55,10 +55,10 @@
      * idle connections open do not block others. While every connection has open requests, new connections wait in the
      * accept queue of the kernel until a response has been sent. Called by the accepting thread.
      */
-    void makeRoom() {
+    void evictIdleConnections() {
         long nowUs = loop.clock();
         while (budget.available() + context.status().pendingCloses() <= acceptor.reserve()) {
-            FastCgiConnection candidate = leastRecentlyUsed(nowUs);
+            FastCgiConnection candidate = findLeastRecentlyUsed(nowUs);
             if (candidate == null) {
                 return;
             }
@@ -66,7 +66,7 @@
         }
     }
 
-    private FastCgiConnection leastRecentlyUsed(long nowUs) {
+    private FastCgiConnection findLeastRecentlyUsed(long nowUs) {
         FastCgiConnection candidate = null;
         for (FastCgiConnection connection : connections) {
             if (connection.isEvictable(nowUs)
--- a/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
@@ -25,7 +25,7 @@
      * @param proxy handles the requests
      * @param acceptor accepts connections; this constructor sets its handler
      * @param budget the file descriptors that client connections may hold
-     * @param memory the memory limit of the process in bytes
+     * @param memoryBytes the memory limit of the process in bytes
      * @param sizeScale factor from sizes as the client sends them to bytes on the sockets; greater than 0
      */
     public FastCgiAcceptor(
@@ -33,20 +33,20 @@
             EdgeProxy proxy,
             BoundedAcceptor acceptor,
             DescriptorBudget budget,
-            long memory,
+            long memoryBytes,
             double sizeScale) {
         context = new ListenerContext(
                 loop,
                 proxy,
                 acceptor,
                 new RequestDecoder(sizeScale),
-                new ListenerMemory(memory),
+                new ListenerMemory(memoryBytes),
                 new ConnectionCloseLog(budget.capacity()),
                 new ListenerStatus(),
                 budget.capacity());
         reaper = new ConnectionReaper(context, budget, connections);
         acceptor.setHandler(new ConnectionHandler());
-        acceptor.onNearlyFull(reaper::makeRoom);
+        acceptor.onNearlyFull(reaper::evictIdleConnections);
     }
 
     /**
@@ -63,10 +63,10 @@
     /**
      * Sets how health requests are answered.
      *
-     * @param now true for success (status 200), false for status 503
+     * @param ready true for success (status 200), false for status 503
      */
-    public void ready(boolean now) {
-        context.status().ready(now);
+    public void ready(boolean ready) {
+        context.status().setReady(ready);
     }
 
     /**
@@ -94,7 +94,7 @@
      */
     public String counts() {
         return "client connections open " + connections.size() + ", "
-                + context.faults().counts();
+                + context.closeLog().counts();
     }
 
     private final class ConnectionHandler extends IoHandlerAdapter {
@@ -107,14 +107,14 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            connectionOf(session).received((IoBuffer) message);
+            connectionOf(session).onBytesRead((IoBuffer) message);
         }
 
         @Override
         public void sessionClosed(IoSession session) {
             FastCgiConnection connection = connectionOf(session);
             connections.remove(connection);
-            connection.closed();
+            connection.onClosed();
         }
 
         @Override
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -11,9 +11,9 @@
 /** A connection from a web server. The I/O thread reads its records; the event thread writes most responses. */
 final class FastCgiConnection implements RequestAssembler.Listener {
     /** How long the client has to close a connection after the proxy has shut down its sending side. */
-    private static final long LINGER_US = 1_000_000;
+    private static final long LINGER_TIMEOUT_US = 1_000_000;
 
-    private static final String HEALTH_SCRIPT = "/_health";
+    private static final String HEALTH_SCRIPT_NAME = "/_health";
 
     private final ListenerContext context;
     private final EventLoop loop;
@@ -22,9 +22,9 @@
     private final RequestAssembler assembler;
     private final OpenRequests openRequests = new OpenRequests();
     private final ConnectionActivity activity;
-    private final IdleConnectionCloser idleClose;
+    private final IdleConnectionCloser idleCloser;
     /** Whether the input violated the protocol; further input is then ignored. Used by the I/O thread only. */
-    private boolean malformed;
+    private boolean protocolViolated;
     /** When the sending side was shut down; 0 while it is open. Written by the I/O thread. */
     private volatile long outputShutdownUs;
 
@@ -35,7 +35,7 @@
         ListenerMemory memory = context.memory();
         this.assembler = new RequestAssembler(this, memory.requestBytes(), memory.maxRequestBytes());
         this.activity = new ConnectionActivity(loop, context.acceptor());
-        this.idleClose = new IdleConnectionCloser(session, context, activity, this::isUnused);
+        this.idleCloser = new IdleConnectionCloser(session, context, activity, this::isUnused);
     }
 
     /** Whether the connection has no open requests and no unsent bytes, so that it may be closed. */
@@ -47,7 +47,7 @@
     boolean isEvictable(long nowUs) {
         // The order matters: a request is added to the open requests before it counts as received, so isUnused() sees
         // a first request that arrives during these checks.
-        return idleClose.isOpen() && activity.isPastFirstRequest(nowUs) && isUnused();
+        return idleCloser.isOpen() && activity.isFirstRequestReceivedOrOverdue(nowUs) && isUnused();
     }
 
     /** Whether the connection is unused and has been idle, or a request on it incomplete, for too long. */
@@ -57,17 +57,17 @@
     }
 
     /** Whether the client has not closed the connection in time after its sending side was shut down. */
-    boolean lingersTooLong(long nowUs) {
-        return outputShutdownUs > 0 && nowUs - outputShutdownUs > LINGER_US;
+    boolean hasLingerTimedOut(long nowUs) {
+        return outputShutdownUs > 0 && nowUs - outputShutdownUs > LINGER_TIMEOUT_US;
     }
 
     long lastUsedUs() {
         return activity.lastUsedUs();
     }
 
-    /** Closes the connection unless a request arrives meanwhile; see {@link IdleConnectionCloser#request}. */
+    /** Closes the connection unless a request arrives meanwhile; see {@link IdleConnectionCloser#requestClose}. */
     void closeIfIdle(IdleConnectionCloser.Reason reason) {
-        idleClose.request(reason);
+        idleCloser.requestClose(reason);
     }
 
     void closeNow() {
@@ -88,49 +88,49 @@
     }
 
     /** Processes bytes that were read. Called by the I/O thread. */
-    void received(IoBuffer bytes) {
-        if (malformed || outputShutdownUs > 0) {
+    void onBytesRead(IoBuffer bytes) {
+        if (protocolViolated || outputShutdownUs > 0) {
             return;
         }
         try {
             parser.feed(bytes.buf(), assembler::accept);
-            activity.bytesRead(parser.isInsideRecord() || assembler.isInsideRequest());
+            activity.onBytesRead(parser.isInsideRecord() || assembler.isInsideRequest());
         } catch (ProtocolViolationException e) {
-            malformed = true;
+            protocolViolated = true;
             closeAfterResponses();
-            loop.post(() -> context.faults().malformed(e));
+            loop.post(() -> context.closeLog().countMalformedInput(e));
         }
     }
 
     /** Releases the requests of the connection after it was closed. Called by the I/O thread. */
-    void closed() {
-        if (idleClose.closed()) {
-            loop.post(() -> context.faults().closed(idleClose.reason()));
+    void onClosed() {
+        if (idleCloser.onClosed()) {
+            loop.post(() -> context.closeLog().countIdleClose(idleCloser.reason()));
         }
         assembler.close();
-        openRequests.forEachId(this::abort);
+        openRequests.forEachId(this::onAbort);
     }
 
     @Override
-    public void request(int id, boolean keepConnection, Map<String, String> params, byte[] body) {
+    public void onRequest(int id, boolean keepConnection, Map<String, String> params, byte[] body) {
         String requestId = params.getOrDefault(RequestDecoder.REQUEST_ID, "");
         FastCgiResponseChannel channel =
                 new FastCgiResponseChannel(this, openRequests, id, keepConnection, requestId, body.length);
         // Limits the memory that clients can take by opening hundreds of requests with large bodies.
         context.memory().requestBytes().addAndGet(body.length);
         openRequests.add(id, channel);
-        activity.requestReceived();
-        if (params.getOrDefault(RequestDecoder.SCRIPT_NAME, "").equals(HEALTH_SCRIPT)) {
+        activity.onRequestReceived();
+        if (params.getOrDefault(RequestDecoder.SCRIPT_NAME, "").equals(HEALTH_SCRIPT_NAME)) {
             channel.answer(
                     context.status().isReady()
                             ? ClientResponse.of(ClientResponse.Kind.SERVED)
                             : ClientResponse.rejected(0));
         } else {
-            handle(params, body, channel);
+            dispatch(params, body, channel);
         }
     }
 
-    private void handle(Map<String, String> params, byte[] body, FastCgiResponseChannel channel) {
+    private void dispatch(Map<String, String> params, byte[] body, FastCgiResponseChannel channel) {
         ClientRequest request;
         try {
             request = context.decoder().decode(params, body);
@@ -143,42 +143,42 @@
     }
 
     @Override
-    public void abort(int id) {
+    public void onAbort(int id) {
         FastCgiResponseChannel channel = openRequests.remove(id);
         if (channel != null) {
-            context.memory().requestBytes().addAndGet(-channel.bodyLength());
+            context.memory().requestBytes().addAndGet(-channel.requestBodyLength());
             loop.post(() -> context.proxy().clientDisconnected(channel.requestId(), channel));
         }
     }
 
     @Override
-    public boolean isOpen(int id) {
+    public boolean isRequestOpen(int id) {
         return openRequests.contains(id);
     }
 
     @Override
-    public int openRequests() {
+    public int openRequestCount() {
         return openRequests.size();
     }
 
     @Override
-    public void rejected(int id, ProtocolStatus status, boolean keepConnection) {
-        write(RecordEncoder.endRequest(id, status));
+    public void onRejected(int id, ProtocolStatus status, boolean keepConnection) {
+        write(RecordEncoder.encodeEndRequest(id, status));
         if (!keepConnection) {
             closeAfterResponses();
         }
     }
 
     @Override
-    public void management(FastCgiRecord record) {
-        write(ManagementRecords.reply(record, context.maxConnections()));
+    public void onManagementRecord(FastCgiRecord record) {
+        write(ManagementRecords.encodeReply(record, context.maxConnections()));
     }
 
     /** Writes the response to a request that has been removed from the open requests. */
-    void respond(int id, ClientResponse response, int requestBodyLength) {
+    void writeResponse(int id, ClientResponse response, int requestBodyLength) {
         context.memory().requestBytes().addAndGet(-requestBodyLength);
-        activity.responseSent();
-        write(RecordEncoder.response(id, response));
+        activity.onResponseSent();
+        write(RecordEncoder.encodeResponse(id, response));
     }
 
     private void write(byte[] bytes) {
@@ -186,7 +186,7 @@
         long unreadBytes = session.getScheduledWriteBytes();
         if (context.memory().isOverUnreadLimit(unreadBytes, context.acceptor().getScheduledWriteBytes())) {
             session.closeNow();
-            loop.post(context.faults()::slowReader);
+            loop.post(context.closeLog()::countSlowReader);
             return;
         }
         session.write(IoBuffer.wrap(bytes));
--- a/src/main/java/petrelplank/fastcgi/FastCgiRecord.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiRecord.java
@@ -4,7 +4,7 @@
  * A FastCGI record. The constants are defined by the FastCGI specification.
  *
  * @param type the record type, one of the constants
- * @param id the id of the request on this connection; {@link #MANAGEMENT_ID} for management records
+ * @param id the id of the request on this connection; {@link #NULL_REQUEST_ID} for management records
  * @param content the content, without padding
  */
 record FastCgiRecord(int type, int id, byte[] content) {
@@ -13,7 +13,7 @@
     /** Length of the header of a record, in bytes. */
     static final int HEADER_LENGTH = 8;
     /** Id in management records, which belong to the connection and not to a request. */
-    static final int MANAGEMENT_ID = 0;
+    static final int NULL_REQUEST_ID = 0;
 
     static final int BEGIN_REQUEST = 1;
     static final int ABORT_REQUEST = 2;
@@ -52,7 +52,7 @@
 
     /** Whether the record belongs to the connection and not to a request. */
     boolean isManagement() {
-        return id == MANAGEMENT_ID;
+        return id == NULL_REQUEST_ID;
     }
 
     /** Whether the record has no content; such a record ends a stream. */
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -10,7 +10,7 @@
     private final int id;
     private final boolean keepConnection;
     private final String requestId;
-    private final int bodyLength;
+    private final int requestBodyLength;
 
     FastCgiResponseChannel(
             FastCgiConnection connection,
@@ -18,13 +18,13 @@
             int id,
             boolean keepConnection,
             String requestId,
-            int bodyLength) {
+            int requestBodyLength) {
         this.connection = connection;
         this.openRequests = openRequests;
         this.id = id;
         this.keepConnection = keepConnection;
         this.requestId = requestId;
-        this.bodyLength = bodyLength;
+        this.requestBodyLength = requestBodyLength;
     }
 
     /** The client's request id (HTTP_X_REQUEST_ID), in contrast to the FastCGI id on the connection. */
@@ -33,8 +33,8 @@
     }
 
     /** Bytes of the request body; they stay in memory until the request is answered. */
-    int bodyLength() {
-        return bodyLength;
+    int requestBodyLength() {
+        return requestBodyLength;
     }
 
     /** A response may race with an abort by the client: whichever removes the request from the open ones first wins. */
@@ -43,7 +43,7 @@
         openRequests.beginResponse();
         boolean wasOpen = openRequests.remove(id, this);
         if (wasOpen) {
-            connection.respond(id, response, bodyLength);
+            connection.writeResponse(id, response, requestBodyLength);
         }
         openRequests.endResponse();
         if (wasOpen && !keepConnection) {
--- a/src/main/java/petrelplank/fastcgi/IdleConnectionCloser.java
+++ b/src/main/java/petrelplank/fastcgi/IdleConnectionCloser.java
@@ -30,36 +30,36 @@
 
     private final IoSession session;
     private final BoundedAcceptor acceptor;
-    private final ListenerStatus listener;
+    private final ListenerStatus listenerStatus;
     private final ConnectionActivity activity;
-    private final BooleanSupplier unused;
+    private final BooleanSupplier isUnused;
 
     private final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
     private volatile Reason reason = Reason.IDLE;
     /**
      * When the connection was last used, as seen by the first close request after that use. Together with
-     * {@link #requestedReadBytes} the baseline for later close requests.
+     * {@link #baselineReadBytes} the baseline for later close requests.
      */
-    private volatile long requestedLastUsedUs;
+    private volatile long baselineLastUsedUs;
 
     /** Total bytes read from the connection at the first close request since it was last used. */
-    private volatile long requestedReadBytes;
+    private volatile long baselineReadBytes;
 
     /**
-     * Creates the idle close of one connection, which is open.
+     * Creates the closer of one connection, which is open.
      *
      * @param session the connection
      * @param context the objects that all connections of the listener share
      * @param activity when the connection was last used
-     * @param unused whether the connection has no open request and no unsent bytes
+     * @param isUnused whether the connection has no open request and no unsent bytes
      */
     IdleConnectionCloser(
-            IoSession session, ListenerContext context, ConnectionActivity activity, BooleanSupplier unused) {
+            IoSession session, ListenerContext context, ConnectionActivity activity, BooleanSupplier isUnused) {
         this.session = session;
         this.acceptor = context.acceptor();
-        this.listener = context.status();
+        this.listenerStatus = context.status();
         this.activity = activity;
-        this.unused = unused;
+        this.isUnused = isUnused;
     }
 
     /** Whether the connection is open and no close has been requested. */
@@ -73,41 +73,41 @@
      * completed, the input is invalid and the connection is closed even if bytes are unread. Fewer bytes may belong to
      * a long request, which takes several reads.
      */
-    void request(Reason why) {
+    void requestClose(Reason reason) {
         // Incremented before the state changes: the I/O thread may close the connection for another reason right
         // afterwards, and then decrements the count.
-        listener.closeRequested();
+        listenerStatus.addPendingClose();
         if (!state.compareAndSet(State.OPEN, State.CLOSE_REQUESTED)) {
-            listener.closeDecided();
+            listenerStatus.removePendingClose();
             return;
         }
-        reason = why;
+        this.reason = reason;
         ConnectionActivity.Snapshot before = activity.snapshot();
-        if (hasReadOnlyJunk(before)) {
+        if (exceedsMaxRequestBytes(before)) {
             session.closeNow();
             return;
         }
-        acceptor.closeIfIdle(session, () -> unused.getAsBoolean() && activity.isUnchangedSince(before), this::kept);
+        acceptor.closeIfIdle(session, () -> isUnused.getAsBoolean() && activity.isUnchangedSince(before), this::onKept);
     }
 
     /**
      * Whether more has been read since the first close request than the largest request has, without completing one.
      * Sets the baseline if the connection has been used since.
      */
-    private boolean hasReadOnlyJunk(ConnectionActivity.Snapshot now) {
+    private boolean exceedsMaxRequestBytes(ConnectionActivity.Snapshot current) {
         long readBytes = session.getReadBytes();
-        if (now.lastUsedUs() != requestedLastUsedUs) {
-            requestedLastUsedUs = now.lastUsedUs();
-            requestedReadBytes = readBytes;
+        if (current.lastUsedUs() != baselineLastUsedUs) {
+            baselineLastUsedUs = current.lastUsedUs();
+            baselineReadBytes = readBytes;
             return false;
         }
-        return readBytes - requestedReadBytes > MAX_REQUEST_BYTES;
+        return readBytes - baselineReadBytes > MAX_REQUEST_BYTES;
     }
 
     /** Called by the I/O thread if it keeps the connection open. */
-    private void kept() {
+    private void onKept() {
         if (state.compareAndSet(State.CLOSE_REQUESTED, State.OPEN)) {
-            listener.closeDecided();
+            listenerStatus.removePendingClose();
         }
     }
 
@@ -116,11 +116,11 @@
      *
      * @return whether an idle close was requested
      */
-    boolean closed() {
+    boolean onClosed() {
         if (state.getAndSet(State.CLOSED) != State.CLOSE_REQUESTED) {
             return false;
         }
-        listener.closeDecided();
+        listenerStatus.removePendingClose();
         return true;
     }
 
--- a/src/main/java/petrelplank/fastcgi/ListenerContext.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerContext.java
@@ -12,7 +12,7 @@
  * @param acceptor accepts the connections
  * @param decoder decodes requests
  * @param memory limits the memory that requests and unread responses use
- * @param faults counts connections closed by the proxy, and why; used by the event thread only
+ * @param closeLog counts connections closed by the proxy, and why; used by the event thread only
  * @param status whether the listener is ready, and how many closes are pending
  * @param maxConnections the maximum number of client connections
  */
@@ -22,6 +22,6 @@
         BoundedAcceptor acceptor,
         RequestDecoder decoder,
         ListenerMemory memory,
-        ConnectionCloseLog faults,
+        ConnectionCloseLog closeLog,
         ListenerStatus status,
         int maxConnections) {}
--- a/src/main/java/petrelplank/fastcgi/ListenerStatus.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerStatus.java
@@ -14,8 +14,8 @@
     }
 
     /** Sets whether health requests are answered with success. */
-    void ready(boolean now) {
-        ready = now;
+    void setReady(boolean ready) {
+        this.ready = ready;
     }
 
     int pendingCloses() {
@@ -23,12 +23,12 @@
     }
 
     /** Counts a connection whose idle close is requested. */
-    void closeRequested() {
+    void addPendingClose() {
         pendingCloses.incrementAndGet();
     }
 
     /** Removes a connection from the count: it was closed, or is kept open. */
-    void closeDecided() {
+    void removePendingClose() {
         pendingCloses.decrementAndGet();
     }
 }
--- a/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerWarmup.java
@@ -17,7 +17,7 @@
     private static final int TIMEOUT_MS = 1_000;
     private static final long NS_PER_MS = 1_000_000;
     private static final int READ_BUFFER_BYTES = 8192;
-    private static final byte[] EMPTY = new byte[0];
+    private static final byte[] EMPTY_CONTENT = new byte[0];
     private static final byte[] BEGIN_REQUEST_BODY = {
         0, FastCgiRecord.ROLE_RESPONDER, FastCgiRecord.FLAG_KEEP_CONNECTION, 0, 0, 0, 0, 0
     };
@@ -47,8 +47,8 @@
 
     private final Socket socket;
     private final RecordParser parser = new RecordParser();
-    private final byte[] buffer = new byte[READ_BUFFER_BYTES];
-    private int responses;
+    private final byte[] readBuffer = new byte[READ_BUFFER_BYTES];
+    private int responseCount;
 
     private ListenerWarmup(Socket socket) {
         this.socket = socket;
@@ -58,20 +58,20 @@
      * Sends rounds of requests and waits for the responses, whatever their status. Starts no further round after one
      * second.
      *
-     * @param proxy the address that the proxy listens on
+     * @param address the address that the proxy listens on
      * @param rounds the number of rounds, of 16 requests each
      * @throws IOException if the connection cannot be opened, fails, or times out
      */
-    public static void run(InetSocketAddress proxy, int rounds) throws IOException {
+    public static void run(InetSocketAddress address, int rounds) throws IOException {
         long deadlineNs = System.nanoTime() + TIMEOUT_MS * NS_PER_MS;
-        try (Socket socket = new Socket(proxy.getAddress(), proxy.getPort())) {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(TIMEOUT_MS);
             new ListenerWarmup(socket).sendRounds(rounds, deadlineNs);
         }
     }
 
     private void sendRounds(int rounds, long deadlineNs) throws IOException {
-        byte[] requests = requests();
+        byte[] requests = encodeRound();
         for (int round = 1; round <= rounds && System.nanoTime() < deadlineNs; round++) {
             socket.getOutputStream().write(requests);
             if (!readResponses(round * REQUESTS_PER_ROUND)) {
@@ -81,35 +81,35 @@
     }
 
     /** Reads until the total number of responses is reached; false if the connection was closed before that. */
-    private boolean readResponses(int expected) throws IOException {
+    private boolean readResponses(int expectedTotal) throws IOException {
         InputStream input = socket.getInputStream();
-        while (responses < expected) {
-            int count = input.read(buffer);
+        while (responseCount < expectedTotal) {
+            int count = input.read(readBuffer);
             if (count < 0) {
                 return false;
             }
-            parser.feed(ByteBuffer.wrap(buffer, 0, count), this::count);
+            parser.feed(ByteBuffer.wrap(readBuffer, 0, count), this::countResponse);
         }
         return true;
     }
 
-    private void count(FastCgiRecord record) {
+    private void countResponse(FastCgiRecord record) {
         if (record.type() == FastCgiRecord.END_REQUEST) {
-            responses++;
+            responseCount++;
         }
     }
 
-    private static byte[] requests() {
+    private static byte[] encodeRound() {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         for (int i = 0; i < PARAMS.length; i += 2) {
             NameValuePairs.append(params, PARAMS[i], PARAMS[i + 1]);
         }
         ByteArrayOutputStream requests = new ByteArrayOutputStream();
         for (int id = 1; id <= REQUESTS_PER_ROUND; id++) {
-            requests.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_REQUEST_BODY));
-            requests.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
-            requests.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, EMPTY));
-            requests.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
+            requests.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_REQUEST_BODY));
+            requests.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.PARAMS, id, params.toByteArray()));
+            requests.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.PARAMS, id, EMPTY_CONTENT));
+            requests.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, id, EMPTY_CONTENT));
         }
         return requests.toByteArray();
     }
--- a/src/main/java/petrelplank/fastcgi/ManagementRecords.java
+++ b/src/main/java/petrelplank/fastcgi/ManagementRecords.java
@@ -13,18 +13,20 @@
      * @param record the management record
      * @param maxConnections the maximum number of client connections
      */
-    static byte[] reply(FastCgiRecord record, int maxConnections) {
+    static byte[] encodeReply(FastCgiRecord record, int maxConnections) {
         if (record.type() == FastCgiRecord.GET_VALUES) {
-            return RecordEncoder.record(
-                    FastCgiRecord.GET_VALUES_RESULT, FastCgiRecord.MANAGEMENT_ID, values(record, maxConnections));
+            return RecordEncoder.encodeRecord(
+                    FastCgiRecord.GET_VALUES_RESULT,
+                    FastCgiRecord.NULL_REQUEST_ID,
+                    encodeValues(record, maxConnections));
         }
         byte[] unknownType = new byte[FastCgiRecord.FIXED_BODY_LENGTH];
         unknownType[0] = (byte) record.type();
-        return RecordEncoder.record(FastCgiRecord.UNKNOWN_TYPE, FastCgiRecord.MANAGEMENT_ID, unknownType);
+        return RecordEncoder.encodeRecord(FastCgiRecord.UNKNOWN_TYPE, FastCgiRecord.NULL_REQUEST_ID, unknownType);
     }
 
-    private static byte[] values(FastCgiRecord getValues, int maxConnections) {
-        Map<String, String> known = Map.of(
+    private static byte[] encodeValues(FastCgiRecord getValues, int maxConnections) {
+        Map<String, String> supportedValues = Map.of(
                 "FCGI_MAX_CONNS",
                 Integer.toString(maxConnections),
                 "FCGI_MAX_REQS",
@@ -33,8 +35,8 @@
                 "1");
         ByteArrayOutputStream pairs = new ByteArrayOutputStream();
         for (String name : NameValuePairs.decode(getValues.content()).keySet()) {
-            if (known.containsKey(name)) {
-                NameValuePairs.append(pairs, name, known.get(name));
+            if (supportedValues.containsKey(name)) {
+                NameValuePairs.append(pairs, name, supportedValues.get(name));
             }
         }
         return pairs.toByteArray();
--- a/src/main/java/petrelplank/fastcgi/NameValuePairs.java
+++ b/src/main/java/petrelplank/fastcgi/NameValuePairs.java
@@ -27,7 +27,7 @@
      * @throws ProtocolViolationException if the bytes end in the middle of a pair
      */
     static Map<String, String> decode(byte[] bytes) {
-        return new NameValuePairs(bytes).pairs();
+        return new NameValuePairs(bytes).decodePairs();
     }
 
     /** Appends one pair; name and value must be shorter than 128 bytes each. */
@@ -37,40 +37,40 @@
         pairs.writeBytes((name + value).getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private Map<String, String> pairs() {
+    private Map<String, String> decodePairs() {
         Map<String, String> pairs = new LinkedHashMap<>();
         while (position < bytes.length) {
-            int nameLength = length();
-            int valueLength = length();
+            int nameLength = readLength();
+            int valueLength = readLength();
             if ((long) nameLength + valueLength > bytes.length - position) {
                 throw new ProtocolViolationException(Violation.TRUNCATED_VALUE);
             }
-            String name = text(nameLength);
-            pairs.put(name, text(valueLength));
+            String name = readText(nameLength);
+            pairs.put(name, readText(valueLength));
         }
         return pairs;
     }
 
-    private int length() {
+    private int readLength() {
         if (position >= bytes.length) {
             throw new ProtocolViolationException(Violation.TRUNCATED_LENGTH);
         }
-        int first = unsignedByte();
-        if (first < LONG_LENGTH_FLAG) {
-            return first;
+        int firstByte = readUnsignedByte();
+        if (firstByte < LONG_LENGTH_FLAG) {
+            return firstByte;
         }
         if (position + 3 > bytes.length) {
             throw new ProtocolViolationException(Violation.TRUNCATED_LENGTH);
         }
-        int highest = first & ~LONG_LENGTH_FLAG;
-        return highest << 24 | unsignedByte() << 16 | unsignedByte() << 8 | unsignedByte();
+        int highestByte = firstByte & ~LONG_LENGTH_FLAG;
+        return highestByte << 24 | readUnsignedByte() << 16 | readUnsignedByte() << 8 | readUnsignedByte();
     }
 
-    private int unsignedByte() {
+    private int readUnsignedByte() {
         return bytes[position++] & 0xff;
     }
 
-    private String text(int length) {
+    private String readText(int length) {
         String text = new String(bytes, position, length, StandardCharsets.ISO_8859_1);
         position += length;
         return text;
--- a/src/main/java/petrelplank/fastcgi/OpenRequests.java
+++ b/src/main/java/petrelplank/fastcgi/OpenRequests.java
@@ -9,7 +9,7 @@
 final class OpenRequests {
     private final Map<Integer, FastCgiResponseChannel> channels = new ConcurrentHashMap<>();
     /** Responses whose request may already be removed but whose bytes are not yet queued for writing. */
-    private final AtomicInteger responding = new AtomicInteger();
+    private final AtomicInteger responsesInProgress = new AtomicInteger();
 
     void add(int id, FastCgiResponseChannel channel) {
         channels.put(id, channel);
@@ -40,7 +40,7 @@
     /** Whether no request is open and no response is about to be queued for writing. */
     boolean isEmpty() {
         // The order matters: a response is counted before its request is removed, so that one of the checks sees it.
-        return channels.isEmpty() && responding.get() == 0;
+        return channels.isEmpty() && responsesInProgress.get() == 0;
     }
 
     void forEachId(IntConsumer action) {
@@ -49,11 +49,11 @@
 
     /** Must be called before the request is removed. */
     void beginResponse() {
-        responding.incrementAndGet();
+        responsesInProgress.incrementAndGet();
     }
 
     /** Must be called once the response is queued for writing, or if there is none to send. */
     void endResponse() {
-        responding.decrementAndGet();
+        responsesInProgress.decrementAndGet();
     }
 }
--- a/src/main/java/petrelplank/fastcgi/RecordEncoder.java
+++ b/src/main/java/petrelplank/fastcgi/RecordEncoder.java
@@ -10,35 +10,35 @@
     /** Maximum content length of a record that is a multiple of 8 bytes, so that records stay aligned. */
     private static final int MAX_CONTENT_LENGTH = 65_528;
     /** Initial space for record headers and the END_REQUEST record; the buffer grows if this is not enough. */
-    private static final int RECORD_OVERHEAD = 64;
+    private static final int INITIAL_RECORD_OVERHEAD = 64;
 
-    private static final int RESPONSE_HEAD_LENGTH = 128;
+    private static final int INITIAL_HEADERS_LENGTH = 128;
     /** Offset in the content of END_REQUEST, after the four bytes of the application status. */
-    private static final int PROTOCOL_STATUS_AT = 4;
+    private static final int PROTOCOL_STATUS_OFFSET = 4;
 
     private RecordEncoder() {}
 
     /** Encodes a complete response: CGI headers and body as the STDOUT stream, its end, and END_REQUEST. */
-    static byte[] response(int id, ClientResponse response) {
-        byte[] head = responseHead(response).getBytes(StandardCharsets.ISO_8859_1);
+    static byte[] encodeResponse(int id, ClientResponse response) {
+        byte[] headers = cgiHeaders(response).getBytes(StandardCharsets.ISO_8859_1);
         byte[] body = response.body();
-        RecordBuffer buffer = new RecordBuffer(head.length + body.length + RECORD_OVERHEAD);
-        int firstLength = Math.min(body.length, MAX_CONTENT_LENGTH - head.length);
-        buffer.header(FastCgiRecord.STDOUT, id, head.length + firstLength);
-        buffer.write(head, 0, head.length);
+        RecordBuffer buffer = new RecordBuffer(headers.length + body.length + INITIAL_RECORD_OVERHEAD);
+        int firstLength = Math.min(body.length, MAX_CONTENT_LENGTH - headers.length);
+        buffer.writeHeader(FastCgiRecord.STDOUT, id, headers.length + firstLength);
+        buffer.write(headers, 0, headers.length);
         buffer.write(body, 0, firstLength);
-        for (int at = firstLength; at < body.length; at += MAX_CONTENT_LENGTH) {
-            int length = Math.min(MAX_CONTENT_LENGTH, body.length - at);
-            buffer.header(FastCgiRecord.STDOUT, id, length);
-            buffer.write(body, at, length);
+        for (int offset = firstLength; offset < body.length; offset += MAX_CONTENT_LENGTH) {
+            int length = Math.min(MAX_CONTENT_LENGTH, body.length - offset);
+            buffer.writeHeader(FastCgiRecord.STDOUT, id, length);
+            buffer.write(body, offset, length);
         }
-        buffer.header(FastCgiRecord.STDOUT, id, 0);
-        buffer.endRequest(id, ProtocolStatus.REQUEST_COMPLETE);
+        buffer.writeHeader(FastCgiRecord.STDOUT, id, 0);
+        buffer.writeEndRequest(id, ProtocolStatus.REQUEST_COMPLETE);
         return buffer.toByteArray();
     }
 
-    private static String responseHead(ClientResponse response) {
-        StringBuilder head = new StringBuilder(RESPONSE_HEAD_LENGTH)
+    private static String cgiHeaders(ClientResponse response) {
+        StringBuilder headers = new StringBuilder(INITIAL_HEADERS_LENGTH)
                 .append(
                         switch (response.kind()) {
                             case SERVED, NOT_MODIFIED -> "Status: 200 OK\r\n";
@@ -47,28 +47,28 @@
                             case BAD_REQUEST -> "Status: 400 Bad Request\r\n";
                         });
         if (response.kind() == ClientResponse.Kind.NOT_MODIFIED) {
-            head.append("X-Still: 1\r\n");
+            headers.append("X-Still: 1\r\n");
         }
         if (response.retryAfterMs() > 0) {
-            head.append("Retry-After-Ms: ").append(response.retryAfterMs()).append("\r\n");
+            headers.append("Retry-After-Ms: ").append(response.retryAfterMs()).append("\r\n");
         }
-        return head.append("Content-Type: application/octet-stream\r\nContent-Length: ")
+        return headers.append("Content-Type: application/octet-stream\r\nContent-Length: ")
                 .append(response.body().length)
                 .append("\r\n\r\n")
                 .toString();
     }
 
     /** Encodes only an END_REQUEST record, for a request that was rejected before it was received completely. */
-    static byte[] endRequest(int id, ProtocolStatus status) {
+    static byte[] encodeEndRequest(int id, ProtocolStatus status) {
         RecordBuffer buffer = new RecordBuffer(FastCgiRecord.HEADER_LENGTH + FastCgiRecord.FIXED_BODY_LENGTH);
-        buffer.endRequest(id, status);
+        buffer.writeEndRequest(id, status);
         return buffer.toByteArray();
     }
 
     /** Encodes one record of any type, without padding. */
-    static byte[] record(int type, int id, byte[] content) {
+    static byte[] encodeRecord(int type, int id, byte[] content) {
         RecordBuffer buffer = new RecordBuffer(FastCgiRecord.HEADER_LENGTH + content.length);
-        buffer.header(type, id, content.length);
+        buffer.writeHeader(type, id, content.length);
         buffer.write(content, 0, content.length);
         return buffer.toByteArray();
     }
@@ -78,7 +78,7 @@
             super(size);
         }
 
-        void header(int type, int id, int contentLength) {
+        void writeHeader(int type, int id, int contentLength) {
             write(FastCgiRecord.VERSION);
             write(type);
             writeShort(id);
@@ -87,10 +87,10 @@
             write(0); // reserved
         }
 
-        void endRequest(int id, ProtocolStatus status) {
-            header(FastCgiRecord.END_REQUEST, id, FastCgiRecord.FIXED_BODY_LENGTH);
+        void writeEndRequest(int id, ProtocolStatus status) {
+            writeHeader(FastCgiRecord.END_REQUEST, id, FastCgiRecord.FIXED_BODY_LENGTH);
             for (int i = 0; i < FastCgiRecord.FIXED_BODY_LENGTH; i++) {
-                write(i == PROTOCOL_STATUS_AT ? status.code() : 0);
+                write(i == PROTOCOL_STATUS_OFFSET ? status.code() : 0);
             }
         }
 
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -17,22 +17,22 @@
     /** Receives complete requests and the other events of a connection. */
     interface Listener {
         /** Called when a request has been received completely. */
-        void request(int id, boolean keepConnection, Map<String, String> params, byte[] body);
+        void onRequest(int id, boolean keepConnection, Map<String, String> params, byte[] body);
 
         /** Called when the client aborts a request. */
-        void abort(int id);
+        void onAbort(int id);
 
         /** Called for a management record: GET_VALUES or an unknown type. */
-        void management(FastCgiRecord record);
+        void onManagementRecord(FastCgiRecord record);
 
         /** Called when a request is rejected at its BEGIN_REQUEST record, with the protocol status to send. */
-        void rejected(int id, ProtocolStatus status, boolean keepConnection);
+        void onRejected(int id, ProtocolStatus status, boolean keepConnection);
 
         /** Whether a request with this id has not been answered yet. */
-        boolean isOpen(int id);
+        boolean isRequestOpen(int id);
 
         /** Returns the number of requests that have not been answered yet. */
-        int openRequests();
+        int openRequestCount();
     }
 
     /** A request of which not all records have been received. */
@@ -77,7 +77,7 @@
     /** Discards partial requests after the connection was closed. */
     void close() {
         partialRequests.clear();
-        count(-partialBytes);
+        addBytes(-partialBytes);
     }
 
     /** Whether any request has been started but not received completely. */
@@ -93,49 +93,49 @@
      */
     void accept(FastCgiRecord record) {
         if (record.isManagement()) {
-            listener.management(record);
+            listener.onManagementRecord(record);
             return;
         }
         switch (record.type()) {
-            case FastCgiRecord.BEGIN_REQUEST -> begin(record);
+            case FastCgiRecord.BEGIN_REQUEST -> beginRequest(record);
             case FastCgiRecord.ABORT_REQUEST -> {
-                remove(record.id());
-                listener.abort(record.id());
+                removePartialRequest(record.id());
+                listener.onAbort(record.id());
             }
-            case FastCgiRecord.PARAMS -> params(record);
-            case FastCgiRecord.STDIN -> stdin(record);
+            case FastCgiRecord.PARAMS -> appendParams(record);
+            case FastCgiRecord.STDIN -> appendStdin(record);
             default -> {
                 // Other record types, such as DATA, do not apply to a responder and are ignored.
             }
         }
     }
 
-    private void begin(FastCgiRecord record) {
-        byte[] body = record.content();
-        if (body.length != FastCgiRecord.FIXED_BODY_LENGTH) {
-            throw new ProtocolViolationException(Violation.INVALID_BEGIN_REQUEST, body.length);
+    private void beginRequest(FastCgiRecord record) {
+        byte[] content = record.content();
+        if (content.length != FastCgiRecord.FIXED_BODY_LENGTH) {
+            throw new ProtocolViolationException(Violation.INVALID_BEGIN_REQUEST, content.length);
         }
         int id = record.id();
-        if (partialRequests.containsKey(id) || listener.isOpen(id)) {
+        if (partialRequests.containsKey(id) || listener.isRequestOpen(id)) {
             throw new ProtocolViolationException(Violation.DUPLICATE_REQUEST_ID);
         }
-        int role = (body[0] & 0xff) << 8 | body[1] & 0xff;
-        boolean keepConnection = (body[2] & FastCgiRecord.FLAG_KEEP_CONNECTION) != 0;
+        int role = (content[0] & 0xff) << 8 | content[1] & 0xff;
+        boolean keepConnection = (content[2] & FastCgiRecord.FLAG_KEEP_CONNECTION) != 0;
         if (role != FastCgiRecord.ROLE_RESPONDER) {
-            listener.rejected(id, ProtocolStatus.UNKNOWN_ROLE, keepConnection);
+            listener.onRejected(id, ProtocolStatus.UNKNOWN_ROLE, keepConnection);
         } else if (isOverloaded()) {
-            listener.rejected(id, ProtocolStatus.OVERLOADED, keepConnection);
+            listener.onRejected(id, ProtocolStatus.OVERLOADED, keepConnection);
         } else {
             partialRequests.put(id, new PartialRequest(keepConnection));
         }
     }
 
     private boolean isOverloaded() {
-        return partialRequests.size() + listener.openRequests() >= MAX_OPEN_REQUESTS
+        return partialRequests.size() + listener.openRequestCount() >= MAX_OPEN_REQUESTS
                 || totalBytes.get() > maxTotalBytes;
     }
 
-    private void params(FastCgiRecord record) {
+    private void appendParams(FastCgiRecord record) {
         PartialRequest request = partialRequests.get(record.id());
         if (request == null) {
             return;
@@ -147,7 +147,7 @@
         append(request.params, record.content(), MAX_PARAMS_BYTES);
     }
 
-    private void stdin(FastCgiRecord record) {
+    private void appendStdin(FastCgiRecord record) {
         PartialRequest request = partialRequests.get(record.id());
         if (request == null) {
             return;
@@ -159,8 +159,8 @@
         if (!request.paramsComplete) {
             throw new ProtocolViolationException(Violation.STDIN_BEFORE_PARAMS_END);
         }
-        remove(record.id());
-        listener.request(
+        removePartialRequest(record.id());
+        listener.onRequest(
                 record.id(),
                 request.keepConnection,
                 NameValuePairs.decode(request.params.toByteArray()),
@@ -172,17 +172,17 @@
             throw new ProtocolViolationException(Violation.STREAM_TOO_LONG, maxBytes);
         }
         stream.write(bytes, 0, bytes.length);
-        count(bytes.length);
+        addBytes(bytes.length);
     }
 
-    private void remove(int id) {
+    private void removePartialRequest(int id) {
         PartialRequest request = partialRequests.remove(id);
         if (request != null) {
-            count(-request.size());
+            addBytes(-request.size());
         }
     }
 
-    private void count(long bytes) {
+    private void addBytes(long bytes) {
         partialBytes += bytes;
         totalBytes.addAndGet(bytes);
     }
--- a/src/main/java/petrelplank/fastcgi/RequestDecoder.java
+++ b/src/main/java/petrelplank/fastcgi/RequestDecoder.java
@@ -28,7 +28,7 @@
     /** Upper limit of sizes, in KB as the client sends them; no part of an object is this large. */
     private static final double MAX_SIZE_KB = 1e9;
     /** A decimal number without sign or exponent. */
-    private static final Pattern SIZE = Pattern.compile("[0-9]{1,10}(\\.[0-9]{0,10})?");
+    private static final Pattern SIZE_PATTERN = Pattern.compile("[0-9]{1,10}(\\.[0-9]{0,10})?");
 
     private static final String WEAK_TAG_PREFIX = "W/";
     private static final long US_PER_MS = 1000;
@@ -57,29 +57,29 @@
         if (!script.startsWith(SCRIPT_PREFIX)) {
             throw new InvalidRequestException(SCRIPT_NAME, script, "a path that starts with " + SCRIPT_PREFIX);
         }
-        checkLength(params, body.length);
+        checkContentLength(params, body.length);
         return new ClientRequest(
                 params.getOrDefault(REQUEST_ID, ""),
-                number(params, TIMEOUT_MS) * US_PER_MS,
+                parseNumber(params, TIMEOUT_MS) * US_PER_MS,
                 script.substring(SCRIPT_PREFIX.length()),
                 params.getOrDefault(OBJECT, ""),
-                number(params, PART),
-                number(params, GROUP),
-                sizeKb(params),
-                withoutQuotes(params.get(CLIENT_TAG)),
+                parseNumber(params, PART),
+                parseNumber(params, GROUP),
+                parseSizeKb(params),
+                unquoteTag(params.get(CLIENT_TAG)),
                 params.get(IDEMPOTENCY_KEY),
                 params.get(TENANT),
                 body);
     }
 
-    private static void checkLength(Map<String, String> params, int bodyLength) {
+    private static void checkContentLength(Map<String, String> params, int bodyLength) {
         String text = params.getOrDefault(CONTENT_LENGTH, "");
-        if (!text.isEmpty() && number(params, CONTENT_LENGTH) != bodyLength) {
+        if (!text.isEmpty() && parseNumber(params, CONTENT_LENGTH) != bodyLength) {
             throw new InvalidRequestException(CONTENT_LENGTH, text, "the length of the body in bytes, " + bodyLength);
         }
     }
 
-    private static int number(Map<String, String> params, String name) {
+    private static int parseNumber(Map<String, String> params, String name) {
         String text = params.getOrDefault(name, "");
         if (text.isEmpty() || text.length() > MAX_DIGITS || !text.chars().allMatch(RequestDecoder::isDigit)) {
             throw new InvalidRequestException(name, text, "a whole number of 1 to " + MAX_DIGITS + " digits");
@@ -92,25 +92,25 @@
     }
 
     /** Returns the size in KB on the sockets; 0 if the client sent none. */
-    private double sizeKb(Map<String, String> params) {
+    private double parseSizeKb(Map<String, String> params) {
         String text = params.getOrDefault(SIZE_KB, "");
         if (text.isEmpty()) {
             return 0;
         }
-        if (!SIZE.matcher(text).matches() || Double.parseDouble(text) > MAX_SIZE_KB) {
+        if (!SIZE_PATTERN.matcher(text).matches() || Double.parseDouble(text) > MAX_SIZE_KB) {
             throw new InvalidRequestException(SIZE_KB, text, "a decimal number of KB, at most " + MAX_SIZE_KB);
         }
         return Double.parseDouble(text) * sizeScale;
     }
 
     /** Removes the weak prefix and the quotes from an HTTP entity tag; returns null if there is no tag. */
-    private static String withoutQuotes(String tag) {
+    private static String unquoteTag(String tag) {
         if (tag == null || tag.isEmpty()) {
             return null;
         }
-        String strong = tag.startsWith(WEAK_TAG_PREFIX) ? tag.substring(WEAK_TAG_PREFIX.length()) : tag;
-        return strong.length() > 2 && strong.startsWith("\"") && strong.endsWith("\"")
-                ? strong.substring(1, strong.length() - 1)
-                : strong;
+        String withoutPrefix = tag.startsWith(WEAK_TAG_PREFIX) ? tag.substring(WEAK_TAG_PREFIX.length()) : tag;
+        return withoutPrefix.length() > 2 && withoutPrefix.startsWith("\"") && withoutPrefix.endsWith("\"")
+                ? withoutPrefix.substring(1, withoutPrefix.length() - 1)
+                : withoutPrefix;
     }
 }
--- a/src/test/java/petrelplank/fastcgi/FastCgiClient.java
+++ b/src/test/java/petrelplank/fastcgi/FastCgiClient.java
@@ -18,18 +18,18 @@
     private static final int TIMEOUT_MS = 20_000;
     private static final int READ_BUFFER_BYTES = 65_536;
     /** Offset of the flags in a BEGIN_REQUEST record, after its header and the role. */
-    private static final int FLAGS_AT = FastCgiRecord.HEADER_LENGTH + 2;
+    private static final int FLAGS_OFFSET = FastCgiRecord.HEADER_LENGTH + 2;
     /** Offset in the content of END_REQUEST, after the application status. */
-    private static final int PROTOCOL_STATUS_AT = 4;
+    private static final int PROTOCOL_STATUS_OFFSET = 4;
 
     private static final byte[] BEGIN_RESPONDER = {0, 1, 1, 0, 0, 0, 0, 0};
-    private static final byte[] EMPTY = new byte[0];
+    private static final byte[] EMPTY_CONTENT = new byte[0];
 
     private final Socket socket;
     private final RecordParser parser = new RecordParser();
     private final Queue<FastCgiRecord> records = new ArrayDeque<>();
     /** The responses received so far in part, by the ids of their requests. */
-    private final Map<Integer, ByteArrayOutputStream> stdout = new HashMap<>();
+    private final Map<Integer, ByteArrayOutputStream> partialResponses = new HashMap<>();
 
     /** Connects to a proxy. */
     public FastCgiClient(InetSocketAddress address) throws IOException {
@@ -40,30 +40,30 @@
     /** Sends a complete request; {@code headers} alternates header names and values. */
     public void sendRequest(int id, String script, byte[] body, String... headers) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.writeBytes(start(id, script, body, headers));
-        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
+        bytes.writeBytes(encodeRequestStart(id, script, body, headers));
+        bytes.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, id, EMPTY_CONTENT));
         raw(bytes.toByteArray());
     }
 
     /** Sends a request without the KEEP_CONN flag, so that the proxy closes the connection after the response. */
     public void sendLastRequest(int id, String script) throws IOException {
-        byte[] bytes = start(id, script, EMPTY);
-        bytes[FLAGS_AT] = 0;
+        byte[] bytes = encodeRequestStart(id, script, EMPTY_CONTENT);
+        bytes[FLAGS_OFFSET] = 0;
         raw(bytes);
         endRequest(id);
     }
 
     /** Sends a request without the end of its STDIN stream; see {@link #endRequest}. */
     public void beginRequest(int id, String script, byte[] body, String... headers) throws IOException {
-        raw(start(id, script, body, headers));
+        raw(encodeRequestStart(id, script, body, headers));
     }
 
     /** Sends the end of the STDIN stream of a request, which completes it. */
     public void endRequest(int id) throws IOException {
-        raw(RecordEncoder.record(FastCgiRecord.STDIN, id, EMPTY));
+        raw(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, id, EMPTY_CONTENT));
     }
 
-    private static byte[] start(int id, String script, byte[] body, String... headers) {
+    private static byte[] encodeRequestStart(int id, String script, byte[] body, String... headers) {
         ByteArrayOutputStream params = new ByteArrayOutputStream();
         NameValuePairs.append(params, "SCRIPT_NAME", script);
         for (int i = 0; i < headers.length; i += 2) {
@@ -71,11 +71,11 @@
             NameValuePairs.append(params, name, headers[i + 1]);
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_RESPONDER));
-        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, params.toByteArray()));
-        bytes.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, id, EMPTY));
+        bytes.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_RESPONDER));
+        bytes.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.PARAMS, id, params.toByteArray()));
+        bytes.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.PARAMS, id, EMPTY_CONTENT));
         if (body.length > 0) {
-            bytes.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, id, body));
+            bytes.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, id, body));
         }
         return bytes.toByteArray();
     }
@@ -87,7 +87,7 @@
 
     /** Sends an ABORT_REQUEST record for a request. */
     public void abort(int id) throws IOException {
-        raw(RecordEncoder.record(FastCgiRecord.ABORT_REQUEST, id, EMPTY));
+        raw(RecordEncoder.encodeRecord(FastCgiRecord.ABORT_REQUEST, id, EMPTY_CONTENT));
     }
 
     /**
@@ -100,9 +100,10 @@
             while (!records.isEmpty()) {
                 FastCgiRecord record = records.poll();
                 if (record.type() == FastCgiRecord.END_REQUEST) {
-                    return ended(record);
+                    return describeResponse(record);
                 }
-                stdout.computeIfAbsent(record.id(), id -> new ByteArrayOutputStream())
+                partialResponses
+                        .computeIfAbsent(record.id(), id -> new ByteArrayOutputStream())
                         .writeBytes(record.content());
             }
             int count = socket.getInputStream().read(buffer);
@@ -113,13 +114,13 @@
         }
     }
 
-    private String ended(FastCgiRecord endRequest) {
+    private String describeResponse(FastCgiRecord endRequest) {
         int id = endRequest.id();
-        int protocolStatus = endRequest.content()[PROTOCOL_STATUS_AT];
+        int protocolStatus = endRequest.content()[PROTOCOL_STATUS_OFFSET];
         if (protocolStatus != 0) {
             return id + " rejected, protocol status " + protocolStatus;
         }
-        byte[] response = stdout.remove(id).toByteArray();
+        byte[] response = partialResponses.remove(id).toByteArray();
         return id + " " + new String(response, StandardCharsets.ISO_8859_1);
     }
 
--- a/src/test/java/petrelplank/fastcgi/RecordEncoderTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordEncoderTest.java
@@ -22,7 +22,7 @@
         for (int i = 0; i < body.length; i++) {
             body[i] = (byte) (i * 31);
         }
-        byte[] encoded = RecordEncoder.response(7, new ClientResponse(ClientResponse.Kind.SERVED, body, 0));
+        byte[] encoded = RecordEncoder.encodeResponse(7, new ClientResponse(ClientResponse.Kind.SERVED, body, 0));
         ByteArrayOutputStream stdout = new ByteArrayOutputStream();
         List<Integer> types = new ArrayList<>();
         new RecordParser().feed(ByteBuffer.wrap(encoded), record -> {
@@ -33,15 +33,15 @@
         });
         assertEquals(FastCgiRecord.END_REQUEST, types.get(types.size() - 1));
         byte[] response = stdout.toByteArray();
-        int headLength = response.length - body.length;
-        String head = new String(response, 0, headLength, StandardCharsets.ISO_8859_1);
-        assertTrue(head.startsWith("Status: 200") && head.endsWith("\r\n\r\n"), head);
-        assertArrayEquals(body, Arrays.copyOfRange(response, headLength, response.length));
+        int headersLength = response.length - body.length;
+        String headers = new String(response, 0, headersLength, StandardCharsets.ISO_8859_1);
+        assertTrue(headers.startsWith("Status: 200") && headers.endsWith("\r\n\r\n"), headers);
+        assertArrayEquals(body, Arrays.copyOfRange(response, headersLength, response.length));
     }
 
     @Test
-    void rejectionSaysWhenToRetry() {
-        byte[] encoded = RecordEncoder.response(1, ClientResponse.rejected(250));
+    void rejectionHasRetryAfterHeader() {
+        byte[] encoded = RecordEncoder.encodeResponse(1, ClientResponse.rejected(250));
         String text = new String(encoded, StandardCharsets.ISO_8859_1);
         assertTrue(text.contains("Status: 503") && text.contains("Retry-After-Ms: 250\r\n"), text);
     }
--- a/src/test/java/petrelplank/fastcgi/RecordParserTest.java
+++ b/src/test/java/petrelplank/fastcgi/RecordParserTest.java
@@ -15,7 +15,7 @@
 class RecordParserTest {
     private static final long MAX_TOTAL_BYTES = 1 << 20;
     private static final byte[] BEGIN_RESPONDER = {0, 1, 1, 0, 0, 0, 0, 0};
-    private static final byte[] EMPTY = new byte[0];
+    private static final byte[] EMPTY_CONTENT = new byte[0];
     private static final byte[] STDIN_WITH_PADDING = {1, FastCgiRecord.STDIN, 0, 1, 0, 2, 3, 0, 'h', 'i', 0, 0, 0};
 
     /** Two name-value pairs; the length of the second value is encoded in four bytes. */
@@ -31,15 +31,15 @@
     private static byte[] interleavedRequests() {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         for (int id = 1; id <= 3; id++) {
-            records.writeBytes(RecordEncoder.record(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_RESPONDER));
+            records.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.BEGIN_REQUEST, id, BEGIN_RESPONDER));
         }
-        records.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, 1, params()));
-        records.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, 2, EMPTY));
-        records.writeBytes(RecordEncoder.record(FastCgiRecord.PARAMS, 1, EMPTY));
+        records.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.PARAMS, 1, params()));
+        records.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.PARAMS, 2, EMPTY_CONTENT));
+        records.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.PARAMS, 1, EMPTY_CONTENT));
         records.writeBytes(STDIN_WITH_PADDING);
-        records.writeBytes(RecordEncoder.record(FastCgiRecord.ABORT_REQUEST, 3, EMPTY));
-        records.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, 2, EMPTY));
-        records.writeBytes(RecordEncoder.record(FastCgiRecord.STDIN, 1, EMPTY));
+        records.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.ABORT_REQUEST, 3, EMPTY_CONTENT));
+        records.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, 2, EMPTY_CONTENT));
+        records.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, 1, EMPTY_CONTENT));
         return records.toByteArray();
     }
 
@@ -50,7 +50,7 @@
         RecordParser parser = new RecordParser();
         RequestAssembler assembler = new RequestAssembler(listener, totalBytes, MAX_TOTAL_BYTES);
         ParserFuzzer.feed(interleavedRequests(), seed, input -> parser.feed(input, assembler::accept));
-        assertEquals(List.of("abort 3", "request 2 {} ", "request 1 {SCRIPT_NAME=/ab, X=y} hi"), listener.received);
+        assertEquals(List.of("abort 3", "request 2 {} ", "request 1 {SCRIPT_NAME=/ab, X=y} hi"), listener.calls);
         assertEquals(0, totalBytes.get());
     }
 
--- a/src/test/java/petrelplank/fastcgi/RecordingListener.java
+++ b/src/test/java/petrelplank/fastcgi/RecordingListener.java
@@ -8,37 +8,37 @@
 
 /** Records the calls from a {@link RequestAssembler}, as one line of text each. */
 final class RecordingListener implements RequestAssembler.Listener {
-    final List<String> received = new ArrayList<>();
-    /** The value that {@link #openRequests()} returns. */
-    int openRequests;
+    final List<String> calls = new ArrayList<>();
+    /** The value that {@link #openRequestCount()} returns. */
+    int openRequestCount;
 
     @Override
-    public void request(int id, boolean keepConnection, Map<String, String> params, byte[] body) {
-        received.add("request " + id + " " + params + " " + new String(body, StandardCharsets.ISO_8859_1));
+    public void onRequest(int id, boolean keepConnection, Map<String, String> params, byte[] body) {
+        calls.add("request " + id + " " + params + " " + new String(body, StandardCharsets.ISO_8859_1));
     }
 
     @Override
-    public void abort(int id) {
-        received.add("abort " + id);
+    public void onAbort(int id) {
+        calls.add("abort " + id);
     }
 
     @Override
-    public void management(FastCgiRecord record) {
-        received.add("management " + record.type());
+    public void onManagementRecord(FastCgiRecord record) {
+        calls.add("management " + record.type());
     }
 
     @Override
-    public void rejected(int id, ProtocolStatus status, boolean keepConnection) {
-        received.add("rejected " + id + " " + status.code());
+    public void onRejected(int id, ProtocolStatus status, boolean keepConnection) {
+        calls.add("rejected " + id + " " + status.code());
     }
 
     @Override
-    public boolean isOpen(int id) {
+    public boolean isRequestOpen(int id) {
         return false;
     }
 
     @Override
-    public int openRequests() {
-        return openRequests;
+    public int openRequestCount() {
+        return openRequestCount;
     }
 }
--- a/src/test/java/petrelplank/fastcgi/RequestAssemblerTest.java
+++ b/src/test/java/petrelplank/fastcgi/RequestAssemblerTest.java
@@ -18,23 +18,23 @@
     }
 
     @Test
-    void otherRolesAndTooManyBytesAreRejectedByProtocolStatus() {
+    void unsupportedRolesAndTooManyBytesAreRejectedWithProtocolStatus() {
         RequestAssembler assembler = new RequestAssembler(listener, new AtomicLong(5), 4);
         assembler.accept(beginRequest(1, BEGIN_AUTHORIZER));
         assembler.accept(beginRequest(2, BEGIN_RESPONDER));
-        assertEquals(List.of("rejected 1 3", "rejected 2 2"), listener.received);
-        ProtocolViolationException malformed =
+        assertEquals(List.of("rejected 1 3", "rejected 2 2"), listener.calls);
+        ProtocolViolationException exception =
                 assertThrows(ProtocolViolationException.class, () -> assembler.accept(beginRequest(3, new byte[7])));
-        assertEquals(ProtocolViolationException.Violation.INVALID_BEGIN_REQUEST, malformed.violation());
+        assertEquals(ProtocolViolationException.Violation.INVALID_BEGIN_REQUEST, exception.violation());
     }
 
     @Test
-    void requestsOverAConnectionsLimitAreRejected() {
+    void requestsOverTheLimitOfAConnectionAreRejected() {
         RequestAssembler assembler = new RequestAssembler(listener, new AtomicLong(), 1 << 20);
-        listener.openRequests = RequestAssembler.MAX_OPEN_REQUESTS - 1;
+        listener.openRequestCount = RequestAssembler.MAX_OPEN_REQUESTS - 1;
         for (int id = 1; id <= 2; id++) {
             assembler.accept(beginRequest(id, BEGIN_RESPONDER));
         }
-        assertEquals(List.of("rejected 2 2"), listener.received);
+        assertEquals(List.of("rejected 2 2"), listener.calls);
     }
 }
--- a/src/test/java/petrelplank/fastcgi/RequestDecoderTest.java
+++ b/src/test/java/petrelplank/fastcgi/RequestDecoderTest.java
@@ -53,16 +53,16 @@
                 "SCRIPT_NAME=/invoke",
                 "SCRIPT_NAME=/other/media"
             })
-    void invalidParameterIsNamed(String invalid) {
+    void invalidParameterIsNamedInException(String assignment) {
         Map<String, String> params = validParams();
         assertEquals(1_500_000, new RequestDecoder(1).decode(params, BODY).timeoutUs());
         params.put("HTTP_X_MEMORY_KB", "412.5");
         assertEquals(206.25, new RequestDecoder(0.5).decode(params, BODY).sizeKb());
-        int equals = invalid.indexOf('=');
-        String name = invalid.substring(0, equals);
-        params.put(name, invalid.substring(equals + 1));
-        InvalidRequestException fault =
+        int separator = assignment.indexOf('=');
+        String name = assignment.substring(0, separator);
+        params.put(name, assignment.substring(separator + 1));
+        InvalidRequestException exception =
                 assertThrows(InvalidRequestException.class, () -> new RequestDecoder(1).decode(params, BODY));
-        assertEquals(name, fault.parameter());
+        assertEquals(name, exception.parameter());
     }
 }
