--- a/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
@@ -3,55 +3,58 @@
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
 
-/** When a connection was last in use. Written by the I/O thread and the event thread, read by any. */
+/** Tracks when a connection was last used. Written by the I/O thread and the event thread, read by any thread. */
 final class ConnectionActivity {
-    /** A connection that brings no complete request in this time, or leaves one half sent, is closed. */
+    /** A connection is closed if its first request, or one that was started, is incomplete after this time. */
     static final long REQUEST_TIMEOUT_US = 2_000_000;
-    /** Clients close idle connections after 4 s; those that never do are closed after this. */
+    /** Clients close idle connections after 4 s; a connection that a client leaves idle is closed after this time. */
     static final long IDLE_TIMEOUT_US = 5_000_000;
     /**
-     * A new connection's first request may still lie unread in the kernel; the connection is not closed to make room
-     * before this time and two turns of the I/O loop.
+     * The first request of a new connection may still be unread in the kernel. The connection is therefore not evicted
+     * before this time and two turns of the I/O loop have passed.
      */
-    private static final long FIRST_REQUEST_US = REQUEST_TIMEOUT_US / 8;
+    private static final long FIRST_REQUEST_WAIT_US = REQUEST_TIMEOUT_US / 8;
 
-    private static final long NONE = 0;
+    private static final long NO_PARTIAL_REQUEST = 0;
 
     private final EventLoop loop;
     private final BoundedAcceptor acceptor;
-    private final long acceptedInTurn;
-    /** When it last brought a complete request, or a response was written to it; its start before that. */
+    private final long acceptedAtTurn;
+    /** When a complete request was last received or a response sent; initially when the connection was opened. */
     private volatile long lastUsedUs;
 
     private volatile boolean receivedRequest;
-    /** Since when a request is being received; {@link #NONE} while none is. */
-    private volatile long partialSinceUs = NONE;
+    /**
+     * When the I/O thread first saw that a request or record was incomplete; {@link #NO_PARTIAL_REQUEST} while there is
+     * none.
+     */
+    private volatile long partialRequestSinceUs = NO_PARTIAL_REQUEST;
 
-    /** A state to compare a later one with. */
-    record Snapshot(long lastUsedUs, long partialSinceUs) {}
+    /** The activity at one moment, to be compared with a later one. */
+    record Snapshot(long lastUsedUs, long partialRequestSinceUs) {}
 
     ConnectionActivity(EventLoop loop, BoundedAcceptor acceptor) {
         this.loop = loop;
         this.acceptor = acceptor;
         this.lastUsedUs = loop.clock();
-        this.acceptedInTurn = acceptor.turns();
+        this.acceptedAtTurn = acceptor.turns();
     }
 
-    void requestReceived() {
+    void onRequestReceived() {
         receivedRequest = true;
         lastUsedUs = loop.clock();
     }
 
-    void responseSent() {
+    void onResponseSent() {
         lastUsedUs = loop.clock();
     }
 
-    /** Bytes were read, and end inside a request or not. */
-    void bytesRead(boolean insideRequest) {
+    /** Called after each read; {@code insideRequest} says whether the input so far ends inside a request or record. */
+    void onBytesRead(boolean insideRequest) {
         if (!insideRequest) {
-            partialSinceUs = NONE;
-        } else if (partialSinceUs == NONE) {
-            partialSinceUs = loop.clock();
+            partialRequestSinceUs = NO_PARTIAL_REQUEST;
+        } else if (partialRequestSinceUs == NO_PARTIAL_REQUEST) {
+            partialRequestSinceUs = loop.clock();
         }
     }
 
@@ -60,23 +63,23 @@
     }
 
     Snapshot snapshot() {
-        return new Snapshot(lastUsedUs, partialSinceUs);
+        return new Snapshot(lastUsedUs, partialRequestSinceUs);
     }
 
     boolean isUnchangedSince(Snapshot earlier) {
-        return lastUsedUs == earlier.lastUsedUs && partialSinceUs == earlier.partialSinceUs;
+        return lastUsedUs == earlier.lastUsedUs && partialRequestSinceUs == earlier.partialRequestSinceUs;
     }
 
-    /** Whether it has brought a request, or would have by now. */
-    boolean isPastFirstRequest(long nowUs) {
-        return receivedRequest || nowUs - lastUsedUs > FIRST_REQUEST_US && acceptor.turns() > acceptedInTurn + 1;
+    /** Whether a request has been received, or would have been if the client had sent one when it connected. */
+    boolean isFirstRequestReceivedOrOverdue(long nowUs) {
+        return receivedRequest || nowUs - lastUsedUs > FIRST_REQUEST_WAIT_US && acceptor.turns() > acceptedAtTurn + 1;
     }
 
-    /** Whether it was idle, or a request on it incomplete, for too long. */
+    /** Whether the connection has been idle, or a request on it incomplete, for too long. */
     boolean isTimedOut(long nowUs) {
-        long partialSince = partialSinceUs;
-        if (partialSince > NONE && receivedRequest) {
-            return nowUs - partialSince > REQUEST_TIMEOUT_US;
+        long sinceUs = partialRequestSinceUs;
+        if (sinceUs > NO_PARTIAL_REQUEST && receivedRequest) {
+            return nowUs - sinceUs > REQUEST_TIMEOUT_US;
         }
         return nowUs - lastUsedUs > (receivedRequest ? IDLE_TIMEOUT_US : REQUEST_TIMEOUT_US);
     }
--- /dev/null
+++ b/src/main/java/petrelplank/fastcgi/ConnectionCloseLog.java
@@ -0,0 +1,53 @@
+package petrelplank.fastcgi;
+
+import java.util.logging.Logger;
+
+/** Counts client connections that the proxy closed, by reason, and logs a sample. Used by the event thread only. */
+final class ConnectionCloseLog {
+    private static final Logger LOG = Logger.getLogger(ConnectionCloseLog.class.getName());
+    /** Faulty clients may send at full speed: logging each fault would take CPU and memory from other clients. */
+    private static final int LOG_EVERY_NTH = 250;
+
+    private final int maxConnections;
+    private long malformedInputs;
+    private long slowReaders;
+    private long evictions;
+    private long idleCloses;
+
+    /** Creates a log; {@code maxConnections} is the maximum number of client connections. */
+    ConnectionCloseLog(int maxConnections) {
+        this.maxConnections = maxConnections;
+    }
+
+    /** Counts a connection that was closed because the client's input violated the protocol. */
+    void countMalformedInput(ProtocolViolationException violation) {
+        if (malformedInputs++ % LOG_EVERY_NTH == 0) {
+            LOG.warning("client connection closed after malformed FastCGI input: " + violation.getMessage() + "; "
+                    + malformedInputs + " closed for this reason so far");
+        }
+    }
+
+    /** Counts a connection that was closed because the client left too many response bytes unread. */
+    void countSlowReader() {
+        if (slowReaders++ % LOG_EVERY_NTH == 0) {
+            LOG.warning("client connection closed because the client does not read its responses; " + slowReaders
+                    + " closed for this reason so far");
+        }
+    }
+
+    /** Counts a connection that was closed while it had no open request. */
+    void countIdleClose(IdleConnectionCloser.Reason reason) {
+        if (reason == IdleConnectionCloser.Reason.IDLE) {
+            idleCloses++;
+        } else if (evictions++ % LOG_EVERY_NTH == 0) {
+            LOG.warning("least recently used client connection closed near the limit of " + maxConnections
+                    + " connections; " + evictions + " closed for this reason so far");
+        }
+    }
+
+    /** Returns the counts as one line of text. */
+    String counts() {
+        return "closed for malformed input " + malformedInputs + ", for unread responses " + slowReaders
+                + ", near the connection limit " + evictions + ", when idle or timed out " + idleCloses;
+    }
+}
--- a/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiAcceptor.java
@@ -12,48 +12,48 @@
 import petrelplank.transport.BoundedAcceptor;
 import petrelplank.transport.DescriptorBudget;
 
-/** A FastCGI responder on MINA. Requests are posted to the event thread, responses come from it. */
+/** FastCGI responder based on Apache MINA. It posts requests to the event thread, which sends the responses. */
 public final class FastCgiAcceptor {
     private final ListenerContext context;
     private final ConnectionReaper reaper;
     private final Set<FastCgiConnection> connections = ConcurrentHashMap.newKeySet();
 
     /**
-     * A responder; {@link #listen} opens it.
+     * Creates a responder; {@link #listen} opens its socket.
      *
-     * @param loop the event thread
-     * @param proxy takes the requests
-     * @param acceptor accepts connections; its handler is set here
-     * @param budget the descriptors that connections may hold
-     * @param memory bytes that the process may hold
-     * @param sizeScale bytes on the sockets over those in which clients send sizes, above 0
+     * @param loop the loop of the event thread
+     * @param proxy handles the requests
+     * @param acceptor accepts connections; this constructor sets its handler
+     * @param budget the file descriptors that client connections may hold
+     * @param memoryBytes the memory limit of the process in bytes
+     * @param sizeScale factor from sizes as the client sends them to bytes on the sockets; greater than 0
      */
     public FastCgiAcceptor(
             EventLoop loop,
             EdgeProxy proxy,
             BoundedAcceptor acceptor,
             DescriptorBudget budget,
-            long memory,
+            long memoryBytes,
             double sizeScale) {
         context = new ListenerContext(
                 loop,
                 proxy,
                 acceptor,
                 new RequestDecoder(sizeScale),
-                new ListenerMemory(memory),
-                new ClientFaultLog(budget.capacity()),
+                new ListenerMemory(memoryBytes),
+                new ConnectionCloseLog(budget.capacity()),
                 new ListenerStatus(),
                 budget.capacity());
         reaper = new ConnectionReaper(context, budget, connections);
         acceptor.setHandler(new ConnectionHandler());
-        acceptor.onNearlyFull(reaper::makeRoom);
+        acceptor.onNearlyFull(reaper::evictIdleConnections);
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
-     * @param address on this address only
-     * @throws IOException where it can't be bound
+     * @param address the only address to listen on
+     * @throws IOException if the address cannot be bound
      */
     public void listen(InetSocketAddress address) throws IOException {
         context.acceptor().bind(address);
@@ -61,40 +61,40 @@
     }
 
     /**
-     * Sets the answer to health requests.
+     * Sets how health requests are answered.
      *
-     * @param now whether the proxy serves
+     * @param ready true for success (status 200), false for status 503
      */
-    public void ready(boolean now) {
-        context.status().ready(now);
+    public void ready(boolean ready) {
+        context.status().setReady(ready);
     }
 
     /**
-     * Closes what is open and not in use, at the end of a shutdown; a connection with an unread request is kept.
+     * Closes unused connections at the end of a shutdown. A connection with an unread request is kept open.
      *
-     * @return connections that are not closed yet
+     * @return the number of connections that are still open
      */
     public int closeUnused() {
         connections.stream()
                 .filter(FastCgiConnection::isUnused)
-                .forEach(connection -> connection.closeIfIdle(IdleClose.Reason.IDLE));
+                .forEach(connection -> connection.closeIfIdle(IdleConnectionCloser.Reason.IDLE));
         return connections.size();
     }
 
-    /** Accepts no further connections. */
+    /** Stops accepting connections; those that are open stay open. */
     public void stopListening() {
         context.acceptor().setCloseOnDeactivation(false);
         context.acceptor().unbind();
     }
 
     /**
-     * Connections and faults of clients, in one line.
+     * Returns the number of open client connections, and of those that the proxy closed, by reason.
      *
-     * @return the counts
+     * @return the counts as one line of text
      */
     public String counts() {
-        return "client connections " + connections.size() + ", "
-                + context.faults().counts();
+        return "client connections open " + connections.size() + ", "
+                + context.closeLog().counts();
     }
 
     private final class ConnectionHandler extends IoHandlerAdapter {
@@ -107,14 +107,14 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            connectionOf(session).received((IoBuffer) message);
+            connectionOf(session).onBytesRead((IoBuffer) message);
         }
 
         @Override
         public void sessionClosed(IoSession session) {
             FastCgiConnection connection = connectionOf(session);
             connections.remove(connection);
-            connection.closed();
+            connection.onClosed();
         }
 
         @Override
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -8,12 +8,12 @@
 import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.EventLoop;
 
-/** One connection; records are read in its I/O thread, responses are written from the event thread. */
+/** A connection from a web server. The I/O thread reads its records; the event thread writes most responses. */
 final class FastCgiConnection implements RequestAssembler.Listener {
-    /** How long the client may take to close a connection whose sending side was shut down. */
-    private static final long LINGER_US = 1_000_000;
+    /** How long the client has to close a connection after the proxy has shut down its sending side. */
+    private static final long LINGER_TIMEOUT_US = 1_000_000;
 
-    private static final String HEALTH_SCRIPT = "/_health";
+    private static final String HEALTH_SCRIPT_NAME = "/_health";
 
     private final ListenerContext context;
     private final EventLoop loop;
@@ -22,10 +22,10 @@
     private final RequestAssembler assembler;
     private final OpenRequests openRequests = new OpenRequests();
     private final ConnectionActivity activity;
-    private final IdleClose idleClose;
-    /** What still comes is ignored, since what came before violated the protocol. Of the I/O thread. */
-    private boolean malformed;
-    /** When the sending side was shut down; 0 before. Written by the I/O thread. */
+    private final IdleConnectionCloser idleCloser;
+    /** Whether the input violated the protocol; further input is then ignored. Used by the I/O thread only. */
+    private boolean protocolViolated;
+    /** When the sending side was shut down; 0 while it is open. Written by the I/O thread. */
     private volatile long outputShutdownUs;
 
     FastCgiConnection(ListenerContext context, IoSession session) {
@@ -35,45 +35,49 @@
         ListenerMemory memory = context.memory();
         this.assembler = new RequestAssembler(this, memory.requestBytes(), memory.maxRequestBytes());
         this.activity = new ConnectionActivity(loop, context.acceptor());
-        this.idleClose = new IdleClose(session, context, activity, this::isUnused);
+        this.idleCloser = new IdleConnectionCloser(session, context, activity, this::isUnused);
     }
 
-    /** Nothing is open and nothing unsent, so that it may be closed. */
+    /** Whether the connection has no open requests and no unsent bytes, so that it may be closed. */
     boolean isUnused() {
         return openRequests.isEmpty() && session.getScheduledWriteBytes() == 0;
     }
 
-    /** Whether it may be closed to make room: it is unused, and would have brought a first request by now. */
+    /** Whether the connection may be closed to make room: it is unused, and its first request would have arrived. */
     boolean isEvictable(long nowUs) {
-        // In this order: a first request that comes in meanwhile is open before it counts as received.
-        return idleClose.isOpen() && activity.isPastFirstRequest(nowUs) && isUnused();
+        // The order matters: a request is added to the open requests before it counts as received, so isUnused() sees
+        // a first request that arrives during these checks.
+        return idleCloser.isOpen() && activity.isFirstRequestReceivedOrOverdue(nowUs) && isUnused();
     }
 
-    /** Whether it was idle, or a request on it incomplete, for too long. */
+    /** Whether the connection is unused and has been idle, or a request on it incomplete, for too long. */
     boolean isTimedOut(long nowUs) {
         boolean timedOut = activity.isTimedOut(nowUs);
         return isUnused() && timedOut;
     }
 
-    /** Whether its client has not closed it in good time after its sending side was shut down. */
-    boolean lingersTooLong(long nowUs) {
-        return outputShutdownUs > 0 && nowUs - outputShutdownUs > LINGER_US;
+    /** Whether the client has not closed the connection in time after its sending side was shut down. */
+    boolean hasLingerTimedOut(long nowUs) {
+        return outputShutdownUs > 0 && nowUs - outputShutdownUs > LINGER_TIMEOUT_US;
     }
 
     long lastUsedUs() {
         return activity.lastUsedUs();
     }
 
-    /** Closes it unless a request comes in meanwhile, see {@link IdleClose#request}. */
-    void closeIfIdle(IdleClose.Reason reason) {
-        idleClose.request(reason);
+    /** Closes the connection unless a request arrives meanwhile; see {@link IdleConnectionCloser#requestClose}. */
+    void closeIfIdle(IdleConnectionCloser.Reason reason) {
+        idleCloser.requestClose(reason);
     }
 
     void closeNow() {
         session.closeNow();
     }
 
-    /** Closes it once all responses are written, without a reset, which would destroy them on their way. */
+    /**
+     * Shuts down the sending side once all responses are written. Closing the socket at once could reset the
+     * connection, and responses in transit would be lost.
+     */
     void closeAfterResponses() {
         context.acceptor().shutdownOutput(session, () -> {
             if (isUnused()) {
@@ -83,50 +87,50 @@
         });
     }
 
-    /** Bytes were read; in the I/O thread. */
-    void received(IoBuffer bytes) {
-        if (malformed || outputShutdownUs > 0) {
+    /** Processes bytes that were read. Called by the I/O thread. */
+    void onBytesRead(IoBuffer bytes) {
+        if (protocolViolated || outputShutdownUs > 0) {
             return;
         }
         try {
             parser.feed(bytes.buf(), assembler::accept);
-            activity.bytesRead(parser.isInsideRecord() || assembler.isInsideRequest());
-        } catch (MalformedException e) {
-            malformed = true;
+            activity.onBytesRead(parser.isInsideRecord() || assembler.isInsideRequest());
+        } catch (ProtocolViolationException e) {
+            protocolViolated = true;
             closeAfterResponses();
-            loop.post(() -> context.faults().malformed(e));
+            loop.post(() -> context.closeLog().countMalformedInput(e));
         }
     }
 
-    /** The session is closed; in the I/O thread. */
-    void closed() {
-        if (idleClose.closed()) {
-            loop.post(() -> context.faults().closed(idleClose.reason()));
+    /** Releases the requests of the connection after it was closed. Called by the I/O thread. */
+    void onClosed() {
+        if (idleCloser.onClosed()) {
+            loop.post(() -> context.closeLog().countIdleClose(idleCloser.reason()));
         }
         assembler.close();
-        openRequests.forEachId(this::abort);
+        openRequests.forEachId(this::onAbort);
     }
 
     @Override
-    public void request(int id, boolean keepConnection, Map<String, String> params, byte[] body) {
+    public void onRequest(int id, boolean keepConnection, Map<String, String> params, byte[] body) {
         String requestId = params.getOrDefault(RequestDecoder.REQUEST_ID, "");
         FastCgiResponseChannel channel =
                 new FastCgiResponseChannel(this, openRequests, id, keepConnection, requestId, body.length);
-        // Guards memory against clients that open hundreds of requests with large bodies.
+        // Limits the memory that clients can take by opening hundreds of requests with large bodies.
         context.memory().requestBytes().addAndGet(body.length);
         openRequests.add(id, channel);
-        activity.requestReceived();
-        if (params.getOrDefault(RequestDecoder.SCRIPT_NAME, "").equals(HEALTH_SCRIPT)) {
+        activity.onRequestReceived();
+        if (params.getOrDefault(RequestDecoder.SCRIPT_NAME, "").equals(HEALTH_SCRIPT_NAME)) {
             channel.answer(
                     context.status().isReady()
                             ? ClientResponse.of(ClientResponse.Kind.SERVED)
                             : ClientResponse.rejected(0));
         } else {
-            handle(params, body, channel);
+            dispatch(params, body, channel);
         }
     }
 
-    private void handle(Map<String, String> params, byte[] body, FastCgiResponseChannel channel) {
+    private void dispatch(Map<String, String> params, byte[] body, FastCgiResponseChannel channel) {
         ClientRequest request;
         try {
             request = context.decoder().decode(params, body);
@@ -139,50 +143,50 @@
     }
 
     @Override
-    public void abort(int id) {
+    public void onAbort(int id) {
         FastCgiResponseChannel channel = openRequests.remove(id);
         if (channel != null) {
-            context.memory().requestBytes().addAndGet(-channel.bodyLength());
+            context.memory().requestBytes().addAndGet(-channel.requestBodyLength());
             loop.post(() -> context.proxy().clientDisconnected(channel.requestId(), channel));
         }
     }
 
     @Override
-    public boolean isOpen(int id) {
+    public boolean isRequestOpen(int id) {
         return openRequests.contains(id);
     }
 
     @Override
-    public int openRequests() {
+    public int openRequestCount() {
         return openRequests.size();
     }
 
     @Override
-    public void rejected(int id, ProtocolStatus status, boolean keepConnection) {
-        write(RecordEncoder.endRequest(id, status));
+    public void onRejected(int id, ProtocolStatus status, boolean keepConnection) {
+        write(RecordEncoder.encodeEndRequest(id, status));
         if (!keepConnection) {
             closeAfterResponses();
         }
     }
 
     @Override
-    public void management(FastCgiRecord record) {
-        write(ManagementRecords.reply(record, context.maxConnections()));
+    public void onManagementRecord(FastCgiRecord record) {
+        write(ManagementRecords.encodeReply(record, context.maxConnections()));
     }
 
-    /** Writes the response to a request that was removed from those open. */
-    void respond(int id, ClientResponse response, int requestBodyLength) {
+    /** Writes the response to a request that has been removed from the open requests. */
+    void writeResponse(int id, ClientResponse response, int requestBodyLength) {
         context.memory().requestBytes().addAndGet(-requestBodyLength);
-        activity.responseSent();
-        write(RecordEncoder.response(id, response));
+        activity.onResponseSent();
+        write(RecordEncoder.encodeResponse(id, response));
     }
 
     private void write(byte[] bytes) {
-        // Guards memory against a client that goes on requesting and does not read.
+        // Limits the memory that a client can take by sending requests without reading the responses.
         long unreadBytes = session.getScheduledWriteBytes();
         if (context.memory().isOverUnreadLimit(unreadBytes, context.acceptor().getScheduledWriteBytes())) {
             session.closeNow();
-            loop.post(context.faults()::slowReader);
+            loop.post(context.closeLog()::countSlowReader);
             return;
         }
         session.write(IoBuffer.wrap(bytes));
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -3,14 +3,14 @@
 import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.ResponseChannel;
 
-/** The way back to a FastCGI client, for one request on its connection. */
+/** Sends the response to one request on a FastCGI connection. */
 final class FastCgiResponseChannel implements ResponseChannel {
     private final FastCgiConnection connection;
     private final OpenRequests openRequests;
     private final int id;
     private final boolean keepConnection;
     private final String requestId;
-    private final int bodyLength;
+    private final int requestBodyLength;
 
     FastCgiResponseChannel(
             FastCgiConnection connection,
@@ -18,32 +18,32 @@
             int id,
             boolean keepConnection,
             String requestId,
-            int bodyLength) {
+            int requestBodyLength) {
         this.connection = connection;
         this.openRequests = openRequests;
         this.id = id;
         this.keepConnection = keepConnection;
         this.requestId = requestId;
-        this.bodyLength = bodyLength;
+        this.requestBodyLength = requestBodyLength;
     }
 
-    /** The client's id of the request. */
+    /** The client's request id (HTTP_X_REQUEST_ID), in contrast to the FastCGI id on the connection. */
     String requestId() {
         return requestId;
     }
 
-    /** Bytes of the request that are held until it is answered. */
-    int bodyLength() {
-        return bodyLength;
+    /** Bytes of the request body; they stay in memory until the request is answered. */
+    int requestBodyLength() {
+        return requestBodyLength;
     }
 
-    /** A response and an abort may meet: whichever removes the request first wins. */
+    /** A response may race with an abort by the client: whichever removes the request from the open ones first wins. */
     @Override
     public void answer(ClientResponse response) {
         openRequests.beginResponse();
         boolean wasOpen = openRequests.remove(id, this);
         if (wasOpen) {
-            connection.respond(id, response, bodyLength);
+            connection.writeResponse(id, response, requestBodyLength);
         }
         openRequests.endResponse();
         if (wasOpen && !keepConnection) {
--- a/src/main/java/petrelplank/fastcgi/ListenerStatus.java
+++ b/src/main/java/petrelplank/fastcgi/ListenerStatus.java
@@ -2,31 +2,33 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The state of one listener that its connections share. Any thread. */
+/** State of a listener that all its connections share. Thread-safe. */
 final class ListenerStatus {
     private volatile boolean ready;
-    /** Connections whose idle close was requested, and that were neither closed nor kept since. */
+    /** Connections with a requested idle close that the I/O thread has neither closed nor kept open yet. */
     private final AtomicInteger pendingCloses = new AtomicInteger();
 
-    /** What health requests are answered. */
+    /** Whether health requests are answered with success. */
     boolean isReady() {
         return ready;
     }
 
-    void ready(boolean now) {
-        ready = now;
+    /** Sets whether health requests are answered with success. */
+    void setReady(boolean ready) {
+        this.ready = ready;
     }
 
     int pendingCloses() {
         return pendingCloses.get();
     }
 
-    void closeRequested() {
+    /** Counts a connection whose idle close is requested. */
+    void addPendingClose() {
         pendingCloses.incrementAndGet();
     }
 
-    /** A connection whose close was requested is closed, or is kept. */
-    void closeDecided() {
+    /** Removes a connection from the count: it was closed, or is kept open. */
+    void removePendingClose() {
         pendingCloses.decrementAndGet();
     }
 }
--- a/src/main/java/petrelplank/fastcgi/ManagementRecords.java
+++ b/src/main/java/petrelplank/fastcgi/ManagementRecords.java
@@ -3,28 +3,30 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Map;
 
-/** Replies to FastCGI's management records, which belong to the connection and to no request. Any thread. */
+/** Encodes replies to FastCGI management records, which belong to a connection and not to a request. Thread-safe. */
 final class ManagementRecords {
     private ManagementRecords() {}
 
     /**
-     * The reply to a management record: GET_VALUES_RESULT to GET_VALUES, UNKNOWN_TYPE to any other.
+     * Encodes the reply to a management record: GET_VALUES_RESULT for GET_VALUES, UNKNOWN_TYPE for any other type.
      *
      * @param record the management record
-     * @param maxConnections the most connections that clients may hold
+     * @param maxConnections the maximum number of client connections
      */
-    static byte[] reply(FastCgiRecord record, int maxConnections) {
+    static byte[] encodeReply(FastCgiRecord record, int maxConnections) {
         if (record.type() == FastCgiRecord.GET_VALUES) {
-            return RecordEncoder.record(
-                    FastCgiRecord.GET_VALUES_RESULT, FastCgiRecord.MANAGEMENT_ID, values(record, maxConnections));
+            return RecordEncoder.encodeRecord(
+                    FastCgiRecord.GET_VALUES_RESULT,
+                    FastCgiRecord.NULL_REQUEST_ID,
+                    encodeValues(record, maxConnections));
         }
         byte[] unknownType = new byte[FastCgiRecord.FIXED_BODY_LENGTH];
         unknownType[0] = (byte) record.type();
-        return RecordEncoder.record(FastCgiRecord.UNKNOWN_TYPE, FastCgiRecord.MANAGEMENT_ID, unknownType);
+        return RecordEncoder.encodeRecord(FastCgiRecord.UNKNOWN_TYPE, FastCgiRecord.NULL_REQUEST_ID, unknownType);
     }
 
-    private static byte[] values(FastCgiRecord getValues, int maxConnections) {
-        Map<String, String> known = Map.of(
+    private static byte[] encodeValues(FastCgiRecord getValues, int maxConnections) {
+        Map<String, String> supportedValues = Map.of(
                 "FCGI_MAX_CONNS",
                 Integer.toString(maxConnections),
                 "FCGI_MAX_REQS",
@@ -32,9 +34,9 @@
                 "FCGI_MPXS_CONNS",
                 "1");
         ByteArrayOutputStream pairs = new ByteArrayOutputStream();
-        for (String name : ParamsDecoder.decode(getValues.content()).keySet()) {
-            if (known.containsKey(name)) {
-                ParamsDecoder.append(pairs, name, known.get(name));
+        for (String name : NameValuePairs.decode(getValues.content()).keySet()) {
+            if (supportedValues.containsKey(name)) {
+                NameValuePairs.append(pairs, name, supportedValues.get(name));
             }
         }
         return pairs.toByteArray();
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -5,37 +5,37 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
-import petrelplank.fastcgi.MalformedException.Violation;
+import petrelplank.fastcgi.ProtocolViolationException.Violation;
 
-/** Assembles the records of one connection to requests; I/O thread only. */
+/** Assembles the FastCGI records of one connection into requests. Used by the I/O thread only. */
 final class RequestAssembler {
     static final int MAX_PARAMS_BYTES = 16_384;
     static final int MAX_BODY_BYTES = 262_144;
-    /** Requests on one connection, being received or not yet answered. */
+    /** Maximum number of requests on one connection that are being received or not yet answered. */
     static final int MAX_OPEN_REQUESTS = 32;
 
-    /** Gets what is complete. */
+    /** Receives complete requests and the other events of a connection. */
     interface Listener {
-        /** A request was received completely. */
-        void request(int id, boolean keepConnection, Map<String, String> params, byte[] body);
+        /** Called when a request has been received completely. */
+        void onRequest(int id, boolean keepConnection, Map<String, String> params, byte[] body);
 
-        /** A client stopped waiting for a request. */
-        void abort(int id);
+        /** Called when the client aborts a request. */
+        void onAbort(int id);
 
-        /** The connection's own records: GET_VALUES and unknown types. */
-        void management(FastCgiRecord record);
+        /** Called for a management record: GET_VALUES or an unknown type. */
+        void onManagementRecord(FastCgiRecord record);
 
-        /** A request is ended with a protocol status, before it was read. */
-        void rejected(int id, ProtocolStatus status, boolean keepConnection);
+        /** Called when a request is rejected at its BEGIN_REQUEST record, with the protocol status to send. */
+        void onRejected(int id, ProtocolStatus status, boolean keepConnection);
 
         /** Whether a request with this id has not been answered yet. */
-        boolean isOpen(int id);
+        boolean isRequestOpen(int id);
 
-        /** Requests not answered yet. */
-        int openRequests();
+        /** Returns the number of requests that have not been answered yet. */
+        int openRequestCount();
     }
 
-    /** A request that is being received. */
+    /** A request of which not all records have been received. */
     private static final class PartialRequest {
         private static final int INITIAL_PARAMS_BYTES = 512;
 
@@ -54,7 +54,7 @@
     }
 
     private final Listener listener;
-    /** Bytes of requests of all connections. */
+    /** Bytes held by the requests of all connections. */
     private final AtomicLong totalBytes;
 
     private final long maxTotalBytes;
@@ -62,11 +62,11 @@
     private final Map<Integer, PartialRequest> partialRequests = new HashMap<>();
 
     /**
-     * An assembler for one connection.
+     * Creates an assembler for one connection.
      *
-     * @param listener gets what is complete
-     * @param totalBytes bytes of requests of all connections; partial requests are counted in
-     * @param maxTotalBytes new requests are rejected while {@code totalBytes} is above it
+     * @param listener receives complete requests and the other events
+     * @param totalBytes bytes held by the requests of all connections; this assembler adds its partial requests
+     * @param maxTotalBytes new requests are rejected while {@code totalBytes} exceeds this limit
      */
     RequestAssembler(Listener listener, AtomicLong totalBytes, long maxTotalBytes) {
         this.listener = listener;
@@ -74,79 +74,80 @@
         this.maxTotalBytes = maxTotalBytes;
     }
 
-    /** The connection was closed: partial requests are dropped. */
+    /** Discards partial requests after the connection was closed. */
     void close() {
         partialRequests.clear();
-        count(-partialBytes);
+        addBytes(-partialBytes);
     }
 
-    /** Whether a request has begun and not ended. */
+    /** Whether any request has been started but not received completely. */
     boolean isInsideRequest() {
         return !partialRequests.isEmpty();
     }
 
     /**
-     * Takes the connection's next record.
+     * Processes the next record of the connection.
      *
-     * @throws MalformedException where it violates the protocol; the connection can't be used further
+     * @throws ProtocolViolationException if the record violates the protocol; the connection must not be read any
+     *     further
      */
     void accept(FastCgiRecord record) {
         if (record.isManagement()) {
-            listener.management(record);
+            listener.onManagementRecord(record);
             return;
         }
         switch (record.type()) {
-            case FastCgiRecord.BEGIN_REQUEST -> begin(record);
+            case FastCgiRecord.BEGIN_REQUEST -> beginRequest(record);
             case FastCgiRecord.ABORT_REQUEST -> {
-                remove(record.id());
-                listener.abort(record.id());
+                removePartialRequest(record.id());
+                listener.onAbort(record.id());
             }
-            case FastCgiRecord.PARAMS -> params(record);
-            case FastCgiRecord.STDIN -> stdin(record);
+            case FastCgiRecord.PARAMS -> appendParams(record);
+            case FastCgiRecord.STDIN -> appendStdin(record);
             default -> {
-                // Other streams have no meaning for a responder.
+                // Other record types, such as DATA, do not apply to a responder and are ignored.
             }
         }
     }
 
-    private void begin(FastCgiRecord record) {
-        byte[] body = record.content();
-        if (body.length != FastCgiRecord.FIXED_BODY_LENGTH) {
-            throw new MalformedException(Violation.INVALID_BEGIN_REQUEST, body.length);
+    private void beginRequest(FastCgiRecord record) {
+        byte[] content = record.content();
+        if (content.length != FastCgiRecord.FIXED_BODY_LENGTH) {
+            throw new ProtocolViolationException(Violation.INVALID_BEGIN_REQUEST, content.length);
         }
         int id = record.id();
-        if (partialRequests.containsKey(id) || listener.isOpen(id)) {
-            throw new MalformedException(Violation.DUPLICATE_REQUEST_ID);
+        if (partialRequests.containsKey(id) || listener.isRequestOpen(id)) {
+            throw new ProtocolViolationException(Violation.DUPLICATE_REQUEST_ID);
         }
-        int role = (body[0] & 0xff) << 8 | body[1] & 0xff;
-        boolean keepConnection = (body[2] & FastCgiRecord.FLAG_KEEP_CONNECTION) != 0;
+        int role = (content[0] & 0xff) << 8 | content[1] & 0xff;
+        boolean keepConnection = (content[2] & FastCgiRecord.FLAG_KEEP_CONNECTION) != 0;
         if (role != FastCgiRecord.ROLE_RESPONDER) {
-            listener.rejected(id, ProtocolStatus.UNKNOWN_ROLE, keepConnection);
+            listener.onRejected(id, ProtocolStatus.UNKNOWN_ROLE, keepConnection);
         } else if (isOverloaded()) {
-            listener.rejected(id, ProtocolStatus.OVERLOADED, keepConnection);
+            listener.onRejected(id, ProtocolStatus.OVERLOADED, keepConnection);
         } else {
             partialRequests.put(id, new PartialRequest(keepConnection));
         }
     }
 
     private boolean isOverloaded() {
-        return partialRequests.size() + listener.openRequests() >= MAX_OPEN_REQUESTS
+        return partialRequests.size() + listener.openRequestCount() >= MAX_OPEN_REQUESTS
                 || totalBytes.get() > maxTotalBytes;
     }
 
-    private void params(FastCgiRecord record) {
+    private void appendParams(FastCgiRecord record) {
         PartialRequest request = partialRequests.get(record.id());
         if (request == null) {
             return;
         }
         if (request.paramsComplete) {
-            throw new MalformedException(Violation.PARAMS_AFTER_END);
+            throw new ProtocolViolationException(Violation.PARAMS_AFTER_END);
         }
         request.paramsComplete = record.isEmpty();
         append(request.params, record.content(), MAX_PARAMS_BYTES);
     }
 
-    private void stdin(FastCgiRecord record) {
+    private void appendStdin(FastCgiRecord record) {
         PartialRequest request = partialRequests.get(record.id());
         if (request == null) {
             return;
@@ -156,32 +157,32 @@
             return;
         }
         if (!request.paramsComplete) {
-            throw new MalformedException(Violation.STDIN_BEFORE_PARAMS_END);
+            throw new ProtocolViolationException(Violation.STDIN_BEFORE_PARAMS_END);
         }
-        remove(record.id());
-        listener.request(
+        removePartialRequest(record.id());
+        listener.onRequest(
                 record.id(),
                 request.keepConnection,
-                ParamsDecoder.decode(request.params.toByteArray()),
+                NameValuePairs.decode(request.params.toByteArray()),
                 request.body.toByteArray());
     }
 
     private void append(ByteArrayOutputStream stream, byte[] bytes, int maxBytes) {
         if (stream.size() + bytes.length > maxBytes) {
-            throw new MalformedException(Violation.STREAM_TOO_LONG, maxBytes);
+            throw new ProtocolViolationException(Violation.STREAM_TOO_LONG, maxBytes);
         }
         stream.write(bytes, 0, bytes.length);
-        count(bytes.length);
+        addBytes(bytes.length);
     }
 
-    private void remove(int id) {
+    private void removePartialRequest(int id) {
         PartialRequest request = partialRequests.remove(id);
         if (request != null) {
-            count(-request.size());
+            addBytes(-request.size());
         }
     }
 
-    private void count(long bytes) {
+    private void addBytes(long bytes) {
         partialBytes += bytes;
         totalBytes.addAndGet(bytes);
     }
