--- a/src/main/java/petrelplank/settings/Addresses.java
+++ b/src/main/java/petrelplank/settings/Addresses.java
@@ -3,18 +3,19 @@
 import java.net.InetSocketAddress;
 import java.util.regex.Pattern;
 
-/** Reads addresses written as {@code host:port}. */
+/** Parses socket addresses written as an IP address, a colon and a port. */
 public final class Addresses {
-    /** Digits of an IP address alone: a name would have to be looked up, and the platform has no DNS. */
+    /** Accepts only characters of IP addresses. Host names are rejected because the platform has no DNS. */
     private static final Pattern IP_ADDRESS = Pattern.compile("[0-9.]+|\\[?[0-9a-fA-F:.]+]?");
 
     private Addresses() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @param text an IP address, a colon and a port
-     * @return the address; {@link FormatException} where the text is none
+     * @param text the address, such as {@code 10.0.0.1:9000} or {@code [::1]:9000}
+     * @return the socket address
+     * @throws FormatException if the text is not an IP address and a port
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -30,6 +31,6 @@
     }
 
     private static FormatException notAnAddress(String text) {
-        return new FormatException('"' + text + "\" is no address and port");
+        return new FormatException('"' + text + "\" should be an IP address and a port, such as 10.0.0.1:9000");
     }
 }
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -12,20 +12,20 @@
 import petrelplank.settings.SettingsKeys.Settings;
 
 /**
- * The configuration file of one proxy.
+ * The contents of the configuration file of one proxy.
  *
  * @param name the proxy's name
  * @param listenAddress the address at which clients connect
- * @param seed seeds the random numbers
- * @param maxDescriptors descriptors that the process may hold
- * @param memoryMb the memory limit of the process
+ * @param seed the seed of the random number generator
+ * @param maxDescriptors maximum number of file descriptors that the process may have open
+ * @param memoryMb the memory limit of the process, in MB
  * @param discoveryAddress the address of the discovery service
- * @param knownIndex the number of the last event in {@code knownEvents}
- * @param knownEvents events of the discovery service up to that number, one object each
- * @param settings the settings of the router, as the simulator has them too
- * @param maxStreamsPerConnection requests in flight on one upstream connection at most
- * @param idleTimeoutUs servers close idle connections after this time
- * @param sizeScale bytes on the sockets over those that the settings and the clients count in
+ * @param knownIndex the index of the last event in {@code knownEvents}
+ * @param knownEvents the events of the discovery service up to and including {@code knownIndex}, in JSON form
+ * @param settings the router settings, in the same format as the simulator sends them
+ * @param maxStreamsPerConnection maximum number of requests in flight on one upstream connection
+ * @param idleTimeoutUs how long servers keep an idle connection open
+ * @param sizeScale number of bytes on a socket for each byte in the units of the settings and the clients
  */
 public record Configuration(
         String name,
@@ -51,14 +51,15 @@
      * Reads a configuration file.
      *
      * @param file the file
-     * @return the configuration; {@link FormatException} names the place and the rule that is broken there, and
-     *     IllegalArgumentException a setting that contradicts another
-     * @throws IOException where the file can't be read
+     * @return the configuration
+     * @throws FormatException if a value is missing or invalid; names its path and what is wrong
+     * @throws IllegalArgumentException if settings contradict each other
+     * @throws IOException if the file can't be read
      */
     public static Configuration read(File file) throws IOException {
         try (JsonParser parser = JSON.createParser(file)) {
             if (parser.nextToken() == null) {
-                throw new FormatException("the file is empty");
+                throw new FormatException("the configuration file is empty, expected a JSON object");
             }
             return parse(JsonValue.read(parser).asObject("configuration"));
         }
@@ -77,7 +78,7 @@
                 (int) limits.integer(Config.MEMORY_MB, DEFAULT_MEMORY_MB),
                 Addresses.parse(file.text(Config.DISCOVERY_ADDRESS)),
                 known.integer(Config.KNOWN_INDEX, 0),
-                known.objects(Config.KNOWN_EVENTS, "known update"),
+                known.objects(Config.KNOWN_EVENTS, "known updates entry"),
                 SettingsParser.settings(settings, file.number(Config.FLOW_BYTES_PER_SECOND, 0)),
                 (int) Math.max(1, capabilities.integer(Capability.MAX_STREAMS_PER_CONNECTION, DEFAULT_MAX_STREAMS)),
                 Math.max(1, capabilities.integer(Capability.IDLE_TIMEOUT_US, DEFAULT_IDLE_TIMEOUT_US)),
--- a/src/main/java/petrelplank/settings/FormatException.java
+++ b/src/main/java/petrelplank/settings/FormatException.java
@@ -1,6 +1,6 @@
 package petrelplank.settings;
 
-/** Input from outside the process that breaks a rule; carries the place of the fault and the rule apart. */
+/** Thrown for invalid input from outside the process; gives the path of the invalid value and what is wrong with it. */
 public final class FormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -8,9 +8,9 @@
     private final String rule;
 
     /**
-     * A fault in input as a whole.
+     * Creates an exception for the input as a whole.
      *
-     * @param rule what is wrong with it
+     * @param rule what is wrong with the input
      */
     public FormatException(String rule) {
         super(rule);
@@ -19,10 +19,10 @@
     }
 
     /**
-     * A fault at one place of the input.
+     * Creates an exception for one value of the input.
      *
-     * @param path names the place, such as {@code settings caps}
-     * @param rule what is wrong there
+     * @param path the path of the value, such as {@code settings caps}
+     * @param rule what is wrong with the value
      */
     public FormatException(String path, String rule) {
         super(path + ": " + rule);
@@ -30,12 +30,12 @@
         this.rule = rule;
     }
 
-    /** The place of the fault; empty where it is the input as a whole. */
+    /** Returns the path of the invalid value, or an empty string if the exception is about the input as a whole. */
     public String path() {
         return path;
     }
 
-    /** What is wrong at that place. */
+    /** Returns what is wrong with the input or value, without the path. */
     public String rule() {
         return rule;
     }
--- a/src/main/java/petrelplank/settings/JsonFields.java
+++ b/src/main/java/petrelplank/settings/JsonFields.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The fields of a JSON object, read by name and type. A field that is missing or of the wrong type ends in a
- * {@link FormatException} with the object's path. A field that is null counts as absent.
+ * The fields of a JSON object, with typed access by name. Methods throw {@link FormatException} with the path of the
+ * object if a required field is missing or a field has the wrong type. A field whose value is null counts as absent.
  */
 public final class JsonFields {
     private final Map<String, Object> values;
@@ -19,26 +19,26 @@
         this.path = path;
     }
 
-    /** An object without fields. */
+    /** Returns an object without fields. */
     static JsonFields empty(String path) {
         return new JsonFields(Map.of(), path);
     }
 
-    /** Names the object in messages. */
+    /** Returns the path that identifies this object in error messages. */
     public String path() {
         return path;
     }
 
-    /** Whether a field is there and not null. */
+    /** Returns whether a field is present and not null. */
     public boolean has(String name) {
         return values.get(name) != null;
     }
 
     /**
-     * Whether a field is the only one.
+     * Returns whether the object has this field, not null, and no other field.
      *
-     * @param name the field
-     * @return whether there is no other
+     * @param name the name of the field
+     * @return whether it is the only field
      */
     public boolean only(String name) {
         return values.size() == 1 && has(name);
@@ -60,7 +60,7 @@
         return new FormatException(path, quoted(name) + " should be " + wanted + ", found " + values.get(name));
     }
 
-    /** A string that must be there. */
+    /** Returns a required string. */
     public String text(String name) {
         if (value(name) instanceof String text) {
             return text;
@@ -68,12 +68,12 @@
         throw wrong(name, "a string");
     }
 
-    /** A string, or the other value where it is absent. */
+    /** Returns a string, or the default if the field is absent. */
     public String text(String name, String otherwise) {
         return has(name) ? text(name) : otherwise;
     }
 
-    /** A whole number that must be there; one beyond 64 bits is cut to its low ones. */
+    /** Returns a required whole number; of one that exceeds 64 bits, the low 64 bits. */
     public long integer(String name) {
         Object value = value(name);
         if (value instanceof Long number) {
@@ -88,17 +88,17 @@
         throw wrong(name, "a whole number");
     }
 
-    /** Whether a field is this number. */
+    /** Returns whether a field is present and equals this number. */
     public boolean is(String name, long number) {
         return values.get(name) instanceof Number found && found.doubleValue() == number;
     }
 
-    /** A whole number, or the other value where it is absent. */
+    /** Returns a whole number, or the default if the field is absent. */
     public long integer(String name, long otherwise) {
         return has(name) ? integer(name) : otherwise;
     }
 
-    /** A number, or the other value where it is absent. */
+    /** Returns a number, or the default if the field is absent. */
     public double number(String name, double otherwise) {
         if (!has(name)) {
             return otherwise;
@@ -109,7 +109,7 @@
         throw wrong(name, "a number");
     }
 
-    /** True or false; false where it is absent. */
+    /** Returns a boolean; false if the field is absent. */
     public boolean flag(String name) {
         if (!has(name)) {
             return false;
@@ -120,46 +120,46 @@
         throw wrong(name, "true or false");
     }
 
-    /** A number of up to 64 bits in hex digits. */
+    /** Returns a required unsigned number of up to 64 bits, written in hex digits. */
     public long hex(String name) {
         try {
             return Long.parseUnsignedLong(text(name), 16);
         } catch (NumberFormatException e) {
-            throw wrong(name, "hex digits");
+            throw wrong(name, "a number of up to 64 bits in hex digits");
         }
     }
 
-    /** Bytes in hex digits. */
+    /** Returns required bytes, written as two hex digits each. */
     public byte[] bytes(String name) {
         try {
             return HexFormat.of().parseHex(text(name));
         } catch (IllegalArgumentException e) {
-            throw wrong(name, "hex digits");
+            throw wrong(name, "bytes of two hex digits each");
         }
     }
 
-    /** An object that must be there; its path is that of this object and the field's name. */
+    /** Returns a required object; its path is the path of this object followed by the name of the field. */
     public JsonFields object(String name) {
         return object(name, path + " " + name);
     }
 
     /**
-     * An object that must be there.
+     * Returns a required object.
      *
-     * @param name the field
-     * @param objectPath names the object in messages
-     * @return its fields
+     * @param name the name of the field
+     * @param objectPath the path of the object in error messages
+     * @return the object
      */
     public JsonFields object(String name, String objectPath) {
         return new JsonFields(JsonValue.toMap(value(name), fieldPath(name)), objectPath);
     }
 
     /**
-     * An array of objects that must be there.
+     * Returns the elements of a required array of objects.
      *
-     * @param name the field
-     * @param elementPath names each object in messages
-     * @return the fields of each
+     * @param name the name of the field
+     * @param elementPath the path of each element in error messages
+     * @return the elements
      */
     public List<JsonFields> objects(String name, String elementPath) {
         List<?> array = array(name);
@@ -171,11 +171,11 @@
     }
 
     /**
-     * An array of objects that must be there, told apart in messages by their index.
+     * Returns the elements of a required array of objects, each with its index in its path.
      *
-     * @param name the field
-     * @param elementPath names each object in messages, before its index
-     * @return the fields of each
+     * @param name the name of the field
+     * @param elementPath the path of each element in error messages, to which the index is appended
+     * @return the elements
      */
     public List<JsonFields> indexedObjects(String name, String elementPath) {
         List<?> array = array(name);
@@ -198,7 +198,7 @@
         throw wrong(name, "an array");
     }
 
-    /** An array of strings that must be there. */
+    /** Returns a required array of strings. */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
         for (Object element : array(name)) {
@@ -210,7 +210,7 @@
         return texts;
     }
 
-    /** An array of numbers; null where it is absent. */
+    /** Returns an array of numbers, or null if the field is absent. */
     public double[] numbers(String name) {
         if (!has(name)) {
             return null;
@@ -226,7 +226,7 @@
         return numbers;
     }
 
-    /** An array of booleans that must be there; an element of another type counts as false. */
+    /** Returns a required array of booleans; an element of another type counts as false. */
     public boolean[] flags(String name) {
         List<?> array = array(name);
         boolean[] flags = new boolean[array.size()];
--- a/src/main/java/petrelplank/settings/JsonValue.java
+++ b/src/main/java/petrelplank/settings/JsonValue.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * A JSON value of any type. Read with the streaming parser alone: data binding is not on the class path of
- * {@code serve}, where it would cost start time and memory.
+ * A JSON value of any type. It is read with the streaming parser because data binding, which would cost start time and
+ * memory, is not on the class path of {@code serve}.
  */
 public final class JsonValue {
-    /** The value {@code null}, which also stands for no value at all. */
+    /** The value {@code null}; also used where there is no value. */
     public static final JsonValue NULL = new JsonValue(null);
 
     private final Object value;
@@ -22,26 +22,27 @@
         this.value = value;
     }
 
-    /** Reads the value whose first token is the parser's current one. */
+    /** Reads the value that starts at the parser's current token. */
     public static JsonValue read(JsonParser parser) throws IOException {
         return new JsonValue(readTree(parser));
     }
 
-    /** Whether the value is a whole number of up to 64 bits. */
+    /** Returns whether the value is a whole number that fits in 64 bits. */
     public boolean isLong() {
         return value instanceof Long;
     }
 
-    /** The value as a whole number; only where {@link #isLong} says so. */
+    /** Returns the value as a whole number; call only if {@link #isLong} returns true. */
     public long asLong() {
         return (Long) value;
     }
 
     /**
-     * The value as an object.
+     * Returns the value as an object.
      *
-     * @param path names the object in messages
-     * @return its fields
+     * @param path the path of the object in error messages
+     * @return the object
+     * @throws FormatException if the value is not an object
      */
     public JsonFields asObject(String path) {
         return new JsonFields(toMap(value, path), path);
@@ -58,7 +59,7 @@
     private static Object readTree(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new FormatException("the line ends inside a value");
+            throw new FormatException("the input ends inside a JSON value");
         }
         return switch (token) {
             case START_OBJECT -> readObject(parser);
@@ -70,7 +71,7 @@
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
             default ->
-                throw new FormatException("unexpected " + token + " at byte "
+                throw new FormatException("unexpected JSON token " + token + " at byte "
                         + parser.currentLocation().getByteOffset());
         };
     }
--- a/src/main/java/petrelplank/settings/ServiceClassParser.java
+++ b/src/main/java/petrelplank/settings/ServiceClassParser.java
@@ -9,7 +9,10 @@
 import petrelplank.settings.SettingsKeys.Service;
 import petrelplank.settings.SettingsKeys.Settings;
 
-/** Reads the service classes: an object for each, and arrays beside them with an element for each. */
+/**
+ * Parses the service classes. Each has an object of its own; further properties are in arrays of the cache settings, at
+ * the index of the class.
+ */
 final class ServiceClassParser {
     private static final double DEFAULT_PRIORITY_WEIGHT = 1;
 
--- a/src/main/java/petrelplank/settings/SettingsEnums.java
+++ b/src/main/java/petrelplank/settings/SettingsEnums.java
@@ -7,11 +7,11 @@
 import petrelplank.routing.WeightMeaning;
 
 /**
- * Words of the settings as enum constants. A word that is not known here stands for the most careful constant, so that
- * a newer platform never makes an older proxy do more than it may.
+ * Maps words of the settings to enum constants. An unknown word maps to the most restrictive constant, so that a setting
+ * of a newer platform never makes an older proxy do more than is allowed.
  */
 final class SettingsEnums {
-    /** Stands for a word that is absent; it means the most careful constant of each enum. */
+    /** Default for a setting that is absent; maps to the most restrictive constant of each enum. */
     static final String ABSENT = "none";
 
     private SettingsEnums() {}
@@ -57,7 +57,7 @@
         };
     }
 
-    /** Whether the endpoint list comes only to those that ask to watch it. */
+    /** Returns whether a proxy receives the endpoint list only after it subscribes to it. */
     static boolean watchEndpoints(String discoveryMode) {
         return discoveryMode.equals("subscribe");
     }
--- a/src/main/java/petrelplank/settings/SettingsKeys.java
+++ b/src/main/java/petrelplank/settings/SettingsKeys.java
@@ -1,13 +1,13 @@
 package petrelplank.settings;
 
 /**
- * Keys of the configuration file and of the settings in it, each under the name that its value has in Java. The keys
- * are the platform's and never change; this is the one place where they meet our names.
+ * Keys of the configuration file and of the settings in it. The platform defines the keys; each constant is named after
+ * the Java name of its value, so that the keys appear nowhere else.
  */
 final class SettingsKeys {
     private SettingsKeys() {}
 
-    /** Top level of the configuration file, see {@link Configuration}. */
+    /** Top-level keys of the configuration file and keys of its smaller objects, see {@link Configuration}. */
     static final class Config {
         static final String NAME = "name";
         static final String LISTEN_ADDRESS = "listen";
@@ -25,7 +25,7 @@
         private Config() {}
     }
 
-    /** Top level of the settings, see {@link petrelplank.routing.RouterSettings}. */
+    /** Top-level keys of the settings and keys of the load report, see {@link petrelplank.routing.RouterSettings}. */
     static final class Settings {
         static final String SELF = "self-index";
         static final String GATEWAYS = "balancers";
@@ -46,7 +46,10 @@
         private Settings() {}
     }
 
-    /** What the platform can do, see {@link petrelplank.routing.RoutingPermissions}. */
+    /**
+     * Keys of the platform's capabilities, see {@link petrelplank.routing.RoutingPermissions}, and limits of upstream
+     * connections, see {@link Configuration}.
+     */
     static final class Capability {
         static final String MAX_ATTEMPTS = "try-limit";
         static final String HEDGING = "second-copies";
@@ -62,7 +65,7 @@
         private Capability() {}
     }
 
-    /** Figures that hold on every platform, see {@link petrelplank.routing.PlatformRules}. */
+    /** Keys of the rules that every platform has, with or without caches, see {@link petrelplank.routing.PlatformRules}. */
     static final class Rule {
         static final String DRAIN_GRACE_US = "stop-sending-within-us";
         static final String SLOW_START_FROM = "cold-from";
@@ -74,7 +77,7 @@
         private Rule() {}
     }
 
-    /** Facts of platforms with caches; arrays have an element for each zone or each service class. */
+    /** Keys that only platforms with caches have; arrays have an element for each zone or each service class. */
     static final class Family {
         static final String ZONE_GATEWAYS = "crew-by-zone";
         static final String ZONE_HUB = "hub-of";
@@ -101,7 +104,7 @@
         private Family() {}
     }
 
-    /** One service class, see {@link petrelplank.routing.ServiceClass}. */
+    /** Keys of a service class, see {@link petrelplank.routing.ServiceClass}. */
     static final class Service {
         static final String NAME = "name";
         static final String LATENCY_OBJECTIVE_US = "aim-us";
@@ -117,7 +120,7 @@
         private Service() {}
     }
 
-    /** One tenant, see {@link petrelplank.routing.Tenant}. */
+    /** Keys of a tenant, see {@link petrelplank.routing.Tenant}. */
     static final class Tenant {
         static final String NAME = "name";
         static final String QUOTA_PER_SECOND = "allowance-per-s";
--- a/src/main/java/petrelplank/settings/SettingsParser.java
+++ b/src/main/java/petrelplank/settings/SettingsParser.java
@@ -12,9 +12,9 @@
 import petrelplank.settings.SettingsKeys.Settings;
 
 /**
- * Reads the settings that the configuration file and the simulator's first message carry. A setting that is absent has
- * the most careful value or the one that its documentation names, and so has a word that is not known; a value of
- * another type ends in a {@link FormatException}.
+ * Parses the settings in the configuration file and in the simulator's first message. A setting that is absent, or is an
+ * unknown word, gets the most restrictive value or its documented default. Throws {@link FormatException} if a required
+ * setting is missing or a value has the wrong type.
  */
 public final class SettingsParser {
     private static final double BYTES_PER_KB = 1024;
@@ -33,23 +33,26 @@
         family = family(settings);
     }
 
-    /** Reads the settings of an instance in the simulator, which counts bytes of objects as the settings do. */
+    /** Parses the settings of a proxy in the simulator, where object sizes are in the units of the settings. */
     public static RouterSettings settings(JsonFields settings) {
         return settings(settings, 0);
     }
 
     /**
-     * Reads the settings of a proxy on sockets, whose objects may have other sizes than the settings count in.
+     * Parses the settings of a proxy on sockets, where object sizes may be scaled against the units of the settings.
      *
      * @param settings the settings
-     * @param flowBytesPerSecond the top rate of one response on the sockets; 0 for the one of the settings
-     * @return the settings, with all rates in the bytes of the sockets
+     * @param flowBytesPerSecond highest rate of one response on a socket; 0 to use the rate in the settings
+     * @return the settings, with all rates in bytes on the sockets
      */
     static RouterSettings settings(JsonFields settings, double flowBytesPerSecond) {
         return new SettingsParser(settings, flowBytesPerSecond).parse();
     }
 
-    /** Bytes on the sockets over those that the settings count in; 1 where either rate is not given. */
+    /**
+     * Returns the number of bytes on a socket for each byte in the units of the settings; 1 if the highest rate of a
+     * response is missing from the settings or is 0 for the sockets.
+     */
     static double sizeScale(JsonFields settings, double flowBytesPerSecond) {
         if (!(flowBytesPerSecond >= 0)) {
             throw new FormatException(
@@ -65,7 +68,7 @@
         return settings.has(Settings.FAMILY) ? settings.object(Settings.FAMILY) : JsonFields.empty(Settings.FAMILY);
     }
 
-    /** An array of numbers; empty where it is absent. */
+    /** Returns an array of numbers, or an empty array if the field is absent. */
     static double[] numbers(JsonFields fields, String name) {
         return fields.has(name) ? fields.numbers(name) : new double[0];
     }
@@ -105,7 +108,7 @@
         return report.has(Settings.REPORT_FIELDS) ? report.texts(Settings.REPORT_FIELDS) : List.of();
     }
 
-    /** The kind of endpoint at the index that a setting gives; null where it gives none. */
+    /** Returns the endpoint kind at the index that a setting gives; null if it is absent or out of range. */
     private String kind(List<String> kinds, String name) {
         long index = family.integer(name, -1);
         return index >= 0 && index < kinds.size() ? kinds.get((int) index) : null;
@@ -119,7 +122,7 @@
         return integers;
     }
 
-    /** Rates in the bytes of the sockets. */
+    /** Returns an array of rates, converted to bytes on the sockets. */
     private List<Double> rates(String name) {
         List<Double> rates = new ArrayList<>();
         for (double rate : numbers(family, name)) {
--- a/src/main/java/petrelplank/yaml/Position.java
+++ b/src/main/java/petrelplank/yaml/Position.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.core.JsonLocation;
 
 /**
- * A place in a YAML file.
+ * A position in a YAML file.
  *
- * @param file the file's name
- * @param line from 1
- * @param column from 1
+ * @param file the name of the file in error messages
+ * @param line the line number, starting at 1
+ * @param column the column number, starting at 1
  */
 record Position(String file, int line, int column) {
     static Position startOf(String file) {
@@ -18,7 +18,7 @@
         return new Position(file, location.getLineNr(), location.getColumnNr());
     }
 
-    /** An error at this place. */
+    /** Returns an exception whose message starts with this position. */
     YamlException error(String message) {
         return new YamlException(file + ":" + line + ":" + column + ": " + message);
     }
--- a/src/main/java/petrelplank/yaml/Section.java
+++ b/src/main/java/petrelplank/yaml/Section.java
@@ -10,8 +10,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Typed and validated reading of a mapping. Each key is read once, with its type, unit, range and default; an invalid
- * value and a key that nobody read are a {@link YamlException}.
+ * Typed, validated access to a mapping. The caller reads each key once, with its type, unit, range and default, and then
+ * calls {@link #done}. Throws {@link YamlException} for an invalid value and for a key that was not read.
  */
 public final class Section {
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(us|ms|s|min|h)");
@@ -23,14 +23,16 @@
     private static final double US_PER_MS = 1000.0;
 
     private final YamlNode.Mapping mapping;
-    /** The keys that lead here; empty for the file's top level. */
+    /** The path of keys from the top level to this mapping; empty for the top level itself. */
     private final String path;
 
     private final Map<String, YamlNode> unread;
 
     Section(YamlNode node, String path) {
         if (!(node instanceof YamlNode.Mapping found)) {
-            throw node.position().error((path.isEmpty() ? "the file" : path) + ": should be a mapping");
+            throw node.position()
+                    .error((path.isEmpty() ? "the file" : path)
+                            + ": should be a mapping, found a list or a single value");
         }
         this.mapping = found;
         this.path = path;
@@ -46,26 +48,26 @@
     }
 
     /**
-     * Whether a key is present.
+     * Returns whether a key is present.
      *
      * @param key the key
-     * @return whether it is
+     * @return whether it is present
      */
     public boolean has(String key) {
         return mapping.values().containsKey(key);
     }
 
-    /** The value of a key, which counts as read; null where it is absent. */
+    /** Returns the value of a key and marks the key as read; null if it is absent. */
     private YamlNode take(String key) {
         return unread.remove(key);
     }
 
     /**
-     * An error that the reader of this section found.
+     * Returns an exception for a value that the caller of this section rejects.
      *
-     * @param key the key that is wrong
-     * @param rule the rule that is broken
-     * @return the exception, with the key's position
+     * @param key the key with the invalid value, or a missing key
+     * @param rule what is wrong with the value
+     * @return the exception, with the position of the value, or of the mapping if the key is absent
      */
     public YamlException wrong(String key, String rule) {
         YamlNode value = mapping.values().get(key);
@@ -76,10 +78,10 @@
         if (node instanceof YamlNode.Scalar scalar) {
             return scalar.text();
         }
-        throw error(node.position(), key, "should be " + expected);
+        throw error(node.position(), key, "should be " + expected + ", found a nested mapping or list");
     }
 
-    /** Text that must be present. */
+    /** Returns a required string. */
     public String text(String key) {
         YamlNode node = take(key);
         if (node == null) {
@@ -88,12 +90,12 @@
         return scalar(node, key, "text");
     }
 
-    /** Text, or a default. */
+    /** Returns a string, or the default if the key is absent. */
     public String text(String key, String defaultValue) {
         return has(key) ? text(key) : defaultValue;
     }
 
-    /** One of some words, or a default. */
+    /** Returns a word out of a fixed set, or the default if the key is absent. */
     public String word(String key, String defaultValue, Set<String> words) {
         YamlNode node = take(key);
         if (node == null) {
@@ -107,17 +109,17 @@
         return word;
     }
 
-    /** A boolean, or a default. */
+    /** Returns a boolean, or the default if the key is absent. */
     public boolean flag(String key, boolean defaultValue) {
         return word(key, Boolean.toString(defaultValue), Set.of("true", "false"))
                 .equals("true");
     }
 
     /**
-     * A value in a range, or a default, whose range is not checked.
+     * Returns a value within a range, or the default if the key is absent. The default may be outside the range.
      *
-     * @param type the type of value in error messages
-     * @param parse throws IllegalArgumentException where the text is not of the type
+     * @param type describes the type in error messages
+     * @param parse converts the text; throws IllegalArgumentException if it is not of the type
      */
     private <T extends Comparable<T>> T ranged(
             String key, T defaultValue, T min, T max, String type, Function<String, T> parse) {
@@ -138,12 +140,12 @@
         return value;
     }
 
-    /** An integer in a range, or a default. */
+    /** Returns an integer within a range, or the default if the key is absent. */
     public long whole(String key, long defaultValue, long min, long max) {
         return ranged(key, defaultValue, min, max, "a whole number", Long::parseLong);
     }
 
-    /** A finite number in a range, or a default. */
+    /** Returns a finite number within a range, or the default if the key is absent. */
     public double number(String key, double defaultValue, double min, double max) {
         return ranged(key, defaultValue, min, max, "a number", Section::parseFinite);
     }
@@ -156,7 +158,10 @@
         return value;
     }
 
-    /** A duration with its unit (us, ms, s, min, h) in microseconds, or a default; errors give the range in ms. */
+    /**
+     * Returns a duration, written with its unit (us, ms, s, min, h), in microseconds, or the default if the key is absent.
+     * Error messages give the range in milliseconds.
+     */
     public long durationUs(String key, long defaultUs, long minUs, long maxUs) {
         String type = "a duration such as 500ms, 2s or 10min";
         long durationUs = ranged(key, defaultUs, 0L, Long.MAX_VALUE, type, Section::parseDurationUs);
@@ -174,7 +179,7 @@
         return Math.round(Double.parseDouble(matcher.group(1)) * DURATION_UNITS_US.get(matcher.group(2)));
     }
 
-    /** A size with its unit (B, KiB, MiB, GiB) in bytes, or a default. */
+    /** Returns a size, written with its unit (B, KiB, MiB, GiB), in bytes, or the default if the key is absent. */
     public long bytes(String key, long defaultValue, long min, long max) {
         return ranged(key, defaultValue, min, max, "a size such as 64KiB or 16MiB", Section::parseBytes);
     }
@@ -192,13 +197,13 @@
         return matcher;
     }
 
-    /** A nested mapping; null where it is absent. */
+    /** Returns a nested mapping, or null if the key is absent. */
     public Section section(String key) {
         YamlNode node = take(key);
         return node == null ? null : new Section(node, name(key));
     }
 
-    /** The mappings of a sequence; none where it is absent. */
+    /** Returns the mappings in a sequence; empty if the key is absent. */
     public List<Section> sections(String key) {
         List<Section> sections = new ArrayList<>();
         for (YamlNode element : elements(key)) {
@@ -207,7 +212,7 @@
         return sections;
     }
 
-    /** The words of a sequence; none where it is absent. */
+    /** Returns the strings in a sequence; empty if the key is absent. */
     public List<String> texts(String key) {
         List<String> texts = new ArrayList<>();
         for (YamlNode element : elements(key)) {
@@ -224,10 +229,10 @@
         if (node instanceof YamlNode.Sequence sequence) {
             return sequence.elements();
         }
-        throw error(node.position(), key, "should be a list");
+        throw error(node.position(), key, "should be a list, found a mapping or a single value");
     }
 
-    /** Ends the reading: a key that was not read is unknown, and an error at the key's position. */
+    /** Throws {@link YamlException} if the mapping has an unknown key, that is, one that was not read. */
     public void done() {
         for (Map.Entry<String, YamlNode> entry : unread.entrySet()) {
             throw error(entry.getValue().keyPosition(), entry.getKey(), "is not a known key");
--- a/src/main/java/petrelplank/yaml/Yaml.java
+++ b/src/main/java/petrelplank/yaml/Yaml.java
@@ -17,12 +17,12 @@
 import java.util.Map;
 
 /**
- * Parses a YAML file into nodes that know their positions. Scalars stay text until a {@link Section} reads them by
- * type. Duplicate keys are errors; size and depth are bounded; anchors and aliases are not allowed, since a short file
- * could expand without bound.
+ * Parses YAML into nodes with positions. Scalars stay text until a {@link Section} converts them. Rejects duplicate keys,
+ * files that are too large or nested too deeply, and anchors and aliases, with which a short file could expand without
+ * bound.
  */
 public final class Yaml {
-    /** Longer files are rejected before they are read. */
+    /** Maximum size of a file; larger files are rejected before they are read. */
     static final int MAX_BYTES = 1 << 20;
 
     private static final int MAX_DEPTH = 32;
@@ -43,8 +43,8 @@
      *
      * @param path the file
      * @return its top-level mapping
-     * @throws IOException where it can't be read
-     * @throws YamlException where it is not valid
+     * @throws IOException if the file can't be read
+     * @throws YamlException if the YAML is not valid
      */
     public static Section read(Path path) throws IOException {
         if (Files.size(path) > MAX_BYTES) {
@@ -56,9 +56,9 @@
     /**
      * Reads a class path resource.
      *
-     * @param name the resource
+     * @param name the absolute name of the resource
      * @return its top-level mapping
-     * @throws YamlException where it is not valid
+     * @throws YamlException if the YAML is not valid
      */
     public static Section resource(String name) {
         try (InputStream in = Yaml.class.getResourceAsStream(name)) {
@@ -70,12 +70,12 @@
     }
 
     /**
-     * Reads text.
+     * Parses YAML text.
      *
-     * @param file the file's name in error messages
-     * @param text the text
+     * @param file the name of the file in error messages
+     * @param text the YAML text
      * @return its top-level mapping
-     * @throws YamlException where it is not valid
+     * @throws YamlException if the YAML is not valid
      */
     public static Section read(String file, String text) {
         try (YAMLParser parser = YAML.createParser(text)) {
@@ -83,7 +83,7 @@
         } catch (JsonProcessingException e) {
             JsonLocation location = e.getLocation();
             Position position = location == null ? Position.startOf(file) : Position.of(file, location);
-            throw position.error(e.getOriginalMessage().lines().findFirst().orElse("not YAML"));
+            throw position.error(e.getOriginalMessage().lines().findFirst().orElse("invalid YAML"));
         } catch (IOException e) {
             throw Position.startOf(file).error(e.getMessage());
         }
@@ -91,11 +91,11 @@
 
     private YamlNode document() throws IOException {
         if (parser.nextToken() == null) {
-            throw Position.startOf(file).error("the file is empty");
+            throw Position.startOf(file).error("the file is empty, expected a mapping");
         }
         YamlNode root = node(position(), 0);
         if (parser.nextToken() != null) {
-            throw position().error("a second document");
+            throw position().error("found a second document, expected one");
         }
         return root;
     }
@@ -104,11 +104,11 @@
         return Position.of(file, parser.currentTokenLocation());
     }
 
-    /** The value that begins with the parser's current token. */
+    /** Reads the value that starts at the parser's current token. */
     private YamlNode node(Position key, int depth) throws IOException {
         Position position = position();
         if (depth > MAX_DEPTH) {
-            throw position.error("nested deeper than " + MAX_DEPTH);
+            throw position.error("nested deeper than " + MAX_DEPTH + " levels");
         }
         if (parser.isCurrentAlias() || parser.getObjectId() != null) {
             throw position.error("anchors and aliases are not allowed");
--- a/src/main/java/petrelplank/yaml/YamlException.java
+++ b/src/main/java/petrelplank/yaml/YamlException.java
@@ -1,6 +1,6 @@
 package petrelplank.yaml;
 
-/** An unusable YAML file; the message names file, line, column and the rule that is broken. */
+/** Thrown for an invalid YAML file; the message names the file, the position where known, and what is wrong. */
 public final class YamlException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/test/java/petrelplank/settings/JsonFieldsTest.java
+++ b/src/test/java/petrelplank/settings/JsonFieldsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Fields of a JSON object by type; errors carry the path of the object and the rule. */
+/** Typed access to the fields of a JSON object; errors carry the path of the object and what is wrong. */
 class JsonFieldsTest {
     private static JsonFields fields(String json) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
--- a/src/test/java/petrelplank/settings/SettingsParserTest.java
+++ b/src/test/java/petrelplank/settings/SettingsParserTest.java
@@ -22,7 +22,7 @@
 import petrelplank.routing.SiblingFillPolicy;
 import petrelplank.routing.WeightMeaning;
 
-/** Settings that are absent, of the wrong type or contradictory have their documented default, or are reported. */
+/** Absent settings get their documented default; missing required, mistyped or contradictory ones are rejected. */
 class SettingsParserTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String SETTINGS = """
@@ -42,7 +42,7 @@
         "late-worth":0,"name":"mark","repeat":"guarded","stream":false,"worth":3.0}],"tenants":[{"name":"acme",
         "allowance-per-s":40.5,"fraction":0.4},{"name":"other","allowance-per-s":60,"fraction":0.6}],
         "weights":"rough","zone":"edge-1"}""";
-    /** All other settings have a default. */
+    /** Keys of required settings; all others have a default. */
     private static final Set<String> REQUIRED = Set.of(
             "balancers",
             "caps",
@@ -62,7 +62,7 @@
             "repeat",
             "zone");
 
-    /** Read by {@link Configuration}, or not at all. */
+    /** Keys that the parser does not read: {@link Configuration} reads them, or nothing does. */
     private static final Set<String> NOT_CHECKED = Set.of("fraction", "how", "conn-idle-us", "max-streams");
 
     private static final List<String> OF_ALL_TYPES = List.of("\"what\"", "[[1]]", "{\"a\":1}", "true", "-7.5");
@@ -78,7 +78,7 @@
         return (ObjectNode) JSON.readTree(SETTINGS);
     }
 
-    /** The JSON pointers of all fields of objects in a tree. */
+    /** Returns the JSON pointers of all object fields in a tree. */
     private static List<String> paths(JsonNode tree) {
         List<String> paths = new ArrayList<>();
         addPaths(tree, "", paths);
@@ -116,7 +116,7 @@
         assertThat(settings.overQuotaWeightFactor()).isEqualTo(0.1);
     }
 
-    /** A required setting that is absent or null is named in the error; without any other, the default holds. */
+    /** An absent or null setting is named in the error if it is required, and otherwise gets its default. */
     @Test
     void absentSettingsAreReportedOrHaveADefault() throws IOException {
         Set<String> reported = new TreeSet<>();
@@ -137,7 +137,7 @@
         assertThat(reported).isEqualTo(new TreeSet<>(REQUIRED));
     }
 
-    /** A value of another type is never taken for something else, and is no fault of the program. */
+    /** A value of the wrong type is neither converted silently nor the cause of an internal error. */
     @Test
     void settingsOfTheWrongTypeAreReported() throws IOException {
         for (String path : paths(tree())) {
@@ -186,7 +186,10 @@
         }
     }
 
-    /** A word that is not known never allows more than may be: no retry, no sibling fill, no cache status, no weight. */
+    /**
+     * A word of a newer platform that the parser does not know must not allow more than the platform does: it means no
+     * retry, no sibling fill, no cache status and no weight.
+     */
     @Test
     void unknownWordsStandForTheMostCarefulValue() throws IOException {
         ObjectNode tree = tree();
--- a/src/test/java/petrelplank/yaml/YamlTest.java
+++ b/src/test/java/petrelplank/yaml/YamlTest.java
@@ -14,7 +14,7 @@
 import petrelplank.record.OperatorRecords;
 import petrelplank.record.RecordSettings;
 
-/** Every error names file, line, column and rule. */
+/** Defaults and units of YAML values; every parse error names the file, line, column and what is wrong. */
 class YamlTest {
     private static RecordSettings operator(String text) {
         Section file = Yaml.read("operator.yaml", text.replace("|", "\n"));
@@ -41,7 +41,7 @@
                 "records:|  on: true;operator.yaml:2:3: records.directory: is missing, and records are on",
                 "records:|  onn: true;operator.yaml:2:3: records.onn: is not a known key",
                 "recods:|  on: true;operator.yaml:1:1: recods: is not a known key",
-                "records: on;operator.yaml:1:10: records: should be a mapping",
+                "records: on;operator.yaml:1:10: records: should be a mapping, found a list or a single value",
                 "records:|  queue: 4;operator.yaml:2:10: records.queue: should be from 16 to 1048576, found 4",
                 "records:|  queue: four;operator.yaml:2:10: records.queue: should be a whole number, found four",
                 "records:|  queue: 99999999999999999999;operator.yaml:2:10: records.queue: should be a whole number, found "
@@ -51,9 +51,9 @@
                 "records:|  file-size: 16MB;operator.yaml:2:14: records.file-size: should be a size such as 64KiB or 16MiB, "
                         + "found 16MB",
                 "records:|  total-size: 1MiB;operator.yaml:2:15: records.total-size: should be at least twice file-size",
-                "records:|  on: [true];operator.yaml:2:7: records.on: should be a word",
+                "records:|  on: [true];operator.yaml:2:7: records.on: should be a word, found a nested mapping or list",
                 "records: &a|  on: true;operator.yaml:1:10: anchors and aliases are not allowed",
-                "a: 1|---|b: 2;operator.yaml:3:1: a second document",
+                "a: 1|---|b: 2;operator.yaml:3:1: found a second document, expected one",
             })
     void errorNamesItsPositionAndRule(String text, String message) {
         assertEquals(
