--- a/src/main/java/petrelplank/settings/Addresses.java
+++ b/src/main/java/petrelplank/settings/Addresses.java
@@ -21,16 +21,16 @@
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon));
         if (!IP_ADDRESS.matcher(host).matches()) {
-            throw notAnAddress(text);
+            throw invalidAddress(text);
         }
         try {
             return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw notAnAddress(text);
+            throw invalidAddress(text);
         }
     }
 
-    private static FormatException notAnAddress(String text) {
+    private static FormatException invalidAddress(String text) {
         return new FormatException('"' + text + "\" should be an IP address and a port, such as 10.0.0.1:9000");
     }
 }
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -40,9 +40,9 @@
         int maxStreamsPerConnection,
         long idleTimeoutUs,
         double sizeScale) {
-    private static final JsonFactory JSON = new JsonFactory();
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
     private static final String DEFAULT_NAME = "front";
-    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
+    private static final int DEFAULT_MAX_FILE_DESCRIPTORS = 1024;
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_MAX_STREAMS = 100;
     private static final long DEFAULT_IDLE_TIMEOUT_US = 15_000_000;
@@ -57,7 +57,7 @@
      * @throws IOException if the file can't be read
      */
     public static Configuration read(File file) throws IOException {
-        try (JsonParser parser = JSON.createParser(file)) {
+        try (JsonParser parser = JSON_FACTORY.createParser(file)) {
             if (parser.nextToken() == null) {
                 throw new FormatException("the configuration file is empty, expected a JSON object");
             }
@@ -67,21 +67,21 @@
 
     private static Configuration parse(JsonFields file) {
         JsonFields limits = file.object(Config.LIMITS, Config.LIMITS);
-        JsonFields known = file.object(Config.KNOWN, Config.KNOWN);
+        JsonFields knownState = file.object(Config.KNOWN_STATE, Config.KNOWN_STATE);
         JsonFields settings = file.object(Config.SETTINGS, Config.SETTINGS);
         JsonFields capabilities = settings.object(Settings.CAPABILITIES);
         return new Configuration(
                 file.text(Config.NAME, DEFAULT_NAME),
                 Addresses.parse(file.text(Config.LISTEN_ADDRESS)),
                 file.hex(Config.SEED),
-                (int) limits.integer(Config.MAX_DESCRIPTORS, DEFAULT_MAX_DESCRIPTORS),
+                (int) limits.integer(Config.MAX_FILE_DESCRIPTORS, DEFAULT_MAX_FILE_DESCRIPTORS),
                 (int) limits.integer(Config.MEMORY_MB, DEFAULT_MEMORY_MB),
                 Addresses.parse(file.text(Config.DISCOVERY_ADDRESS)),
-                known.integer(Config.KNOWN_INDEX, 0),
-                known.objects(Config.KNOWN_EVENTS, "known updates entry"),
-                SettingsParser.settings(settings, file.number(Config.FLOW_BYTES_PER_SECOND, 0)),
+                knownState.integer(Config.KNOWN_INDEX, 0),
+                knownState.objects(Config.KNOWN_EVENTS, "known updates entry"),
+                SettingsParser.settings(settings, file.number(Config.MAX_RESPONSE_BYTES_PER_SECOND, 0)),
                 (int) Math.max(1, capabilities.integer(Capability.MAX_STREAMS_PER_CONNECTION, DEFAULT_MAX_STREAMS)),
                 Math.max(1, capabilities.integer(Capability.IDLE_TIMEOUT_US, DEFAULT_IDLE_TIMEOUT_US)),
-                SettingsParser.sizeScale(settings, file.number(Config.FLOW_BYTES_PER_SECOND, 0)));
+                SettingsParser.sizeScale(settings, file.number(Config.MAX_RESPONSE_BYTES_PER_SECOND, 0)));
     }
 }
--- a/src/main/java/petrelplank/settings/FormatException.java
+++ b/src/main/java/petrelplank/settings/FormatException.java
@@ -5,29 +5,29 @@
     private static final long serialVersionUID = 1L;
 
     private final String path;
-    private final String rule;
+    private final String problem;
 
     /**
      * Creates an exception for the input as a whole.
      *
-     * @param rule what is wrong with the input
+     * @param problem what is wrong with the input
      */
-    public FormatException(String rule) {
-        super(rule);
+    public FormatException(String problem) {
+        super(problem);
         this.path = "";
-        this.rule = rule;
+        this.problem = problem;
     }
 
     /**
      * Creates an exception for one value of the input.
      *
      * @param path the path of the value, such as {@code settings caps}
-     * @param rule what is wrong with the value
+     * @param problem what is wrong with the value
      */
-    public FormatException(String path, String rule) {
-        super(path + ": " + rule);
+    public FormatException(String path, String problem) {
+        super(path + ": " + problem);
         this.path = path;
-        this.rule = rule;
+        this.problem = problem;
     }
 
     /** Returns the path of the invalid value, or an empty string if the exception is about the input as a whole. */
@@ -36,7 +36,7 @@
     }
 
     /** Returns what is wrong with the input or value, without the path. */
-    public String rule() {
-        return rule;
+    public String problem() {
+        return problem;
     }
 }
--- a/src/main/java/petrelplank/settings/JsonFields.java
+++ b/src/main/java/petrelplank/settings/JsonFields.java
@@ -44,7 +44,7 @@
         return values.size() == 1 && has(name);
     }
 
-    private Object value(String name) {
+    private Object requiredValue(String name) {
         Object value = values.get(name);
         if (value == null) {
             throw new FormatException(path, quoted(name) + " is missing");
@@ -56,26 +56,26 @@
         return '"' + name + '"';
     }
 
-    private FormatException wrong(String name, String wanted) {
-        return new FormatException(path, quoted(name) + " should be " + wanted + ", found " + values.get(name));
+    private FormatException invalid(String name, String expected) {
+        return new FormatException(path, quoted(name) + " should be " + expected + ", found " + values.get(name));
     }
 
     /** Returns a required string. */
     public String text(String name) {
-        if (value(name) instanceof String text) {
+        if (requiredValue(name) instanceof String text) {
             return text;
         }
-        throw wrong(name, "a string");
+        throw invalid(name, "a string");
     }
 
     /** Returns a string, or the default if the field is absent. */
-    public String text(String name, String otherwise) {
-        return has(name) ? text(name) : otherwise;
+    public String text(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
     /** Returns a required whole number; of one that exceeds 64 bits, the low 64 bits. */
     public long integer(String name) {
-        Object value = value(name);
+        Object value = requiredValue(name);
         if (value instanceof Long number) {
             return number;
         }
@@ -85,7 +85,7 @@
         if (value instanceof Double number && number == Math.rint(number)) {
             return number.longValue();
         }
-        throw wrong(name, "a whole number");
+        throw invalid(name, "a whole number");
     }
 
     /** Returns whether a field is present and equals this number. */
@@ -94,19 +94,19 @@
     }
 
     /** Returns a whole number, or the default if the field is absent. */
-    public long integer(String name, long otherwise) {
-        return has(name) ? integer(name) : otherwise;
+    public long integer(String name, long defaultValue) {
+        return has(name) ? integer(name) : defaultValue;
     }
 
     /** Returns a number, or the default if the field is absent. */
-    public double number(String name, double otherwise) {
+    public double number(String name, double defaultValue) {
         if (!has(name)) {
-            return otherwise;
+            return defaultValue;
         }
         if (values.get(name) instanceof Number number) {
             return number.doubleValue();
         }
-        throw wrong(name, "a number");
+        throw invalid(name, "a number");
     }
 
     /** Returns a boolean; false if the field is absent. */
@@ -117,7 +117,7 @@
         if (values.get(name) instanceof Boolean flag) {
             return flag;
         }
-        throw wrong(name, "true or false");
+        throw invalid(name, "true or false");
     }
 
     /** Returns a required unsigned number of up to 64 bits, written in hex digits. */
@@ -125,7 +125,7 @@
         try {
             return Long.parseUnsignedLong(text(name), 16);
         } catch (NumberFormatException e) {
-            throw wrong(name, "a number of up to 64 bits in hex digits");
+            throw invalid(name, "a number of up to 64 bits in hex digits");
         }
     }
 
@@ -134,7 +134,7 @@
         try {
             return HexFormat.of().parseHex(text(name));
         } catch (IllegalArgumentException e) {
-            throw wrong(name, "bytes of two hex digits each");
+            throw invalid(name, "bytes of two hex digits each");
         }
     }
 
@@ -151,7 +151,7 @@
      * @return the object
      */
     public JsonFields object(String name, String objectPath) {
-        return new JsonFields(JsonValue.toMap(value(name), fieldPath(name)), objectPath);
+        return new JsonFields(JsonValue.toMap(requiredValue(name), fieldPath(name)), objectPath);
     }
 
     /**
@@ -162,7 +162,7 @@
      * @return the elements
      */
     public List<JsonFields> objects(String name, String elementPath) {
-        List<?> array = array(name);
+        List<?> array = requiredArray(name);
         List<JsonFields> objects = new ArrayList<>(array.size());
         for (Object element : array) {
             objects.add(new JsonFields(JsonValue.toMap(element, fieldPath(name)), elementPath));
@@ -178,7 +178,7 @@
      * @return the elements
      */
     public List<JsonFields> indexedObjects(String name, String elementPath) {
-        List<?> array = array(name);
+        List<?> array = requiredArray(name);
         List<JsonFields> objects = new ArrayList<>(array.size());
         for (Object element : array) {
             String indexedPath = elementPath + " " + objects.size();
@@ -191,19 +191,19 @@
         return path + ": " + quoted(name);
     }
 
-    private List<?> array(String name) {
-        if (value(name) instanceof List<?> array) {
+    private List<?> requiredArray(String name) {
+        if (requiredValue(name) instanceof List<?> array) {
             return array;
         }
-        throw wrong(name, "an array");
+        throw invalid(name, "an array");
     }
 
     /** Returns a required array of strings. */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
-        for (Object element : array(name)) {
+        for (Object element : requiredArray(name)) {
             if (!(element instanceof String text)) {
-                throw wrong(name, "an array of strings");
+                throw invalid(name, "an array of strings");
             }
             texts.add(text);
         }
@@ -215,11 +215,11 @@
         if (!has(name)) {
             return null;
         }
-        List<?> array = array(name);
+        List<?> array = requiredArray(name);
         double[] numbers = new double[array.size()];
         for (int i = 0; i < numbers.length; i++) {
             if (!(array.get(i) instanceof Number number)) {
-                throw wrong(name, "an array of numbers");
+                throw invalid(name, "an array of numbers");
             }
             numbers[i] = number.doubleValue();
         }
@@ -228,7 +228,7 @@
 
     /** Returns a required array of booleans; an element of another type counts as false. */
     public boolean[] flags(String name) {
-        List<?> array = array(name);
+        List<?> array = requiredArray(name);
         boolean[] flags = new boolean[array.size()];
         for (int i = 0; i < flags.length; i++) {
             flags[i] = Boolean.TRUE.equals(array.get(i));
--- a/src/main/java/petrelplank/settings/JsonValue.java
+++ b/src/main/java/petrelplank/settings/JsonValue.java
@@ -24,7 +24,7 @@
 
     /** Reads the value that starts at the parser's current token. */
     public static JsonValue read(JsonParser parser) throws IOException {
-        return new JsonValue(readTree(parser));
+        return new JsonValue(readValue(parser));
     }
 
     /** Returns whether the value is a whole number that fits in 64 bits. */
@@ -56,7 +56,7 @@
         throw new FormatException(path, "expected an object, found " + value);
     }
 
-    private static Object readTree(JsonParser parser) throws IOException {
+    private static Object readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
             throw new FormatException("the input ends inside a JSON value");
@@ -81,7 +81,7 @@
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             parser.nextToken();
-            object.put(name, readTree(parser));
+            object.put(name, readValue(parser));
         }
         return object;
     }
@@ -89,7 +89,7 @@
     private static List<Object> readArray(JsonParser parser) throws IOException {
         List<Object> array = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            array.add(readTree(parser));
+            array.add(readValue(parser));
         }
         return array;
     }
--- a/src/main/java/petrelplank/settings/ServiceClassParser.java
+++ b/src/main/java/petrelplank/settings/ServiceClassParser.java
@@ -5,7 +5,7 @@
 import petrelplank.routing.Idempotency;
 import petrelplank.routing.IdempotencyScope;
 import petrelplank.routing.ServiceClass;
-import petrelplank.settings.SettingsKeys.Family;
+import petrelplank.settings.SettingsKeys.CacheSetting;
 import petrelplank.settings.SettingsKeys.Service;
 import petrelplank.settings.SettingsKeys.Settings;
 
@@ -19,15 +19,16 @@
     private final JsonFields settings;
     private final double[] freshnessUs;
     private final double[] staleIfErrorUs;
-    private final double[] staleWeightFactor;
-    private final boolean[] write;
+    private final double[] staleWeightFactors;
+    private final boolean[] isWrite;
 
-    ServiceClassParser(JsonFields settings, JsonFields family) {
+    ServiceClassParser(JsonFields settings, JsonFields cacheSettings) {
         this.settings = settings;
-        freshnessUs = SettingsParser.numbers(family, Family.FRESHNESS_US);
-        staleIfErrorUs = SettingsParser.numbers(family, Family.STALE_IF_ERROR_US);
-        staleWeightFactor = SettingsParser.numbers(family, Family.STALE_WEIGHT_FACTOR);
-        write = family.has(Family.WRITE) ? family.flags(Family.WRITE) : new boolean[0];
+        freshnessUs = SettingsParser.numbersOrEmpty(cacheSettings, CacheSetting.FRESHNESS_US);
+        staleIfErrorUs = SettingsParser.numbersOrEmpty(cacheSettings, CacheSetting.STALE_IF_ERROR_US);
+        staleWeightFactors = SettingsParser.numbersOrEmpty(cacheSettings, CacheSetting.STALE_WEIGHT_FACTOR);
+        isWrite =
+                cacheSettings.has(CacheSetting.IS_WRITE) ? cacheSettings.flags(CacheSetting.IS_WRITE) : new boolean[0];
     }
 
     List<ServiceClass> parse() {
@@ -57,8 +58,8 @@
                 service.flag(Service.STREAMED),
                 (long) elementOrZero(freshnessUs, index),
                 (long) elementOrZero(staleIfErrorUs, index),
-                elementOrZero(staleWeightFactor, index),
-                index < write.length && write[index]);
+                elementOrZero(staleWeightFactors, index),
+                index < isWrite.length && isWrite[index]);
     }
 
     private static double elementOrZero(double[] array, int index) {
--- a/src/main/java/petrelplank/settings/SettingsEnums.java
+++ b/src/main/java/petrelplank/settings/SettingsEnums.java
@@ -7,8 +7,8 @@
 import petrelplank.routing.WeightMeaning;
 
 /**
- * Maps words of the settings to enum constants. An unknown word maps to the most restrictive constant, so that a setting
- * of a newer platform never makes an older proxy do more than is allowed.
+ * Maps words of the settings to enum constants. An unknown word maps to the most restrictive constant, so that a newer
+ * platform never makes an older proxy do more than is allowed.
  */
 final class SettingsEnums {
     /** Default for a setting that is absent; maps to the most restrictive constant of each enum. */
@@ -58,7 +58,7 @@
     }
 
     /** Returns whether a proxy receives the endpoint list only after it subscribes to it. */
-    static boolean watchEndpoints(String discoveryMode) {
+    static boolean requiresEndpointSubscription(String discoveryMode) {
         return discoveryMode.equals("subscribe");
     }
 }
--- a/src/main/java/petrelplank/settings/SettingsKeys.java
+++ b/src/main/java/petrelplank/settings/SettingsKeys.java
@@ -1,8 +1,8 @@
 package petrelplank.settings;
 
 /**
- * Keys of the configuration file and of the settings in it. The platform defines the keys; each constant is named after
- * the Java name of its value, so that the keys appear nowhere else.
+ * Keys of the configuration file and of the settings in it. The platform defines the keys; other code
+ * refers to them by these constants only.
  */
 final class SettingsKeys {
     private SettingsKeys() {}
@@ -13,11 +13,11 @@
         static final String LISTEN_ADDRESS = "listen";
         static final String SEED = "seed";
         static final String DISCOVERY_ADDRESS = "coordinator";
-        static final String FLOW_BYTES_PER_SECOND = "flow_bytes_per_s";
+        static final String MAX_RESPONSE_BYTES_PER_SECOND = "flow_bytes_per_s";
         static final String LIMITS = "limits";
-        static final String MAX_DESCRIPTORS = "sockets";
+        static final String MAX_FILE_DESCRIPTORS = "sockets";
         static final String MEMORY_MB = "memory_mb";
-        static final String KNOWN = "known";
+        static final String KNOWN_STATE = "known";
         static final String KNOWN_INDEX = "index";
         static final String KNOWN_EVENTS = "updates";
         static final String SETTINGS = "settings";
@@ -27,11 +27,11 @@
 
     /** Top-level keys of the settings and keys of the load report, see {@link petrelplank.routing.RouterSettings}. */
     static final class Settings {
-        static final String SELF = "self-index";
-        static final String GATEWAYS = "balancers";
+        static final String SELF_INDEX = "self-index";
+        static final String PROXY_COUNT = "balancers";
         static final String ZONE = "zone";
         static final String ZONES = "localities";
-        static final String KINDS = "kinds";
+        static final String ENDPOINT_KINDS = "kinds";
         static final String WEIGHT_MEANING = "weights";
         static final String DISCOVERY_MODE = "discovery";
         static final String TENANTS = "tenants";
@@ -41,7 +41,7 @@
         static final String SERVICE_CLASSES = "services";
         static final String CAPABILITIES = "caps";
         static final String RULES = "rules";
-        static final String FAMILY = "family-info";
+        static final String CACHE_SETTINGS = "family-info";
 
         private Settings() {}
     }
@@ -65,7 +65,7 @@
         private Capability() {}
     }
 
-    /** Keys of the rules that every platform has, with or without caches, see {@link petrelplank.routing.PlatformRules}. */
+    /** Keys of the rules of platforms with or without caches, see {@link petrelplank.routing.PlatformRules}. */
     static final class Rule {
         static final String DRAIN_GRACE_US = "stop-sending-within-us";
         static final String SLOW_START_FROM = "cold-from";
@@ -78,13 +78,13 @@
     }
 
     /** Keys that only platforms with caches have; arrays have an element for each zone or each service class. */
-    static final class Family {
-        static final String ZONE_GATEWAYS = "crew-by-zone";
-        static final String ZONE_HUB = "hub-of";
+    static final class CacheSetting {
+        static final String ZONE_PROXY_COUNTS = "crew-by-zone";
+        static final String ZONE_HUBS = "hub-of";
         static final String ZONE_LINK_KB_PER_SECOND = "zone-link-kb-per-s";
         static final String PARENT_KIND = "upper-kind";
         static final String ORIGIN_KIND = "origin-kind";
-        static final String FLOW_KB_PER_SECOND = "flow-kb-per-s";
+        static final String MAX_RESPONSE_KB_PER_SECOND = "flow-kb-per-s";
         static final String CACHE_STATUS_DETAIL = "note-level";
         static final String SIBLING_FILLS = "neighbours";
         static final String COALESCING = "merges-fills";
@@ -92,7 +92,7 @@
         static final String FRESHNESS_US = "max-age-us";
         static final String STALE_IF_ERROR_US = "class-grace-us";
         static final String STALE_WEIGHT_FACTOR = "old-copy-worth";
-        static final String WRITE = "class-write";
+        static final String IS_WRITE = "class-write";
         static final String PARENT_SLOW_START_FROM = "parent-cold-from";
         static final String PARENT_SLOW_START_US = "parent-cold-us";
         static final String PARENT_OVERLOAD_MULTIPLE = "parent-breaks-at";
@@ -101,7 +101,7 @@
         static final String PURGE_GRACE_US = "notice-time-us";
         static final String PURGE_DONE_US = "purge-done-us";
 
-        private Family() {}
+        private CacheSetting() {}
     }
 
     /** Keys of a service class, see {@link petrelplank.routing.ServiceClass}. */
--- a/src/main/java/petrelplank/settings/SettingsParser.java
+++ b/src/main/java/petrelplank/settings/SettingsParser.java
@@ -6,13 +6,13 @@
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.RoutingPermissions;
 import petrelplank.routing.Tenant;
+import petrelplank.settings.SettingsKeys.CacheSetting;
 import petrelplank.settings.SettingsKeys.Capability;
-import petrelplank.settings.SettingsKeys.Family;
 import petrelplank.settings.SettingsKeys.Rule;
 import petrelplank.settings.SettingsKeys.Settings;
 
 /**
- * Parses the settings in the configuration file and in the simulator's first message. A setting that is absent, or is an
+ * Parses the settings in the configuration file and in the simulator's first message. A setting that is absent, or an
  * unknown word, gets the most restrictive value or its documented default. Throws {@link FormatException} if a required
  * setting is missing or a value has the wrong type.
  */
@@ -22,15 +22,15 @@
     private final JsonFields settings;
     private final JsonFields capabilities;
     private final JsonFields rules;
-    private final JsonFields family;
+    private final JsonFields cacheSettings;
     private final double sizeScale;
 
-    private SettingsParser(JsonFields settings, double flowBytesPerSecond) {
+    private SettingsParser(JsonFields settings, double maxResponseBytesPerSecond) {
         this.settings = settings;
-        sizeScale = sizeScale(settings, flowBytesPerSecond);
+        sizeScale = sizeScale(settings, maxResponseBytesPerSecond);
         capabilities = settings.object(Settings.CAPABILITIES);
         rules = settings.object(Settings.RULES);
-        family = family(settings);
+        cacheSettings = cacheSettings(settings);
     }
 
     /** Parses the settings of a proxy in the simulator, where object sizes are in the units of the settings. */
@@ -42,58 +42,63 @@
      * Parses the settings of a proxy on sockets, where object sizes may be scaled against the units of the settings.
      *
      * @param settings the settings
-     * @param flowBytesPerSecond highest rate of one response on a socket; 0 to use the rate in the settings
+     * @param maxResponseBytesPerSecond highest rate of one response on a socket; 0 to use the rate in the settings
      * @return the settings, with all rates in bytes on the sockets
      */
-    static RouterSettings settings(JsonFields settings, double flowBytesPerSecond) {
-        return new SettingsParser(settings, flowBytesPerSecond).parse();
+    static RouterSettings settings(JsonFields settings, double maxResponseBytesPerSecond) {
+        return new SettingsParser(settings, maxResponseBytesPerSecond).parse();
     }
 
     /**
      * Returns the number of bytes on a socket for each byte in the units of the settings; 1 if the highest rate of a
      * response is missing from the settings or is 0 for the sockets.
      */
-    static double sizeScale(JsonFields settings, double flowBytesPerSecond) {
-        if (!(flowBytesPerSecond >= 0)) {
+    static double sizeScale(JsonFields settings, double maxResponseBytesPerSecond) {
+        if (!(maxResponseBytesPerSecond >= 0)) {
             throw new FormatException(
                     "configuration",
-                    '"' + SettingsKeys.Config.FLOW_BYTES_PER_SECOND + "\" should be 0 or more, found "
-                            + flowBytesPerSecond);
+                    '"' + SettingsKeys.Config.MAX_RESPONSE_BYTES_PER_SECOND + "\" should be 0 or more, found "
+                            + maxResponseBytesPerSecond);
         }
-        double flowKbPerSecond = family(settings).number(Family.FLOW_KB_PER_SECOND, 0);
-        return flowKbPerSecond > 0 && flowBytesPerSecond > 0 ? flowBytesPerSecond / BYTES_PER_KB / flowKbPerSecond : 1;
+        double maxResponseKbPerSecond = cacheSettings(settings).number(CacheSetting.MAX_RESPONSE_KB_PER_SECOND, 0);
+        return maxResponseKbPerSecond > 0 && maxResponseBytesPerSecond > 0
+                ? maxResponseBytesPerSecond / BYTES_PER_KB / maxResponseKbPerSecond
+                : 1;
     }
 
-    private static JsonFields family(JsonFields settings) {
-        return settings.has(Settings.FAMILY) ? settings.object(Settings.FAMILY) : JsonFields.empty(Settings.FAMILY);
+    private static JsonFields cacheSettings(JsonFields settings) {
+        return settings.has(Settings.CACHE_SETTINGS)
+                ? settings.object(Settings.CACHE_SETTINGS)
+                : JsonFields.empty(Settings.CACHE_SETTINGS);
     }
 
     /** Returns an array of numbers, or an empty array if the field is absent. */
-    static double[] numbers(JsonFields fields, String name) {
-        return fields.has(name) ? fields.numbers(name) : new double[0];
+    static double[] numbersOrEmpty(JsonFields fields, String key) {
+        return fields.has(key) ? fields.numbers(key) : new double[0];
     }
 
     private RouterSettings parse() {
-        double flowKbPerSecond = family.number(Family.FLOW_KB_PER_SECOND, 0);
-        List<String> kinds = settings.texts(Settings.KINDS);
+        double maxResponseKbPerSecond = cacheSettings.number(CacheSetting.MAX_RESPONSE_KB_PER_SECOND, 0);
+        List<String> endpointKinds = settings.texts(Settings.ENDPOINT_KINDS);
         List<String> reportFields = reportFields();
         return new RouterSettings(
-                (int) settings.integer(Settings.SELF),
-                (int) settings.integer(Settings.GATEWAYS),
+                (int) settings.integer(Settings.SELF_INDEX),
+                (int) settings.integer(Settings.PROXY_COUNT),
                 settings.text(Settings.ZONE),
                 settings.texts(Settings.ZONES),
-                integers(Family.ZONE_GATEWAYS),
-                integers(Family.ZONE_HUB),
-                rates(Family.ZONE_LINK_KB_PER_SECOND),
-                kind(kinds, Family.PARENT_KIND),
-                kind(kinds, Family.ORIGIN_KIND),
-                flowKbPerSecond * sizeScale,
+                integers(CacheSetting.ZONE_PROXY_COUNTS),
+                integers(CacheSetting.ZONE_HUBS),
+                scaledRates(CacheSetting.ZONE_LINK_KB_PER_SECOND),
+                endpointKind(endpointKinds, CacheSetting.PARENT_KIND),
+                endpointKind(endpointKinds, CacheSetting.ORIGIN_KIND),
+                maxResponseKbPerSecond * sizeScale,
                 SettingsEnums.weightMeaning(settings.text(Settings.WEIGHT_MEANING, SettingsEnums.ABSENT)),
-                SettingsEnums.cacheStatusDetail(family.text(Family.CACHE_STATUS_DETAIL, SettingsEnums.ABSENT)),
+                SettingsEnums.cacheStatusDetail(
+                        cacheSettings.text(CacheSetting.CACHE_STATUS_DETAIL, SettingsEnums.ABSENT)),
                 reportFields,
-                SettingsEnums.watchEndpoints(settings.text(Settings.DISCOVERY_MODE)),
+                SettingsEnums.requiresEndpointSubscription(settings.text(Settings.DISCOVERY_MODE)),
                 capabilities.integer(Capability.CONNECT_TIMEOUT_US, 0),
-                new ServiceClassParser(settings, family).parse(),
+                new ServiceClassParser(settings, cacheSettings).parse(),
                 permissions(),
                 platformRules(),
                 tenants(),
@@ -109,23 +114,23 @@
     }
 
     /** Returns the endpoint kind at the index that a setting gives; null if it is absent or out of range. */
-    private String kind(List<String> kinds, String name) {
-        long index = family.integer(name, -1);
-        return index >= 0 && index < kinds.size() ? kinds.get((int) index) : null;
+    private String endpointKind(List<String> endpointKinds, String key) {
+        long index = cacheSettings.integer(key, -1);
+        return index >= 0 && index < endpointKinds.size() ? endpointKinds.get((int) index) : null;
     }
 
-    private List<Integer> integers(String name) {
+    private List<Integer> integers(String key) {
         List<Integer> integers = new ArrayList<>();
-        for (double number : numbers(family, name)) {
+        for (double number : numbersOrEmpty(cacheSettings, key)) {
             integers.add((int) number);
         }
         return integers;
     }
 
     /** Returns an array of rates, converted to bytes on the sockets. */
-    private List<Double> rates(String name) {
+    private List<Double> scaledRates(String key) {
         List<Double> rates = new ArrayList<>();
-        for (double rate : numbers(family, name)) {
+        for (double rate : numbersOrEmpty(cacheSettings, key)) {
             rates.add(rate * sizeScale);
         }
         return rates;
@@ -145,7 +150,7 @@
     }
 
     private RoutingPermissions permissions() {
-        String siblingFills = family.text(Family.SIBLING_FILLS, SettingsEnums.ABSENT);
+        String siblingFills = cacheSettings.text(CacheSetting.SIBLING_FILLS, SettingsEnums.ABSENT);
         return new RoutingPermissions(
                 (int) capabilities.integer(Capability.MAX_ATTEMPTS),
                 capabilities.flag(Capability.HEDGING),
@@ -154,8 +159,8 @@
                 capabilities.flag(Capability.GOSSIP),
                 capabilities.flag(Capability.RETRY_AFTER),
                 capabilities.integer(Capability.MAX_RETRY_AFTER_US, 0),
-                family.flag(Family.COALESCING),
-                family.flag(Family.DIRECT_TO_PARENTS),
+                cacheSettings.flag(CacheSetting.COALESCING),
+                cacheSettings.flag(CacheSetting.DIRECT_TO_PARENTS),
                 SettingsEnums.siblingFillPolicy(siblingFills));
     }
 
@@ -166,13 +171,13 @@
                 rules.integer(Rule.SLOW_START_US),
                 rules.number(Rule.OVERLOAD_MULTIPLE, 0),
                 rules.integer(Rule.OVERLOAD_US),
-                family.number(Family.PARENT_SLOW_START_FROM, 0),
-                family.integer(Family.PARENT_SLOW_START_US, 0),
-                family.number(Family.PARENT_OVERLOAD_MULTIPLE, 0),
-                family.number(Family.ORIGIN_OVERLOAD_MULTIPLE, 0),
-                family.integer(Family.ORIGIN_OVERLOAD_US, 0),
-                family.integer(Family.PURGE_GRACE_US, 0),
-                family.integer(Family.PURGE_DONE_US, 0),
+                cacheSettings.number(CacheSetting.PARENT_SLOW_START_FROM, 0),
+                cacheSettings.integer(CacheSetting.PARENT_SLOW_START_US, 0),
+                cacheSettings.number(CacheSetting.PARENT_OVERLOAD_MULTIPLE, 0),
+                cacheSettings.number(CacheSetting.ORIGIN_OVERLOAD_MULTIPLE, 0),
+                cacheSettings.integer(CacheSetting.ORIGIN_OVERLOAD_US, 0),
+                cacheSettings.integer(CacheSetting.PURGE_GRACE_US, 0),
+                cacheSettings.integer(CacheSetting.PURGE_DONE_US, 0),
                 rules.integer(Rule.POLL_INTERVAL_US, 0));
     }
 }
--- a/src/main/java/petrelplank/yaml/Section.java
+++ b/src/main/java/petrelplank/yaml/Section.java
@@ -10,14 +10,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Typed, validated access to a mapping. The caller reads each key once, with its type, unit, range and default, and then
- * calls {@link #done}. Throws {@link YamlException} for an invalid value and for a key that was not read.
+ * Typed, validated access to a mapping. The caller reads each key once, with its type, unit, range and default, and
+ * then calls {@link #done}. Throws {@link YamlException} for an invalid value and for a key that was not read.
  */
 public final class Section {
-    private static final Pattern DURATION = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(us|ms|s|min|h)");
+    private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?)(us|ms|s|min|h)");
     private static final Map<String, Long> DURATION_UNITS_US =
             Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "min", 60_000_000L, "h", 3_600_000_000L);
-    private static final Pattern SIZE = Pattern.compile("([0-9]{1,9})(B|KiB|MiB|GiB)");
+    private static final Pattern SIZE_PATTERN = Pattern.compile("([0-9]{1,9})(B|KiB|MiB|GiB)");
     private static final Map<String, Long> SIZE_UNITS_BYTES =
             Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
     private static final double US_PER_MS = 1000.0;
@@ -29,22 +29,22 @@
     private final Map<String, YamlNode> unread;
 
     Section(YamlNode node, String path) {
-        if (!(node instanceof YamlNode.Mapping found)) {
+        if (!(node instanceof YamlNode.Mapping foundMapping)) {
             throw node.position()
                     .error((path.isEmpty() ? "the file" : path)
                             + ": should be a mapping, found a list or a single value");
         }
-        this.mapping = found;
+        this.mapping = foundMapping;
         this.path = path;
-        this.unread = new LinkedHashMap<>(found.values());
+        this.unread = new LinkedHashMap<>(foundMapping.values());
     }
 
-    private String name(String key) {
+    private String qualifiedName(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    private YamlException error(Position position, String key, String rule) {
-        return position.error(name(key) + ": " + rule);
+    private YamlException error(Position position, String key, String problem) {
+        return position.error(qualifiedName(key) + ": " + problem);
     }
 
     /**
@@ -58,7 +58,7 @@
     }
 
     /** Returns the value of a key and marks the key as read; null if it is absent. */
-    private YamlNode take(String key) {
+    private YamlNode markRead(String key) {
         return unread.remove(key);
     }
 
@@ -66,12 +66,12 @@
      * Returns an exception for a value that the caller of this section rejects.
      *
      * @param key the key with the invalid value, or a missing key
-     * @param rule what is wrong with the value
+     * @param problem what is wrong with the value
      * @return the exception, with the position of the value, or of the mapping if the key is absent
      */
-    public YamlException wrong(String key, String rule) {
+    public YamlException wrong(String key, String problem) {
         YamlNode value = mapping.values().get(key);
-        return error((value == null ? mapping : value).position(), key, rule);
+        return error((value == null ? mapping : value).position(), key, problem);
     }
 
     private String scalar(YamlNode node, String key, String expected) {
@@ -83,7 +83,7 @@
 
     /** Returns a required string. */
     public String text(String key) {
-        YamlNode node = take(key);
+        YamlNode node = markRead(key);
         if (node == null) {
             throw error(mapping.position(), key, "is missing");
         }
@@ -96,14 +96,14 @@
     }
 
     /** Returns a word out of a fixed set, or the default if the key is absent. */
-    public String word(String key, String defaultValue, Set<String> words) {
-        YamlNode node = take(key);
+    public String word(String key, String defaultValue, Set<String> allowedWords) {
+        YamlNode node = markRead(key);
         if (node == null) {
             return defaultValue;
         }
         String word = scalar(node, key, "a word");
-        if (!words.contains(word)) {
-            String allowed = String.join(", ", words.stream().sorted().toList());
+        if (!allowedWords.contains(word)) {
+            String allowed = String.join(", ", allowedWords.stream().sorted().toList());
             throw error(node.position(), key, "should be one of " + allowed + ", found " + word);
         }
         return word;
@@ -121,9 +121,9 @@
      * @param type describes the type in error messages
      * @param parse converts the text; throws IllegalArgumentException if it is not of the type
      */
-    private <T extends Comparable<T>> T ranged(
+    private <T extends Comparable<T>> T inRange(
             String key, T defaultValue, T min, T max, String type, Function<String, T> parse) {
-        YamlNode node = take(key);
+        YamlNode node = markRead(key);
         if (node == null) {
             return defaultValue;
         }
@@ -142,12 +142,12 @@
 
     /** Returns an integer within a range, or the default if the key is absent. */
     public long whole(String key, long defaultValue, long min, long max) {
-        return ranged(key, defaultValue, min, max, "a whole number", Long::parseLong);
+        return inRange(key, defaultValue, min, max, "a whole number", Long::parseLong);
     }
 
     /** Returns a finite number within a range, or the default if the key is absent. */
     public double number(String key, double defaultValue, double min, double max) {
-        return ranged(key, defaultValue, min, max, "a number", Section::parseFinite);
+        return inRange(key, defaultValue, min, max, "a number", Section::parseFinite);
     }
 
     private static double parseFinite(String text) {
@@ -159,12 +159,12 @@
     }
 
     /**
-     * Returns a duration, written with its unit (us, ms, s, min, h), in microseconds, or the default if the key is absent.
-     * Error messages give the range in milliseconds.
+     * Returns a duration, written with its unit (us, ms, s, min, h), in microseconds, or the default if the key is
+     * absent. Error messages give the range in milliseconds.
      */
     public long durationUs(String key, long defaultUs, long minUs, long maxUs) {
         String type = "a duration such as 500ms, 2s or 10min";
-        long durationUs = ranged(key, defaultUs, 0L, Long.MAX_VALUE, type, Section::parseDurationUs);
+        long durationUs = inRange(key, defaultUs, 0L, Long.MAX_VALUE, type, Section::parseDurationUs);
         if (durationUs < minUs || durationUs > maxUs) {
             throw wrong(
                     key,
@@ -175,21 +175,21 @@
     }
 
     private static long parseDurationUs(String text) {
-        Matcher matcher = matching(DURATION, text);
+        Matcher matcher = match(DURATION_PATTERN, text);
         return Math.round(Double.parseDouble(matcher.group(1)) * DURATION_UNITS_US.get(matcher.group(2)));
     }
 
     /** Returns a size, written with its unit (B, KiB, MiB, GiB), in bytes, or the default if the key is absent. */
     public long bytes(String key, long defaultValue, long min, long max) {
-        return ranged(key, defaultValue, min, max, "a size such as 64KiB or 16MiB", Section::parseBytes);
+        return inRange(key, defaultValue, min, max, "a size such as 64KiB or 16MiB", Section::parseBytes);
     }
 
     private static long parseBytes(String text) {
-        Matcher matcher = matching(SIZE, text);
+        Matcher matcher = match(SIZE_PATTERN, text);
         return Long.parseLong(matcher.group(1)) * SIZE_UNITS_BYTES.get(matcher.group(2));
     }
 
-    private static Matcher matching(Pattern pattern, String text) {
+    private static Matcher match(Pattern pattern, String text) {
         Matcher matcher = pattern.matcher(text);
         if (!matcher.matches()) {
             throw new IllegalArgumentException(text);
@@ -199,15 +199,15 @@
 
     /** Returns a nested mapping, or null if the key is absent. */
     public Section section(String key) {
-        YamlNode node = take(key);
-        return node == null ? null : new Section(node, name(key));
+        YamlNode node = markRead(key);
+        return node == null ? null : new Section(node, qualifiedName(key));
     }
 
     /** Returns the mappings in a sequence; empty if the key is absent. */
     public List<Section> sections(String key) {
         List<Section> sections = new ArrayList<>();
         for (YamlNode element : elements(key)) {
-            sections.add(new Section(element, name(key) + "[" + sections.size() + "]"));
+            sections.add(new Section(element, qualifiedName(key) + "[" + sections.size() + "]"));
         }
         return sections;
     }
@@ -222,7 +222,7 @@
     }
 
     private List<YamlNode> elements(String key) {
-        YamlNode node = take(key);
+        YamlNode node = markRead(key);
         if (node == null) {
             return List.of();
         }
--- a/src/main/java/petrelplank/yaml/Yaml.java
+++ b/src/main/java/petrelplank/yaml/Yaml.java
@@ -17,16 +17,16 @@
 import java.util.Map;
 
 /**
- * Parses YAML into nodes with positions. Scalars stay text until a {@link Section} converts them. Rejects duplicate keys,
- * files that are too large or nested too deeply, and anchors and aliases, with which a short file could expand without
- * bound.
+ * Parses YAML into nodes with positions. Scalars stay text until a {@link Section} converts them. Rejects duplicate
+ * keys, files that are too large or nested too deeply, and anchors and aliases, with which a short file could expand
+ * without bound.
  */
 public final class Yaml {
     /** Maximum size of a file; larger files are rejected before they are read. */
     static final int MAX_BYTES = 1 << 20;
 
     private static final int MAX_DEPTH = 32;
-    private static final YAMLFactory YAML = YAMLFactory.builder()
+    private static final YAMLFactory YAML_FACTORY = YAMLFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
@@ -78,8 +78,8 @@
      * @throws YamlException if the YAML is not valid
      */
     public static Section read(String file, String text) {
-        try (YAMLParser parser = YAML.createParser(text)) {
-            return new Section(new Yaml(file, parser).document(), "");
+        try (YAMLParser parser = YAML_FACTORY.createParser(text)) {
+            return new Section(new Yaml(file, parser).readDocument(), "");
         } catch (JsonProcessingException e) {
             JsonLocation location = e.getLocation();
             Position position = location == null ? Position.startOf(file) : Position.of(file, location);
@@ -89,24 +89,24 @@
         }
     }
 
-    private YamlNode document() throws IOException {
+    private YamlNode readDocument() throws IOException {
         if (parser.nextToken() == null) {
             throw Position.startOf(file).error("the file is empty, expected a mapping");
         }
-        YamlNode root = node(position(), 0);
+        YamlNode root = readNode(currentPosition(), 0);
         if (parser.nextToken() != null) {
-            throw position().error("found a second document, expected one");
+            throw currentPosition().error("found a second document, expected one");
         }
         return root;
     }
 
-    private Position position() {
+    private Position currentPosition() {
         return Position.of(file, parser.currentTokenLocation());
     }
 
     /** Reads the value that starts at the parser's current token. */
-    private YamlNode node(Position key, int depth) throws IOException {
-        Position position = position();
+    private YamlNode readNode(Position keyPosition, int depth) throws IOException {
+        Position position = currentPosition();
         if (depth > MAX_DEPTH) {
             throw position.error("nested deeper than " + MAX_DEPTH + " levels");
         }
@@ -115,29 +115,29 @@
         }
         JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
-            return new YamlNode.Mapping(position, key, values(depth));
+            return new YamlNode.Mapping(position, keyPosition, readMapping(depth));
         } else if (token == JsonToken.START_ARRAY) {
-            return new YamlNode.Sequence(position, key, elements(depth));
+            return new YamlNode.Sequence(position, keyPosition, readSequence(depth));
         }
         String text = token == JsonToken.VALUE_NULL ? "" : parser.getText();
-        return new YamlNode.Scalar(position, key, text);
+        return new YamlNode.Scalar(position, keyPosition, text);
     }
 
-    private Map<String, YamlNode> values(int depth) throws IOException {
+    private Map<String, YamlNode> readMapping(int depth) throws IOException {
         Map<String, YamlNode> values = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
-            String name = parser.currentName();
-            Position key = position();
+            String key = parser.currentName();
+            Position keyPosition = currentPosition();
             parser.nextToken();
-            values.put(name, node(key, depth + 1));
+            values.put(key, readNode(keyPosition, depth + 1));
         }
         return values;
     }
 
-    private List<YamlNode> elements(int depth) throws IOException {
+    private List<YamlNode> readSequence(int depth) throws IOException {
         List<YamlNode> elements = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            elements.add(node(position(), depth + 1));
+            elements.add(readNode(currentPosition(), depth + 1));
         }
         return elements;
     }
--- a/src/test/java/petrelplank/settings/JsonFieldsTest.java
+++ b/src/test/java/petrelplank/settings/JsonFieldsTest.java
@@ -18,31 +18,31 @@
         }
     }
 
-    private static void assertFault(Runnable reading, String path, String rule) {
+    private static void assertInvalid(Runnable read, String path, String problem) {
         assertThatExceptionOfType(FormatException.class)
-                .isThrownBy(reading::run)
-                .withMessage(path + ": " + rule)
-                .satisfies(fault -> {
-                    assertThat(fault.path()).isEqualTo(path);
-                    assertThat(fault.rule()).isEqualTo(rule);
+                .isThrownBy(read::run)
+                .withMessage(path + ": " + problem)
+                .satisfies(exception -> {
+                    assertThat(exception.path()).isEqualTo(path);
+                    assertThat(exception.problem()).isEqualTo(problem);
                 });
     }
 
     @Test
-    void faultsCarryPathAndRule() throws IOException {
+    void errorsCarryPathAndProblem() throws IOException {
         JsonFields fields = fields("{\"text\":5,\"list\":[{},3],\"inner\":{\"number\":\"x\"}}");
-        assertFault(() -> fields.text("none"), "event", "\"none\" is missing");
-        assertFault(() -> fields.text("text"), "event", "\"text\" should be a string, found 5");
-        assertFault(() -> fields.object("text"), "event: \"text\"", "expected an object, found 5");
-        assertFault(() -> fields.objects("list", "entry"), "event: \"list\"", "expected an object, found 3");
+        assertInvalid(() -> fields.text("none"), "event", "\"none\" is missing");
+        assertInvalid(() -> fields.text("text"), "event", "\"text\" should be a string, found 5");
+        assertInvalid(() -> fields.object("text"), "event: \"text\"", "expected an object, found 5");
+        assertInvalid(() -> fields.objects("list", "entry"), "event: \"list\"", "expected an object, found 3");
         JsonFields inner = fields.object("inner");
-        assertFault(() -> inner.integer("number"), "event inner", "\"number\" should be a whole number, found x");
+        assertInvalid(() -> inner.integer("number"), "event inner", "\"number\" should be a whole number, found x");
     }
 
     @Test
     void elementsOfAnArrayMayBeNamedByTheirIndex() throws IOException {
         List<JsonFields> entries = fields("{\"list\":[{},{}]}").indexedObjects("list", "entry");
-        assertFault(() -> entries.get(1).text("id"), "entry 1", "\"id\" is missing");
+        assertInvalid(() -> entries.get(1).text("id"), "entry 1", "\"id\" is missing");
     }
 
     @Test
--- a/src/test/java/petrelplank/settings/SettingsParserTest.java
+++ b/src/test/java/petrelplank/settings/SettingsParserTest.java
@@ -43,7 +43,7 @@
         "allowance-per-s":40.5,"fraction":0.4},{"name":"other","allowance-per-s":60,"fraction":0.6}],
         "weights":"rough","zone":"edge-1"}""";
     /** Keys of required settings; all others have a default. */
-    private static final Set<String> REQUIRED = Set.of(
+    private static final Set<String> REQUIRED_KEYS = Set.of(
             "balancers",
             "caps",
             "try-limit",
@@ -63,9 +63,9 @@
             "zone");
 
     /** Keys that the parser does not read: {@link Configuration} reads them, or nothing does. */
-    private static final Set<String> NOT_CHECKED = Set.of("fraction", "how", "conn-idle-us", "max-streams");
+    private static final Set<String> NOT_READ = Set.of("fraction", "how", "conn-idle-us", "max-streams");
 
-    private static final List<String> OF_ALL_TYPES = List.of("\"what\"", "[[1]]", "{\"a\":1}", "true", "-7.5");
+    private static final List<String> VALUES_OF_ALL_TYPES = List.of("\"what\"", "[[1]]", "{\"a\":1}", "true", "-7.5");
 
     private static RouterSettings parse(JsonNode tree) throws IOException {
         try (JsonParser parser = JSON.createParser(tree.toString())) {
@@ -79,22 +79,22 @@
     }
 
     /** Returns the JSON pointers of all object fields in a tree. */
-    private static List<String> paths(JsonNode tree) {
-        List<String> paths = new ArrayList<>();
-        addPaths(tree, "", paths);
-        return paths;
+    private static List<String> pointers(JsonNode tree) {
+        List<String> pointers = new ArrayList<>();
+        addPointers(tree, "", pointers);
+        return pointers;
     }
 
-    private static void addPaths(JsonNode node, String path, List<String> paths) {
+    private static void addPointers(JsonNode node, String path, List<String> pointers) {
         if (node instanceof ObjectNode object) {
             for (Map.Entry<String, JsonNode> field : object.properties()) {
                 String fieldPath = path + "/" + field.getKey();
-                paths.add(fieldPath);
-                addPaths(field.getValue(), fieldPath, paths);
+                pointers.add(fieldPath);
+                addPointers(field.getValue(), fieldPath, pointers);
             }
         } else if (node instanceof ArrayNode array) {
             for (int i = 0; i < array.size(); i++) {
-                addPaths(array.get(i), path + "/" + i, paths);
+                addPointers(array.get(i), path + "/" + i, pointers);
             }
         }
     }
@@ -103,7 +103,7 @@
         return (ObjectNode) tree.at(path.substring(0, path.lastIndexOf('/')));
     }
 
-    private static String name(String path) {
+    private static String key(String path) {
         return path.substring(path.lastIndexOf('/') + 1);
     }
 
@@ -118,44 +118,44 @@
 
     /** An absent or null setting is named in the error if it is required, and otherwise gets its default. */
     @Test
-    void absentSettingsAreReportedOrHaveADefault() throws IOException {
-        Set<String> reported = new TreeSet<>();
-        for (String path : paths(tree())) {
+    void absentSettingsAreRejectedOrGetTheirDefault() throws IOException {
+        Set<String> rejected = new TreeSet<>();
+        for (String path : pointers(tree())) {
             ObjectNode without = tree();
-            parent(without, path).remove(name(path));
-            ObjectNode empty = tree();
-            parent(empty, path).putNull(name(path));
-            for (JsonNode tree : List.of(without, empty)) {
+            parent(without, path).remove(key(path));
+            ObjectNode withNull = tree();
+            parent(withNull, path).putNull(key(path));
+            for (JsonNode changed : List.of(without, withNull)) {
                 try {
-                    parse(tree);
+                    parse(changed);
                 } catch (FormatException | IllegalArgumentException e) {
-                    assertThat(e.getMessage()).as(path).contains(name(path)).doesNotContain("\n");
-                    reported.add(name(path));
+                    assertThat(e.getMessage()).as(path).contains(key(path)).doesNotContain("\n");
+                    rejected.add(key(path));
                 }
             }
         }
-        assertThat(reported).isEqualTo(new TreeSet<>(REQUIRED));
+        assertThat(rejected).isEqualTo(new TreeSet<>(REQUIRED_KEYS));
     }
 
     /** A value of the wrong type is neither converted silently nor the cause of an internal error. */
     @Test
-    void settingsOfTheWrongTypeAreReported() throws IOException {
-        for (String path : paths(tree())) {
-            if (NOT_CHECKED.contains(name(path))) {
+    void settingsOfTheWrongTypeAreRejected() throws IOException {
+        for (String path : pointers(tree())) {
+            if (NOT_READ.contains(key(path))) {
                 continue;
             }
-            for (String text : OF_ALL_TYPES) {
+            for (String text : VALUES_OF_ALL_TYPES) {
                 JsonNode value = JSON.readTree(text);
                 if (tree().at(path).getNodeType() != value.getNodeType()) {
-                    assertReported(path, value, name(path));
+                    assertRejected(path, value, key(path));
                 }
             }
         }
     }
 
-    private static void assertReported(String path, JsonNode value, String message) throws IOException {
+    private static void assertRejected(String path, JsonNode value, String message) throws IOException {
         ObjectNode tree = tree();
-        parent(tree, path).set(name(path), value);
+        parent(tree, path).set(key(path), value);
         assertThatThrownBy(() -> parse(tree))
                 .as(path + " " + value)
                 .isInstanceOfAny(FormatException.class, IllegalArgumentException.class)
@@ -163,8 +163,8 @@
     }
 
     @Test
-    void contradictionsAreReportedWithTheirRule() throws IOException {
-        String[][] pathValueAndRule = {
+    void contradictionsAreRejectedWithAReason() throws IOException {
+        String[][] pathValueAndMessage = {
             {"/zone", "\"south\"", "must be one of"},
             {"/balancers", "0", "above 0"},
             {"/caps/try-limit", "0", "above 0"},
@@ -181,8 +181,8 @@
             {"/caps/connect-timeout-us", "-1", "0 or more"},
             {"/family-info/flow-kb-per-s", "-1", "0 or more"}
         };
-        for (String[] contradiction : pathValueAndRule) {
-            assertReported(contradiction[0], JSON.readTree(contradiction[1]), contradiction[2]);
+        for (String[] contradiction : pathValueAndMessage) {
+            assertRejected(contradiction[0], JSON.readTree(contradiction[1]), contradiction[2]);
         }
     }
 
@@ -191,7 +191,7 @@
      * retry, no sibling fill, no cache status and no weight.
      */
     @Test
-    void unknownWordsStandForTheMostCarefulValue() throws IOException {
+    void unknownWordsMapToTheMostRestrictiveValue() throws IOException {
         ObjectNode tree = tree();
         for (String path : List.of(
                 "/services/0/repeat",
@@ -199,7 +199,7 @@
                 "/family-info/note-level",
                 "/family-info/neighbours",
                 "/weights")) {
-            parent(tree, path).put(name(path), "new-word");
+            parent(tree, path).put(key(path), "new-word");
         }
         RouterSettings settings = parse(tree);
         assertThat(settings.classes().get(0).idempotency()).isEqualTo(Idempotency.NON_IDEMPOTENT);
--- a/src/test/java/petrelplank/yaml/YamlTest.java
+++ b/src/test/java/petrelplank/yaml/YamlTest.java
@@ -16,7 +16,7 @@
 
 /** Defaults and units of YAML values; every parse error names the file, line, column and what is wrong. */
 class YamlTest {
-    private static RecordSettings operator(String text) {
+    private static RecordSettings parseOperatorFile(String text) {
         Section file = Yaml.read("operator.yaml", text.replace("|", "\n"));
         RecordSettings settings = OperatorRecords.read(file.section("records"));
         file.done();
@@ -25,12 +25,13 @@
 
     @Test
     void absentKeysHaveDefaultsAndValuesTheirUnits() {
-        RecordSettings settings = operator("records:|  on: true|  directory: here|  file-size: 1MiB|  flush: 1.5s");
+        RecordSettings settings =
+                parseOperatorFile("records:|  on: true|  directory: here|  file-size: 1MiB|  flush: 1.5s");
         assertEquals(Path.of("here"), settings.directory());
         assertEquals(1 << 20, settings.fileBytes());
         assertEquals(1_500_000, settings.flushUs());
         assertEquals(16_384, settings.queued());
-        assertEquals(null, operator("records:|  on: false"));
+        assertEquals(null, parseOperatorFile("records:|  on: false"));
     }
 
     @ParameterizedTest
@@ -55,19 +56,21 @@
                 "records: &a|  on: true;operator.yaml:1:10: anchors and aliases are not allowed",
                 "a: 1|---|b: 2;operator.yaml:3:1: found a second document, expected one",
             })
-    void errorNamesItsPositionAndRule(String text, String message) {
+    void errorNamesItsPositionAndProblem(String text, String message) {
         assertEquals(
-                message, assertThrows(YamlException.class, () -> operator(text)).getMessage());
+                message,
+                assertThrows(YamlException.class, () -> parseOperatorFile(text)).getMessage());
     }
 
     @Test
-    void invalidOrTooLongOrTooDeepYamlIsRejected(@TempDir Path folder) throws IOException {
-        for (String bad : new String[] {"", "a: 1\na: 2", "a: [1", "\ta: 1", "a: &x [*x]", "a: *x", "[".repeat(60)}) {
-            String message = assertThrows(YamlException.class, () -> Yaml.read("f.yaml", bad), bad)
+    void invalidOrTooLongOrTooDeepYamlIsRejected(@TempDir Path directory) throws IOException {
+        for (String invalid :
+                new String[] {"", "a: 1\na: 2", "a: [1", "\ta: 1", "a: &x [*x]", "a: *x", "[".repeat(60)}) {
+            String message = assertThrows(YamlException.class, () -> Yaml.read("f.yaml", invalid), invalid)
                     .getMessage();
             assertTrue(message.matches("f\\.yaml:[0-9]+:[0-9]+: .+"), message);
         }
-        Path large = folder.resolve("large.yaml");
+        Path large = directory.resolve("large.yaml");
         Files.writeString(large, "a: " + "x".repeat(Yaml.MAX_BYTES));
         assertTrue(assertThrows(YamlException.class, () -> Yaml.read(large))
                 .getMessage()
