--- a/src/main/java/petrelplank/settings/FormatException.java
+++ b/src/main/java/petrelplank/settings/FormatException.java
@@ -1,42 +1,42 @@
 package petrelplank.settings;
 
-/** Input from outside the process that breaks a rule; carries the place of the fault and the rule apart. */
+/** Thrown for invalid input from outside the process; gives the path of the invalid value and what is wrong with it. */
 public final class FormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String path;
-    private final String rule;
+    private final String problem;
 
     /**
-     * A fault in input as a whole.
+     * Creates an exception for the input as a whole.
      *
-     * @param rule what is wrong with it
+     * @param problem what is wrong with the input
      */
-    public FormatException(String rule) {
-        super(rule);
+    public FormatException(String problem) {
+        super(problem);
         this.path = "";
-        this.rule = rule;
+        this.problem = problem;
     }
 
     /**
-     * A fault at one place of the input.
+     * Creates an exception for one value of the input.
      *
-     * @param path names the place, such as {@code settings caps}
-     * @param rule what is wrong there
+     * @param path the path of the value, such as {@code settings caps}
+     * @param problem what is wrong with the value
      */
-    public FormatException(String path, String rule) {
-        super(path + ": " + rule);
+    public FormatException(String path, String problem) {
+        super(path + ": " + problem);
         this.path = path;
-        this.rule = rule;
+        this.problem = problem;
     }
 
-    /** The place of the fault; empty where it is the input as a whole. */
+    /** Returns the path of the invalid value, or an empty string if the exception is about the input as a whole. */
     public String path() {
         return path;
     }
 
-    /** What is wrong at that place. */
-    public String rule() {
-        return rule;
+    /** Returns what is wrong with the input or value, without the path. */
+    public String problem() {
+        return problem;
     }
 }
--- a/src/main/java/petrelplank/yaml/Yaml.java
+++ b/src/main/java/petrelplank/yaml/Yaml.java
@@ -17,16 +17,16 @@
 import java.util.Map;
 
 /**
- * Parses a YAML file into nodes that know their positions. Scalars stay text until a {@link Section} reads them by
- * type. Duplicate keys are errors; size and depth are bounded; anchors and aliases are not allowed, since a short file
- * could expand without bound.
+ * Parses YAML into nodes with positions. Scalars stay text until a {@link Section} converts them. Rejects duplicate
+ * keys, files that are too large or nested too deeply, and anchors and aliases, with which a short file could expand
+ * without bound.
  */
 public final class Yaml {
-    /** Longer files are rejected before they are read. */
+    /** Maximum size of a file; larger files are rejected before they are read. */
     static final int MAX_BYTES = 1 << 20;
 
     private static final int MAX_DEPTH = 32;
-    private static final YAMLFactory YAML = YAMLFactory.builder()
+    private static final YAMLFactory YAML_FACTORY = YAMLFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
@@ -43,8 +43,8 @@
      *
      * @param path the file
      * @return its top-level mapping
-     * @throws IOException where it can't be read
-     * @throws YamlException where it is not valid
+     * @throws IOException if the file can't be read
+     * @throws YamlException if the YAML is not valid
      */
     public static Section read(Path path) throws IOException {
         if (Files.size(path) > MAX_BYTES) {
@@ -56,9 +56,9 @@
     /**
      * Reads a class path resource.
      *
-     * @param name the resource
+     * @param name the absolute name of the resource
      * @return its top-level mapping
-     * @throws YamlException where it is not valid
+     * @throws YamlException if the YAML is not valid
      */
     public static Section resource(String name) {
         try (InputStream in = Yaml.class.getResourceAsStream(name)) {
@@ -70,74 +70,74 @@
     }
 
     /**
-     * Reads text.
+     * Parses YAML text.
      *
-     * @param file the file's name in error messages
-     * @param text the text
+     * @param file the name of the file in error messages
+     * @param text the YAML text
      * @return its top-level mapping
-     * @throws YamlException where it is not valid
+     * @throws YamlException if the YAML is not valid
      */
     public static Section read(String file, String text) {
-        try (YAMLParser parser = YAML.createParser(text)) {
-            return new Section(new Yaml(file, parser).document(), "");
+        try (YAMLParser parser = YAML_FACTORY.createParser(text)) {
+            return new Section(new Yaml(file, parser).readDocument(), "");
         } catch (JsonProcessingException e) {
             JsonLocation location = e.getLocation();
             Position position = location == null ? Position.startOf(file) : Position.of(file, location);
-            throw position.error(e.getOriginalMessage().lines().findFirst().orElse("not YAML"));
+            throw position.error(e.getOriginalMessage().lines().findFirst().orElse("invalid YAML"));
         } catch (IOException e) {
             throw Position.startOf(file).error(e.getMessage());
         }
     }
 
-    private YamlNode document() throws IOException {
+    private YamlNode readDocument() throws IOException {
         if (parser.nextToken() == null) {
-            throw Position.startOf(file).error("the file is empty");
+            throw Position.startOf(file).error("the file is empty, expected a mapping");
         }
-        YamlNode root = node(position(), 0);
+        YamlNode root = readNode(currentPosition(), 0);
         if (parser.nextToken() != null) {
-            throw position().error("a second document");
+            throw currentPosition().error("found a second document, expected one");
         }
         return root;
     }
 
-    private Position position() {
+    private Position currentPosition() {
         return Position.of(file, parser.currentTokenLocation());
     }
 
-    /** The value that begins with the parser's current token. */
-    private YamlNode node(Position key, int depth) throws IOException {
-        Position position = position();
+    /** Reads the value that starts at the parser's current token. */
+    private YamlNode readNode(Position keyPosition, int depth) throws IOException {
+        Position position = currentPosition();
         if (depth > MAX_DEPTH) {
-            throw position.error("nested deeper than " + MAX_DEPTH);
+            throw position.error("nested deeper than " + MAX_DEPTH + " levels");
         }
         if (parser.isCurrentAlias() || parser.getObjectId() != null) {
             throw position.error("anchors and aliases are not allowed");
         }
         JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
-            return new YamlNode.Mapping(position, key, values(depth));
+            return new YamlNode.Mapping(position, keyPosition, readMapping(depth));
         } else if (token == JsonToken.START_ARRAY) {
-            return new YamlNode.Sequence(position, key, elements(depth));
+            return new YamlNode.Sequence(position, keyPosition, readSequence(depth));
         }
         String text = token == JsonToken.VALUE_NULL ? "" : parser.getText();
-        return new YamlNode.Scalar(position, key, text);
+        return new YamlNode.Scalar(position, keyPosition, text);
     }
 
-    private Map<String, YamlNode> values(int depth) throws IOException {
+    private Map<String, YamlNode> readMapping(int depth) throws IOException {
         Map<String, YamlNode> values = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
-            String name = parser.currentName();
-            Position key = position();
+            String key = parser.currentName();
+            Position keyPosition = currentPosition();
             parser.nextToken();
-            values.put(name, node(key, depth + 1));
+            values.put(key, readNode(keyPosition, depth + 1));
         }
         return values;
     }
 
-    private List<YamlNode> elements(int depth) throws IOException {
+    private List<YamlNode> readSequence(int depth) throws IOException {
         List<YamlNode> elements = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            elements.add(node(position(), depth + 1));
+            elements.add(readNode(currentPosition(), depth + 1));
         }
         return elements;
     }
