--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -13,25 +13,25 @@
 import petrelplank.proxy.EventLoop;
 
 /**
- * Client of the discovery service: one connection, made again when it breaks, falls silent or leaves out an event.
- * State belongs to the event thread.
+ * Client of the discovery service. It keeps one connection open and reconnects when the connection breaks, receives
+ * nothing for too long, or skips an event. Not thread-safe: all state is confined to the event thread.
  */
 public final class DiscoveryClient {
     private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
-    /** A line is due each second; two missed ones mean that the connection is dead. */
+    /** The service sends a line each second; after two missed lines the connection is considered dead. */
     private static final long SILENCE_TIMEOUT_US = 2_500_000;
 
     private static final long SILENCE_CHECK_INTERVAL_US = SILENCE_TIMEOUT_US / 5;
-    /** Of consecutive failures with no line between, one in this many is logged. */
-    private static final int LOG_ONE_IN = 25;
+    /** One in this many consecutive failures is logged; a received line resets the count. */
+    private static final int FAILURES_PER_LOG_LINE = 25;
 
     private static final long NO_GAP = -1;
 
-    /** What has been received since the start; it only moves forward. */
+    /** What has been received since the process started. The state never goes back, also not on a reconnect. */
     private enum SyncState {
         NOTHING_RECEIVED,
         RECEIVING,
-        /** A heartbeat has shown that no event sent before it is missing here. */
+        /** A heartbeat has confirmed that no event sent before it is missing. */
         CAUGHT_UP
     }
 
@@ -40,25 +40,25 @@
     private final NioSocketConnector connector;
     private final ReconnectBackoff backoff;
     private InetSocketAddress address;
-    /** The connection in use; lines of earlier ones are ignored. Null while a reconnect is pending. */
-    private DiscoveryConnection current;
+    /** The connection in use; events of earlier connections are ignored. Null while a reconnect is pending. */
+    private DiscoveryConnection currentConnection;
     /** Null before the first failure. */
     private EventLoop.Timer reconnectTimer;
 
     private SyncState syncState = SyncState.NOTHING_RECEIVED;
-    private long failures;
+    private long totalFailures;
     private long consecutiveFailures;
-    /** The last number before a gap for which the events were requested again. */
+    /** Index of the last event before a gap whose events have been requested again; {@link #NO_GAP} for none. */
     private long gapRequestedAfter = NO_GAP;
 
     /**
-     * A client; {@link #start} connects it.
+     * Creates a client that is not connected; see {@link #start}.
      *
      * @param loop the event thread
      * @param proxy receives the events
-     * @param connector makes connections; its handler is set here
+     * @param connector opens connections; this constructor sets its handler
      * @param address the discovery service's address
-     * @param seed of the jitter of reconnects; the configuration's, so that proxies differ
+     * @param seed seeds the jitter of reconnect delays; taken from the configuration, so that proxies differ
      */
     public DiscoveryClient(
             EventLoop loop, EdgeProxy proxy, NioSocketConnector connector, InetSocketAddress address, long seed) {
@@ -67,34 +67,35 @@
         this.proxy = proxy;
         this.connector = connector;
         this.address = address;
-        connector.setHandler(new DiscoveryStreamHandler(loop, this::received, this::reconnect));
+        connector.setHandler(new DiscoveryStreamHandler(loop, this::onEvent, this::scheduleReconnect));
     }
 
-    /** Connects, and closes what was open before; from the event thread. */
+    /** Connects, after closing any previous connection. Call from the event thread. */
     public void start() {
         disconnect();
         DiscoveryConnection connection = new DiscoveryConnection();
-        current = connection;
-        connection.received(loop.now());
-        ConnectFuture connecting = connector.connect(address, (session, future) -> connection.attachTo(session));
-        connection.connecting(connecting);
-        connecting.addListener(future -> loop.postUrgent(() -> connectEnded(connection, connecting)));
+        currentConnection = connection;
+        connection.onReceived(loop.now());
+        ConnectFuture connectFuture = connector.connect(address, (session, future) -> connection.attachTo(session));
+        connection.setConnectFuture(connectFuture);
+        connectFuture.addListener(future -> loop.postUrgent(() -> onConnectCompleted(connection, connectFuture)));
         scheduleSilenceCheck(connection);
     }
 
     /**
-     * Connects to another address at once and continues after the last event received; from the event thread.
+     * Connects to another address at once and resumes after the last event received. Call from the event thread.
      *
-     * @param next the discovery service's new address
+     * @param newAddress the discovery service's new address
      */
-    public void follow(InetSocketAddress next) {
-        address = next;
+    public void follow(InetSocketAddress newAddress) {
+        address = newAddress;
         start();
     }
 
     /**
-     * Whether the discovery service has shown, by a heartbeat, that this proxy has every event that it held then; from
-     * the event thread. Until then, the list of {@code known} may lack a drain or a purge sent before this start.
+     * Whether a heartbeat has confirmed that this proxy has received every event that the service held at that time.
+     * Until then, the {@code known} events of the configuration may lack a drain or a purge sent before this process
+     * started. Call from the event thread.
      *
      * @return true from the first such heartbeat on
      */
@@ -103,23 +104,23 @@
     }
 
     /**
-     * Whether anything was received at all; on a new connection, the discovery service sends all missing events at
-     * once. From the event thread.
+     * Whether any event or heartbeat has been accepted since the process started. On a new connection, the discovery
+     * service sends all missing events at once. Call from the event thread.
      *
-     * @return true from the first line on
+     * @return true from the first event or heartbeat on
      */
     public boolean hasReceivedEvents() {
         return syncState != SyncState.NOTHING_RECEIVED;
     }
 
-    /** Guards against a second connection beside the next one: whatever is open or scheduled ends. */
+    /** Closes the connection and cancels a pending reconnect, so that there are never two connections at a time. */
     private void disconnect() {
         if (reconnectTimer != null) {
             reconnectTimer.cancel();
         }
-        if (current != null) {
-            current.close();
-            current = null;
+        if (currentConnection != null) {
+            currentConnection.close();
+            currentConnection = null;
         }
     }
 
@@ -128,79 +129,89 @@
     }
 
     private void checkSilence(DiscoveryConnection connection) {
-        if (connection != current) {
+        if (connection != currentConnection) {
             return;
         }
-        if (loop.now() - connection.lastReceivedUs() > SILENCE_TIMEOUT_US) {
-            reconnect(connection, "silent");
+        if (loop.now() - connection.lastReceivedAtUs() > SILENCE_TIMEOUT_US) {
+            scheduleReconnect(connection, "sent nothing for " + SILENCE_TIMEOUT_US + " us");
         } else {
             scheduleSilenceCheck(connection);
         }
     }
 
-    private void connectEnded(DiscoveryConnection connection, ConnectFuture future) {
+    private void onConnectCompleted(DiscoveryConnection connection, ConnectFuture future) {
         if (!future.isConnected()) {
-            reconnect(connection, "unreachable");
-        } else if (connection != current) {
+            scheduleReconnect(connection, "could not be reached");
+        } else if (connection != currentConnection) {
             future.getSession().closeNow();
         } else {
             IoSession session = future.getSession();
-            connection.connected(session, loop.now());
+            connection.onConnected(session, loop.now());
             byte[] request = ("follow " + proxy.lastEventIndex() + "\n").getBytes(StandardCharsets.US_ASCII);
             session.write(IoBuffer.wrap(request));
         }
     }
 
-    private void reconnect(DiscoveryConnection failed, String reason) {
-        if (failed != current) {
+    private void scheduleReconnect(DiscoveryConnection failedConnection, String reason) {
+        if (failedConnection != currentConnection) {
             return;
         }
         disconnect();
-        failures++;
+        totalFailures++;
         consecutiveFailures++;
-        if (consecutiveFailures % LOG_ONE_IN == 1) {
-            LOG.warning("discovery service " + reason + ", reconnecting after event " + proxy.lastEventIndex()
-                    + ", failures so far: " + failures);
+        if (consecutiveFailures % FAILURES_PER_LOG_LINE == 1) {
+            LOG.warning("discovery service " + reason + "; reconnecting, last event received: " + proxy.lastEventIndex()
+                    + ", connection failures since the start: " + totalFailures);
         }
         long delayUs = backoff.nextDelayUs(loop.now());
         reconnectTimer = loop.at(loop.now() + delayUs, this::start);
     }
 
-    private void received(DiscoveryConnection connection, DiscoveryEvent event) {
-        if (connection != current) {
+    private void onEvent(DiscoveryConnection connection, DiscoveryEvent event) {
+        if (connection != currentConnection) {
             return;
         }
         long nowUs = loop.now();
-        connection.received(nowUs);
+        connection.onReceived(nowUs);
         consecutiveFailures = 0;
-        backoff.lineReceived(nowUs, connection.connectedUs());
+        backoff.onLineReceived(nowUs, connection.connectedAtUs());
         long lastIndex = proxy.lastEventIndex();
-        if (revealsGap(event, lastIndex)) {
+        if (isAfterGap(event, lastIndex)) {
             gapRequestedAfter = lastIndex;
-            reconnect(connection, "left out events between " + lastIndex + " and " + event.index());
-        } else if (isEmptyList(event)) {
-            reconnect(connection, "sent an empty list");
+            scheduleReconnect(
+                    connection,
+                    "skipped events: last event received was " + lastIndex + ", next line has index " + event.index());
+        } else if (isEmptyCompleteList(event)) {
+            scheduleReconnect(
+                    connection, "sent a complete endpoint list without entries, the previous list stays in use");
         } else {
-            accept(event);
+            applyEvent(event);
         }
     }
 
-    /** Guards against a drain or a purge that was left out. A gap that stays when requested again is no loss. */
-    private boolean revealsGap(DiscoveryEvent event, long lastIndex) {
+    /**
+     * Whether events before this one are missing, among which may be a drain or a purge. The events of a gap are
+     * requested again once: if the service skips the same indexes again, they do not exist and nothing is lost. A
+     * heartbeat with a higher index than the last event always means that events are missing.
+     */
+    private boolean isAfterGap(DiscoveryEvent event, long lastIndex) {
         if (event instanceof DiscoveryEvent.Heartbeat) {
             return event.index() > lastIndex;
         }
         return event.index() > lastIndex + 1 && gapRequestedAfter != lastIndex;
     }
 
-    /** Guards against a discovery service that fails without an error: the last good endpoint list stays. */
-    private static boolean isEmptyList(DiscoveryEvent event) {
+    /**
+     * Whether the event would remove all endpoints. A service may fail by sending such a list without any error, so the
+     * event is not applied and the last good endpoint list stays in use.
+     */
+    private static boolean isEmptyCompleteList(DiscoveryEvent event) {
         return event instanceof DiscoveryEvent.Change change
                 && change.complete()
                 && change.entries().isEmpty();
     }
 
-    private void accept(DiscoveryEvent event) {
+    private void applyEvent(DiscoveryEvent event) {
         if (event instanceof DiscoveryEvent.Heartbeat) {
             syncState = SyncState.CAUGHT_UP;
             return;
--- a/src/main/java/petrelplank/discovery/DiscoveryConnection.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryConnection.java
@@ -3,43 +3,46 @@
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.session.IoSession;
 
-/** One connect to the discovery service and the connection that came of it. Event thread, but for the splitter. */
+/**
+ * One attempt to connect to the discovery service, and the connection that it opened. Confined to the event thread,
+ * except for the line splitter, which the I/O thread uses.
+ */
 final class DiscoveryConnection {
-    /** Of the I/O thread. */
+    /** Confined to the I/O thread. */
     private final LineSplitter splitter = new LineSplitter();
 
-    private ConnectFuture connecting;
-    /** Null until the connect has succeeded. */
+    private ConnectFuture connectFuture;
+    /** Null until the connection is open. */
     private IoSession session;
 
-    private long connectedUs;
-    private long lastReceivedUs;
+    private long connectedAtUs;
+    private long lastReceivedAtUs;
 
-    /** The connection that a session belongs to. */
+    /** Returns the connection to which a session belongs. */
     static DiscoveryConnection of(IoSession session) {
         return (DiscoveryConnection) session.getAttribute(DiscoveryConnection.class);
     }
 
-    /** Marks a new session as this connection's. */
-    void attachTo(IoSession created) {
-        created.setAttribute(DiscoveryConnection.class, this);
+    /** Stores this connection in its new session, where {@link #of} finds it. */
+    void attachTo(IoSession newSession) {
+        newSession.setAttribute(DiscoveryConnection.class, this);
     }
 
-    void connecting(ConnectFuture future) {
-        connecting = future;
+    void setConnectFuture(ConnectFuture future) {
+        connectFuture = future;
     }
 
-    void connected(IoSession established, long nowUs) {
-        session = established;
-        connectedUs = nowUs;
+    void onConnected(IoSession openSession, long nowUs) {
+        session = openSession;
+        connectedAtUs = nowUs;
     }
 
-    void received(long nowUs) {
-        lastReceivedUs = nowUs;
+    void onReceived(long nowUs) {
+        lastReceivedAtUs = nowUs;
     }
 
     void close() {
-        connecting.cancel();
+        connectFuture.cancel();
         if (session != null) {
             session.closeNow();
         }
@@ -49,12 +52,12 @@
         return splitter;
     }
 
-    long connectedUs() {
-        return connectedUs;
+    long connectedAtUs() {
+        return connectedAtUs;
     }
 
-    /** When the last line was received; when the connect began, before the first. */
-    long lastReceivedUs() {
-        return lastReceivedUs;
+    /** When the last event was received; before the first one, when the connection attempt started. */
+    long lastReceivedAtUs() {
+        return lastReceivedAtUs;
     }
 }
--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -13,10 +13,10 @@
 import petrelplank.settings.JsonFields;
 import petrelplank.settings.JsonValue;
 
-/** Decodes discovery events: lines of the discovery service's stream, and the known events of the configuration. */
+/** Decodes discovery events from lines of the discovery service's stream and from the configuration's known events. */
 public final class DiscoveryEventDecoder {
     private static final JsonFactory JSON = new JsonFactory();
-    /** The event with this number is always the complete list, whatever its reset flag says. */
+    /** The event with this index always holds the complete endpoint list, whatever its reset flag says. */
     private static final long FIRST_INDEX = 1;
 
     private static final int NO_GROUP = -1;
@@ -25,9 +25,9 @@
     private DiscoveryEventDecoder() {}
 
     /**
-     * Decodes a line of the stream: a number alone is a heartbeat, an object is an event.
+     * Decodes a line of the stream: a bare number is a heartbeat, a JSON object is an event or a heartbeat.
      *
-     * @throws FormatException where the line is neither
+     * @throws FormatException if the line is neither
      */
     static DiscoveryEvent decode(String line) {
         try (JsonParser parser = JSON.createParser(line)) {
@@ -35,7 +35,7 @@
             JsonValue value = JsonValue.read(parser);
             return value.isLong() ? new DiscoveryEvent.Heartbeat(value.asLong()) : decode(value.asObject("the event"));
         } catch (IOException e) {
-            throw new FormatException("not JSON: " + e.getMessage());
+            throw new FormatException("not valid JSON: " + e.getMessage());
         }
     }
 
@@ -44,36 +44,36 @@
      *
      * @param event the object
      * @return the event
-     * @throws FormatException where a field is missing or of the wrong type
+     * @throws FormatException if a field is missing or has the wrong type
      */
     public static DiscoveryEvent decode(JsonFields event) {
         long index = event.integer("index");
         if (event.has("evict")) {
-            return purge(index, event.object("evict"));
+            return decodePurge(index, event.object("evict"));
         }
         if (event.has("endpoints")) {
-            return endpointChange(index, event.object("endpoints"));
+            return decodeChange(index, event.object("endpoints"));
         }
-        // Guards against an unknown kind of event: it is ignored, but its number counts as received.
+        // An unknown kind of event is ignored, but its index counts as received, so that it is not taken for a gap.
         return event.only("index") ? new DiscoveryEvent.Heartbeat(index) : new DiscoveryEvent.Unknown(index);
     }
 
-    private static DiscoveryEvent.Purge purge(long index, JsonFields purge) {
+    private static DiscoveryEvent.Purge decodePurge(long index, JsonFields purge) {
         Long object = purge.has("ref") ? (Long) purge.hex("ref") : null;
         int group = (int) purge.integer("shard", NO_GROUP);
         return new DiscoveryEvent.Purge(index, object, group, purge.integer("unix_ms"));
     }
 
-    private static DiscoveryEvent.Change endpointChange(long index, JsonFields endpoints) {
+    private static DiscoveryEvent.Change decodeChange(long index, JsonFields endpoints) {
         List<DiscoveryEvent.Entry> entries = new ArrayList<>();
         for (JsonFields instance : endpoints.objects("instances", endpoints.path() + " instance")) {
-            entries.add(entry(instance));
+            entries.add(decodeEntry(instance));
         }
         return new DiscoveryEvent.Change(index, index == FIRST_INDEX || endpoints.flag("reset"), entries);
     }
 
-    private static DiscoveryEvent.Entry entry(JsonFields instance) {
-        EndpointState state = state(instance);
+    private static DiscoveryEvent.Entry decodeEntry(JsonFields instance) {
+        EndpointState state = decodeLifecycle(instance);
         EndpointInfo endpoint = new EndpointInfo(
                 instance.text("instanceId"),
                 instance.text("zone"),
@@ -85,13 +85,15 @@
         return new DiscoveryEvent.Entry(endpoint, Addresses.parse(instance.text("hostPort")));
     }
 
-    private static EndpointState state(JsonFields instance) {
+    private static EndpointState decodeLifecycle(JsonFields instance) {
         String lifecycle = instance.text("lifecycle");
         return switch (lifecycle) {
             case "active" -> EndpointState.UP;
             case "leaving" -> EndpointState.DRAINING;
             case "left" -> EndpointState.REMOVED;
-            default -> throw new FormatException(instance.path(), "lifecycle " + lifecycle);
+            default ->
+                throw new FormatException(
+                        instance.path(), "unknown lifecycle " + lifecycle + ", expected active, leaving or left");
         };
     }
 }
--- a/src/main/java/petrelplank/discovery/DiscoveryStreamHandler.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryStreamHandler.java
@@ -8,49 +8,49 @@
 import petrelplank.proxy.EventLoop;
 import petrelplank.settings.FormatException;
 
-/** The I/O thread's side of the stream: decodes lines there and posts events and failures to the event thread. */
+/** Decodes the discovery stream in the I/O thread, and posts its events and failures to the event thread. */
 final class DiscoveryStreamHandler extends IoHandlerAdapter {
     private final EventLoop loop;
-    private final BiConsumer<DiscoveryConnection, DiscoveryEvent> events;
-    private final BiConsumer<DiscoveryConnection, String> failures;
+    private final BiConsumer<DiscoveryConnection, DiscoveryEvent> eventHandler;
+    private final BiConsumer<DiscoveryConnection, String> failureHandler;
 
     /**
-     * A handler for all sessions of a connector.
+     * Creates a handler for all sessions of a connector.
      *
      * @param loop the event thread
-     * @param events gets each event, in the event thread
-     * @param failures gets the reason why a connection can't be used further, in the event thread
+     * @param eventHandler receives each event, in the event thread
+     * @param failureHandler receives the reason why a connection is no longer usable, in the event thread
      */
     DiscoveryStreamHandler(
             EventLoop loop,
-            BiConsumer<DiscoveryConnection, DiscoveryEvent> events,
-            BiConsumer<DiscoveryConnection, String> failures) {
+            BiConsumer<DiscoveryConnection, DiscoveryEvent> eventHandler,
+            BiConsumer<DiscoveryConnection, String> failureHandler) {
         this.loop = loop;
-        this.events = events;
-        this.failures = failures;
+        this.eventHandler = eventHandler;
+        this.failureHandler = failureHandler;
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
         DiscoveryConnection connection = DiscoveryConnection.of(session);
         try {
-            connection.splitter().feed(((IoBuffer) message).buf(), line -> lineReceived(connection, line));
+            connection.splitter().feed(((IoBuffer) message).buf(), line -> handleLine(connection, line));
         } catch (FormatException e) {
             session.closeNow();
-            failed(connection, "sent a malformed line (" + e.getMessage() + ")");
+            reportFailure(connection, "sent a malformed line (" + e.getMessage() + ")");
         }
     }
 
-    private void lineReceived(DiscoveryConnection connection, String line) {
+    private void handleLine(DiscoveryConnection connection, String line) {
         if (!line.isEmpty()) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(line);
-            loop.postUrgent(() -> events.accept(connection, event));
+            loop.postUrgent(() -> eventHandler.accept(connection, event));
         }
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-        failed(DiscoveryConnection.of(session), "closed the connection");
+        reportFailure(DiscoveryConnection.of(session), "closed the connection");
     }
 
     @Override
@@ -58,7 +58,7 @@
         session.closeNow();
     }
 
-    private void failed(DiscoveryConnection connection, String reason) {
-        loop.postUrgent(() -> failures.accept(connection, reason));
+    private void reportFailure(DiscoveryConnection connection, String reason) {
+        loop.postUrgent(() -> failureHandler.accept(connection, reason));
     }
 }
--- a/src/main/java/petrelplank/discovery/LineSplitter.java
+++ b/src/main/java/petrelplank/discovery/LineSplitter.java
@@ -6,39 +6,39 @@
 import java.util.function.Consumer;
 import petrelplank.settings.FormatException;
 
-/** Splits the discovery service's byte stream into lines, however it was fragmented. */
+/** Splits the byte stream of the discovery service into lines, wherever the stream was fragmented. */
 final class LineSplitter {
-    /** Bounds the memory that one line may take; a complete endpoint list is shorter. */
+    /** Limits the memory that one line may use; a complete endpoint list is shorter. */
     static final int MAX_LINE_BYTES = 1 << 20;
 
     private static final int INITIAL_LINE_BYTES = 1024;
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
 
     /**
-     * Consumes the bytes and hands on each complete line, without its line end and surrounding blanks.
+     * Consumes bytes and passes on each complete line, without its line terminator and surrounding white space.
      *
-     * @param input the bytes; all are consumed
-     * @param lines gets each line that ended
-     * @throws FormatException where a line is longer than {@link #MAX_LINE_BYTES}
+     * @param input the next bytes of the stream; all are consumed
+     * @param lineConsumer receives each complete line
+     * @throws FormatException if a line is longer than {@link #MAX_LINE_BYTES}
      */
-    void feed(ByteBuffer input, Consumer<String> lines) {
+    void feed(ByteBuffer input, Consumer<String> lineConsumer) {
         while (input.hasRemaining()) {
-            byte next = input.get();
-            if (next == '\n') {
-                String text = line.toString(StandardCharsets.UTF_8).strip();
-                line.reset();
-                lines.accept(text);
+            byte nextByte = input.get();
+            if (nextByte == '\n') {
+                String completeLine = buffer.toString(StandardCharsets.UTF_8).strip();
+                buffer.reset();
+                lineConsumer.accept(completeLine);
             } else {
-                append(next);
+                append(nextByte);
             }
         }
     }
 
-    private void append(byte next) {
-        if (line.size() == MAX_LINE_BYTES) {
-            throw new FormatException("a line over " + MAX_LINE_BYTES + " bytes");
+    private void append(byte nextByte) {
+        if (buffer.size() == MAX_LINE_BYTES) {
+            throw new FormatException("line is longer than " + MAX_LINE_BYTES + " bytes");
         }
-        line.write(next);
+        buffer.write(nextByte);
     }
 }
--- a/src/main/java/petrelplank/discovery/backoff/package-info.java
+++ b/src/main/java/petrelplank/discovery/backoff/package-info.java
@@ -1,5 +1,5 @@
 /**
- * When to reconnect to the discovery service: pure decisions without I/O, threads or a clock, so that they can be
- * tested by calls alone.
+ * Decides when to reconnect to the discovery service, without I/O, threads or a clock of its own, so that tests need
+ * only method calls.
  */
 package petrelplank.discovery.backoff;
--- a/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
@@ -25,17 +25,20 @@
                     + "{\"index\":44,\"news\":1}\n")
             .getBytes(StandardCharsets.UTF_8);
 
-    private static List<DiscoveryEvent> read(byte[] bytes, long cuts) {
+    private static List<DiscoveryEvent> decodeAll(byte[] bytes, long fragmentSeed) {
         List<DiscoveryEvent> events = new ArrayList<>();
         LineSplitter splitter = new LineSplitter();
-        ParserFuzzer.feed(bytes, cuts, in -> splitter.feed(in, line -> events.add(DiscoveryEventDecoder.decode(line))));
+        ParserFuzzer.feed(
+                bytes,
+                fragmentSeed,
+                input -> splitter.feed(input, line -> events.add(DiscoveryEventDecoder.decode(line))));
         return events;
     }
 
-    /** The heartbeat is an object with the index alone; taken for a list, it broke every connection. */
+    /** A heartbeat may be an object with only an index; when it was decoded as a list, every connection broke. */
     @Property(seed = "31", tries = 200)
-    void fragmentedEventsAreDecoded(@ForAll long cuts) {
-        List<DiscoveryEvent> events = read(STREAM, cuts);
+    void fragmentedEventsAreDecoded(@ForAll long fragmentSeed) {
+        List<DiscoveryEvent> events = decodeAll(STREAM, fragmentSeed);
         DiscoveryEvent.Change change = (DiscoveryEvent.Change) events.get(0);
         assertEquals(EndpointState.DRAINING, change.entries().get(0).endpoint().state());
         assertEquals(5000, change.entries().get(0).endpoint().startedUs());
@@ -57,7 +60,7 @@
                 ParserFuzzer.corrupt(STREAM, seed),
                 seed,
                 FormatException.class,
-                in -> splitter.feed(in, line -> {
+                input -> splitter.feed(input, line -> {
                     if (!line.isEmpty()) {
                         DiscoveryEventDecoder.decode(line);
                     }
@@ -65,9 +68,9 @@
     }
 
     @Test
-    void endlessLineIsRejected() {
+    void tooLongLineIsRejected() {
         assertThrows(
                 FormatException.class,
-                () -> new LineSplitter().feed(ByteBuffer.allocate(LineSplitter.MAX_LINE_BYTES + 1), l -> {}));
+                () -> new LineSplitter().feed(ByteBuffer.allocate(LineSplitter.MAX_LINE_BYTES + 1), line -> {}));
     }
 }
--- a/src/test/java/petrelplank/discovery/backoff/ReconnectBackoffTest.java
+++ b/src/test/java/petrelplank/discovery/backoff/ReconnectBackoffTest.java
@@ -7,25 +7,25 @@
 import org.junit.jupiter.api.Test;
 
 class ReconnectBackoffTest {
-    /** Connects that fail one after another, each as soon as its delay is over; the total delay. */
+    /** Total delay of consecutive failures, with each new attempt made, and failing, as soon as its delay is over. */
     private static long totalDelayUs(ReconnectBackoff backoff, int failures) {
-        long now = 0;
+        long nowUs = 0;
         for (int i = 0; i < failures; i++) {
-            now += backoff.nextDelayUs(now);
+            nowUs += backoff.nextDelayUs(nowUs);
         }
-        return now;
+        return nowUs;
     }
 
     @Test
-    void delaysDoubleWithJitterUpToTheCap() {
+    void delaysDoubleWithJitterUpToTheMaximum() {
         ReconnectBackoff backoff = new ReconnectBackoff(7);
-        long now = 0;
-        long stepUs = ReconnectBackoff.INITIAL_DELAY_US;
+        long nowUs = 0;
+        long backoffUs = ReconnectBackoff.INITIAL_DELAY_US;
         for (int i = 0; i < 12; i++) {
-            long delayUs = backoff.nextDelayUs(now);
-            assertTrue(delayUs >= stepUs / 2 && delayUs <= stepUs, i + ": " + delayUs);
-            now += delayUs;
-            stepUs = Math.min(ReconnectBackoff.MAX_DELAY_US, stepUs * 2);
+            long delayUs = backoff.nextDelayUs(nowUs);
+            assertTrue(delayUs >= backoffUs / 2 && delayUs <= backoffUs, "delay " + i + ": " + delayUs + " us");
+            nowUs += delayUs;
+            backoffUs = Math.min(ReconnectBackoff.MAX_DELAY_US, backoffUs * 2);
         }
     }
 
@@ -39,28 +39,28 @@
     void stableStreamResetsTheBackoffAndAShortOneDoesNot() {
         ReconnectBackoff backoff = new ReconnectBackoff(5);
         totalDelayUs(backoff, 4);
-        backoff.lineReceived(10_000_000, 10_000_000 - 1);
+        backoff.onLineReceived(10_000_000, 10_000_000 - 1);
         assertEquals(4, backoff.consecutiveFailures());
-        backoff.lineReceived(20_000_000, 20_000_000 - ReconnectBackoff.STABLE_AFTER_US);
+        backoff.onLineReceived(20_000_000, 20_000_000 - ReconnectBackoff.STABLE_AFTER_US);
         assertEquals(0, backoff.consecutiveFailures());
         assertTrue(backoff.nextDelayUs(20_000_000) <= ReconnectBackoff.INITIAL_DELAY_US);
     }
 
     @Test
-    void repeatedFailuresEmptyTheTokenBucketAndThenConnectOnceASecond() {
+    void repeatedFailuresEmptyTheTokenBucketAndThenAttemptsAreOneASecond() {
         ReconnectBackoff backoff = new ReconnectBackoff(9);
-        long now = 0;
-        int connects = 0;
-        while (now < 60_000_000) {
-            long delayUs = backoff.nextDelayUs(now);
-            // A stable stream that then breaks: the backoff is reset each time.
-            backoff.lineReceived(now + delayUs, now + delayUs - ReconnectBackoff.STABLE_AFTER_US);
-            now += delayUs;
-            connects++;
+        long nowUs = 0;
+        int attempts = 0;
+        while (nowUs < 60_000_000) {
+            long delayUs = backoff.nextDelayUs(nowUs);
+            // Each attempt opens a stable stream that then breaks, so the backoff is reset each time.
+            backoff.onLineReceived(nowUs + delayUs, nowUs + delayUs - ReconnectBackoff.STABLE_AFTER_US);
+            nowUs += delayUs;
+            attempts++;
         }
         assertTrue(
-                connects <= ReconnectBackoff.BURST + 60 * 1_000_000 / ReconnectBackoff.TOKEN_INTERVAL_US + 1,
-                "" + connects);
-        assertTrue(backoff.delaysByBudget() > 0);
+                attempts <= ReconnectBackoff.MAX_TOKENS + 60 * 1_000_000 / ReconnectBackoff.TOKEN_INTERVAL_US + 1,
+                attempts + " connection attempts in 60 s");
+        assertTrue(backoff.delaysForTokens() > 0);
     }
 }
