--- a/src/test/java/petrelplank/ArchitectureTest.java
+++ b/src/test/java/petrelplank/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Packages depend in one direction; modules that decide do no I/O, start no thread and read no clock. */
+/** Packages have no cyclic dependencies; decision modules do no I/O, start no threads and read no clock. */
 class ArchitectureTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void decisionsDependOnNothingElse() {
+    void decisionModulesDependOnNoOtherParts() {
         noClasses()
                 .that()
                 .resideInAnyPackage("..routing..", "..discovery.backoff..")
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void modulesThatDecideNeitherBlockNorDoIoNorReadTheClock() {
+    void decisionModulesDoNotBlockDoIoOrReadTheClock() {
         noClasses()
                 .that()
                 .resideInAnyPackage("..routing..", "..discovery.backoff..", "..analysis..")
@@ -75,9 +75,9 @@
                 .check(CLASSES);
     }
 
-    /** What {@code serve} loads knows nothing of reports, the emulator and their libraries. */
+    /** The classes that {@code serve} loads do not depend on reports, the emulator and their libraries. */
     @Test
-    void serveDoesWithoutTools() {
+    void serveDoesNotDependOnOfflineTools() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -95,8 +95,8 @@
     }
 
     /**
-     * A condition's timed wait that runs out just while it is signalled spins until the signalling thread goes on;
-     * with one core, or a part of one, that thread may be the one that has to wait. Seen as a proxy that stood still.
+     * A timed wait on a condition that times out while it is being signalled spins until the signalling thread
+     * continues. With one core or less, the spinning thread may keep that thread from running; a proxy hung this way.
      */
     @Test
     void noClassWaitsOnAConditionWithATimeout() {
--- a/src/test/java/petrelplank/FileLengthTest.java
+++ b/src/test/java/petrelplank/FileLengthTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** No source file, of main or of the tests, is longer than 250 lines. */
+/** No source file, in main or in the tests, is longer than 250 lines. */
 class FileLengthTest {
     private static final int MAX_LINES = 250;
 
@@ -19,7 +19,8 @@
         Map<String, Integer> tooLong = new TreeMap<>();
         Path sources = Path.of("src");
         try (Stream<Path> files = Files.walk(sources)) {
-            for (Path file : (Iterable<Path>) files.filter(f -> f.toString().endsWith(".java"))::iterator) {
+            for (Path file :
+                    (Iterable<Path>) files.filter(path -> path.toString().endsWith(".java"))::iterator) {
                 int lines = Files.readAllLines(file).size();
                 if (lines > MAX_LINES) {
                     tooLong.put(sources.relativize(file).toString(), lines);
