--- a/src/main/java/petrelplank/cli/BaseCommand.java
+++ b/src/main/java/petrelplank/cli/BaseCommand.java
@@ -5,19 +5,19 @@
 import java.nio.file.Files;
 import org.kohsuke.args4j.Option;
 
-/** A sub-command, with the options that all of them have. */
+/** Base class of the sub-commands, with the options that all of them share. */
 abstract class BaseCommand {
     @Option(name = "--help", help = true, usage = "print the options and exit statuses")
     private boolean help;
 
-    @Option(name = "--log-format", metaVar = "text|json", usage = "the form of log lines on standard error")
+    @Option(name = "--log-format", metaVar = "text|json", usage = "format of log lines on standard error")
     private LogFormat logFormat = LogFormat.TEXT;
 
     /**
      * Runs the command.
      *
      * @return the exit status, one of {@link ExitStatus}
-     * @throws IOException when standard output breaks
+     * @throws IOException if reading input or writing output fails
      */
     public abstract int run() throws IOException;
 
@@ -30,28 +30,28 @@
     }
 
     /**
-     * Checks that a file can be written, so that a fault is reported before the work and not after it.
+     * Checks that a file can be written, so that an error is reported before the work starts and not after it.
      *
-     * @param file the file, which need not exist
-     * @return what is wrong; null where it can be written
+     * @param file the output file, which may not exist yet
+     * @return the reason why it cannot be written, or null if it can
      */
     static String unwritable(File file) {
         File directory = file.getAbsoluteFile().getParentFile();
         if (file.isDirectory()) {
-            return file + ": is a directory";
+            return file + ": is a directory, expected a file";
         }
         if (!directory.isDirectory()) {
-            return file + ": there is no directory " + directory;
+            return file + ": directory does not exist: " + directory;
         }
         File changed = file.exists() ? file : directory;
-        return Files.isWritable(changed.toPath()) ? null : file + ": can't be written";
+        return Files.isWritable(changed.toPath()) ? null : file + ": no permission to write";
     }
 
     /**
-     * Reports input that can't be used, in one line on standard error.
+     * Reports unusable arguments or files, in one line on standard error.
      *
-     * @param reason what is wrong
-     * @return the exit status
+     * @param reason the problem
+     * @return {@link ExitStatus#UNUSABLE_INPUT}
      */
     static int unusable(String reason) {
         System.err.println("petrelplank: " + String.valueOf(reason).replace('\n', ' '));
--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -19,27 +19,34 @@
 import petrelplank.record.RecordSettings;
 import petrelplank.yaml.YamlException;
 
-/** {@code emulate}: plays a scenario, and writes the records of its proxies and the ground truth. */
+/** {@code emulate}: simulates a scenario and writes the records of its proxies and the ground truth. */
 public final class EmulateCommand extends BaseCommand {
     private static final Logger PROXY_LOGGER = Logger.getLogger("petrelplank.proxy");
     private static final String RECORD_FILE_SUFFIX = ".records.avro";
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    @Argument(
-            metaVar = "SCENARIO",
-            usage = "a bundled scenario's name or a YAML file; silent-parent where none is named")
+    @Argument(metaVar = "SCENARIO", usage = "name of a bundled scenario, or a YAML file (default: silent-parent)")
     private String scenarioName = Scenario.FIRST;
 
-    @Option(name = "--seed", metaVar = "N", usage = "for all random numbers; the same seed gives the same bytes")
+    @Option(
+            name = "--seed",
+            metaVar = "N",
+            usage = "seed of all random numbers; the same seed gives identical files (default: 1)")
     private long seed = 1;
 
-    @Option(name = "--records", metaVar = "DIR", usage = "where the proxies' records go; none are written without it")
+    @Option(
+            name = "--records",
+            metaVar = "DIR",
+            usage = "directory for the records of the proxies; without it, none are written")
     private File recordDirectory;
 
-    @Option(name = "--truth", metaVar = "FILE", usage = "what happened, as the emulator saw it, as JSON")
+    @Option(
+            name = "--truth",
+            metaVar = "FILE",
+            usage = "file for the ground truth (what the emulator saw happen), as JSON")
     private File truthFile;
 
-    /** For args4j, which makes it by reflection. */
+    /** Called by args4j through reflection. */
     public EmulateCommand() {}
 
     @Override
@@ -54,7 +61,8 @@
         if (problem != null) {
             return unusable(problem);
         }
-        // Log lines of emulated proxies would carry the wrong time; their records tell more.
+        // Log lines of emulated proxies would show the real time and not the simulated time; the records hold more
+        // detail.
         PROXY_LOGGER.setLevel(Level.OFF);
         long startNs = System.nanoTime();
         Simulation simulation = new Simulation(scenario, seed, this::sink);
@@ -62,7 +70,7 @@
         try {
             truth = simulation.run();
         } catch (UncheckedIOException e) {
-            return unusable("records can't be written: " + e.getCause().getMessage());
+            return unusable("failed to write records: " + e.getCause().getMessage());
         }
         double seconds = (System.nanoTime() - startNs) / 1e9;
         if (truthFile != null) {
@@ -72,25 +80,25 @@
         return ExitStatus.SUCCESS;
     }
 
-    /** Why the records or the truth can't be written; null where they can. Makes the record directory. */
+    /** Creates the record directory; returns why the records or the truth cannot be written, or null if they can. */
     private String outputProblem() {
         String[] earlierRecords = recordDirectory == null
                 ? null
                 : recordDirectory.list((folder, name) -> name.endsWith(RECORD_FILE_SUFFIX));
         if (earlierRecords != null && earlierRecords.length > 0) {
-            return recordDirectory + ": holds records already; name another directory, or remove them";
+            return recordDirectory + ": already contains record files; choose another directory or remove them";
         }
         String truthProblem = truthFile == null ? null : unwritable(truthFile);
         if (truthProblem != null) {
             return truthProblem;
         }
         boolean directoryIsThere = recordDirectory == null || recordDirectory.isDirectory() || recordDirectory.mkdirs();
-        return directoryIsThere ? null : recordDirectory + ": no such directory can be made";
+        return directoryIsThere ? null : recordDirectory + ": failed to create the directory";
     }
 
     private static void printSummary(Scenario scenario, long requests, double seconds, GroundTruth truth) {
         System.out.printf(
-                "%s: %s%n%,d requests in %.1f s simulated, %.1f s taken%n%s%n",
+                "%s: %s%n%,d requests in %.1f s of simulated time, run time %.1f s%n%s%n",
                 scenario.name(),
                 scenario.title(),
                 requests,
--- a/src/main/java/petrelplank/cli/ExitStatus.java
+++ b/src/main/java/petrelplank/cli/ExitStatus.java
@@ -1,23 +1,23 @@
 package petrelplank.cli;
 
-/** Exit statuses of the process, as the help of each command names them. */
+/** Exit statuses of the process; the help of each command lists them. */
 final class ExitStatus {
-    /** The command did what it was asked. */
+    /** The command succeeded. */
     static final int SUCCESS = 0;
 
-    /** A fault of the program; the Java runtime ends with this status after an uncaught exception. */
+    /** Internal error; the Java runtime exits with this status after an uncaught exception. */
     static final int INTERNAL_ERROR = 1;
 
-    /** The arguments or a file can't be used. */
+    /** The arguments or a file cannot be used. */
     static final int UNUSABLE_INPUT = 2;
 
-    /** Some record files could not be read, and the report was made of the rest. */
+    /** Some record files could not be read; the report covers the others. */
     static final int INCOMPLETE_RECORDS = 3;
 
-    /** The statuses in words, for help. */
-    static final String HELP = "exit status: " + SUCCESS + " done; " + INTERNAL_ERROR + " a fault of the program; "
-            + UNUSABLE_INPUT + " the arguments or a file can't be used; " + INCOMPLETE_RECORDS
-            + " some records could not be read, and the report was made of the rest";
+    /** Description of the statuses, for the help text. */
+    static final String HELP = "exit status: " + SUCCESS + " success; " + INTERNAL_ERROR + " internal error; "
+            + UNUSABLE_INPUT + " unusable arguments or file; " + INCOMPLETE_RECORDS
+            + " some record files could not be read, the report covers the others";
 
     private ExitStatus() {}
 }
--- a/src/main/java/petrelplank/cli/JsonLogs.java
+++ b/src/main/java/petrelplank/cli/JsonLogs.java
@@ -5,12 +5,13 @@
 import java.util.logging.Logger;
 
 /**
- * Log lines as JSON in the Elastic Common Schema. Apart from {@link Logs}, since the library behind it is only on the
- * class path where JSON is asked for.
+ * Formats log lines as JSON in the Elastic Common Schema. Separate from {@link Logs} because the library that it uses is
+ * on the class path only if JSON was requested.
  */
 final class JsonLogs {
     private JsonLogs() {}
 
+    /** Replaces the formatter of all root handlers. */
     static void install() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
             handler.setFormatter(new EcsFormatter());
--- a/src/main/java/petrelplank/cli/LogFormat.java
+++ b/src/main/java/petrelplank/cli/LogFormat.java
@@ -1,10 +1,10 @@
 package petrelplank.cli;
 
-/** The forms that log lines may have. */
+/** Formats of log lines. */
 enum LogFormat {
-    /** Time, level, class and text. */
+    /** Plain text: time, level, class and message. */
     TEXT("text"),
-    /** An object a line, in the Elastic Common Schema. */
+    /** One JSON object per line, in the Elastic Common Schema. */
     JSON("json");
 
     private final String optionValue;
@@ -13,7 +13,7 @@
         this.optionValue = optionValue;
     }
 
-    /** The value of the option {@code --log-format}, which help shows too. */
+    /** Returns the value of the option {@code --log-format} for this format; the help text shows it too. */
     @Override
     public String toString() {
         return optionValue;
--- a/src/main/java/petrelplank/cli/Main.java
+++ b/src/main/java/petrelplank/cli/Main.java
@@ -11,11 +11,11 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The entry point: finds the sub-command that the arguments name and ends the process with its exit status. */
+/** The entry point: runs the sub-command given by the arguments and exits with its status. */
 public final class Main {
     static final String SERVE = "serve";
     static final String SIMULATE = "simulate";
-    /** The earlier name of {@link #SIMULATE}; it goes on working, and help does not show it. */
+    /** Former name of {@link #SIMULATE}; still accepted, but not shown in the help. */
     static final String SIMULATE_ALIAS = "drill";
 
     static final String EMULATE = "emulate";
@@ -24,7 +24,7 @@
     static final String VERSION = "version";
 
     private static final String ERROR_PREFIX = "petrelplank: ";
-    /** Option defaults are not printed: the usage texts name them where they mean something. */
+    /** Leaves option defaults out of the help; usage texts state those that matter to the user. */
     private static final ParserProperties WITHOUT_DEFAULTS =
             ParserProperties.defaults().withShowDefaults(false);
 
@@ -32,9 +32,9 @@
             handler = SubCommandHandler.class,
             required = true,
             metaVar = "COMMAND",
-            usage = "serve: run an edge proxy; simulate: route the requests of the simulator, by its protocol on "
-                    + "standard input and output; emulate: play a scenario and write records; report: make a page of "
-                    + "records; scenarios: list the bundled scenarios; version: print the version")
+            usage = "serve: run an edge proxy; simulate: route the requests of the simulator, using its protocol on "
+                    + "standard input and output; emulate: run a scenario and write records; report: analyze records "
+                    + "and write a report; scenarios: list the bundled scenarios; version: print the version")
     @SubCommands({
         @SubCommand(name = SERVE, impl = ServeCommand.class),
         @SubCommand(name = SIMULATE, impl = SimulateCommand.class),
@@ -45,16 +45,16 @@
     })
     private BaseCommand command;
 
-    @Option(name = "--help", help = true, usage = "print this help; COMMAND --help prints that of a command")
+    @Option(name = "--help", help = true, usage = "print this help; use COMMAND --help for the help of one command")
     private boolean help;
 
     private Main() {}
 
     /**
-     * Runs a sub-command.
+     * Runs a sub-command, in a class loader with more libraries if it needs them.
      *
-     * @param args its name and options
-     * @throws IOException when standard output breaks
+     * @param args the name and the options of the sub-command
+     * @throws IOException if reading input or writing output fails
      */
     public static void main(String[] args) throws IOException {
         Logs.initialize();
@@ -66,10 +66,11 @@
     }
 
     /**
-     * Runs a sub-command whose libraries are on the class path, once logging is initialized; ends the process.
+     * Runs a sub-command and exits with its status. Its libraries must be on the class path, and logging must be
+     * initialized.
      *
-     * @param args its name and options
-     * @throws IOException when standard output breaks
+     * @param args the name and the options of the sub-command
+     * @throws IOException if reading input or writing output fails
      */
     public static void start(String... args) throws IOException {
         System.exit(run(args));
@@ -81,7 +82,8 @@
             command = parse(args);
         } catch (CmdLineException e) {
             System.err.println(ERROR_PREFIX + e.getMessage());
-            System.err.println(ERROR_PREFIX + "--help lists the commands, COMMAND --help the options of one");
+            System.err.println(ERROR_PREFIX
+                    + "use --help for the list of commands, COMMAND --help for the options of one command");
             return ExitStatus.UNUSABLE_INPUT;
         }
         if (command == null) {
@@ -97,11 +99,11 @@
     }
 
     /**
-     * Finds the sub-command.
+     * Parses the arguments.
      *
-     * @param args its name and options
-     * @return the command with its options set; null where the arguments ask for help on all commands
-     * @throws CmdLineException where the arguments can't be used
+     * @param args the name and the options of the sub-command
+     * @return the command with its options set, or null if the arguments ask for the help on all commands
+     * @throws CmdLineException if the arguments are invalid
      */
     static BaseCommand parse(String... args) throws CmdLineException {
         Main main = new Main();
@@ -109,7 +111,7 @@
         return main.command;
     }
 
-    /** Replaces the alias of a command by its name; args4j would list an alias among the commands. */
+    /** Replaces a command alias by its name. An alias known to args4j would be listed among the commands. */
     private static String[] withoutAlias(String... args) {
         String[] replaced = args.clone();
         int command = 0;
--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -20,11 +20,11 @@
 import petrelplank.upstream.ConnectionLimits;
 import petrelplank.upstream.UpstreamConnectionPool;
 
-/** One proxy, with all its parts wired: one I/O thread for all sockets, and one event thread. */
+/** One proxy with all its components: one I/O thread for all sockets, and one event thread. */
 final class ProxyServer {
     private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
     private static final long MIN_CONNECT_TIMEOUT_US = 50_000;
-    /** Bounds what an overload holds in memory: 2,048 open requests at 128 MB. */
+    /** Bounds the memory that open requests take under overload: 2,048 of them at 128 MB. */
     private static final int OPEN_REQUESTS_PER_MB = 16;
 
     private static final int BYTES_PER_MB_SHIFT = 20;
@@ -40,11 +40,11 @@
     private final Shutdown shutdown;
 
     /**
-     * Wires the parts and applies the events that the configuration knows, but opens nothing yet.
+     * Creates the components and applies the discovery events listed in the configuration; opens no socket yet.
      *
      * @param configuration the configuration
-     * @param clock the Unix clock in microseconds
-     * @param sink takes the proxy's events; {@link EventSink#NONE} where records are off
+     * @param clock the Unix time in microseconds
+     * @param sink receives the events to record; {@link EventSink#NONE} if records are off
      */
     ProxyServer(Configuration configuration, LongSupplier clock, EventSink sink) {
         RouterSettings settings = configuration.settings();
@@ -86,7 +86,7 @@
                         events, forwarder, transport.upstreamConnector(), limits, settings.reportFields()));
     }
 
-    /** Returns the endpoints of the complete lists among the events. */
+    /** Applies the events, and returns the endpoints of the complete lists among them. */
     private List<EndpointInfo> applyKnownEvents(List<JsonFields> known) {
         List<EndpointInfo> endpoints = new ArrayList<>();
         for (JsonFields fields : known) {
@@ -99,7 +99,7 @@
         return endpoints;
     }
 
-    /** Listens, and follows the discovery service; ready some time after the event thread runs. */
+    /** Starts to listen and to follow the discovery service. The proxy becomes ready some time after {@link #run}. */
     void open(InetSocketAddress address) throws IOException {
         proxy.pause();
         clients.listen(address);
@@ -109,40 +109,44 @@
     }
 
     /**
-     * Follows a discovery service at another address, from the last event known; from any thread.
+     * Switches to a discovery service at another address, starting after the last known event. May be called from any
+     * thread.
      *
-     * @param address its address
-     * @param known events of a new configuration; those known already are ignored
+     * @param address the address of the discovery service
+     * @param known the events listed in the new configuration; those applied already are ignored
      */
     void follow(InetSocketAddress address, List<JsonFields> known) {
         List<DiscoveryEvent> events =
                 known.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
             events.forEach(proxy::onEvent);
-            LOG.info("SIGHUP: following the discovery service at " + address + " from " + proxy.lastEventIndex());
+            LOG.info("SIGHUP: now following the discovery service at " + address + " from event "
+                    + proxy.lastEventIndex());
             discovery.follow(address);
         });
     }
 
+    /** Returns the address at which clients connect. */
     InetSocketAddress address() {
         return transport.acceptor().getLocalAddress();
     }
 
-    /** The event thread's work; returns after {@link #close}. */
+    /** Runs the event loop in the calling thread; returns after {@link #close}. */
     void run() {
         loop.run();
     }
 
+    /** Stops the event loop and closes all sockets, without a drain. */
     void close() {
         loop.stop();
         transport.close();
     }
 
     /**
-     * Drains: handles and answers what still comes, then runs a task. From any thread.
+     * Starts to drain: answers open requests and those that still arrive, then runs a task. May be called from any thread.
      *
-     * @param onStopped run last, in the event thread
-     * @return the longest that this takes, in milliseconds
+     * @param onStopped the task, run last in the event thread
+     * @return the longest time until the task runs, in milliseconds
      */
     long drain(Runnable onStopped) {
         return shutdown.start(() -> {
--- a/src/main/java/petrelplank/cli/ProxyTransport.java
+++ b/src/main/java/petrelplank/cli/ProxyTransport.java
@@ -8,14 +8,14 @@
 import petrelplank.transport.DescriptorBudget;
 import petrelplank.transport.SharedProcessor;
 
-/** The sockets of one proxy: a single I/O processor that the acceptor and both connectors share. */
+/** The sockets of one proxy. The acceptor and both connectors share a single I/O processor. */
 final class ProxyTransport {
-    /** Clients and upstream servers get two fifths of the descriptors each; the process itself needs the rest. */
+    /** Client and upstream connections may use two fifths of the descriptors each; the process needs the rest. */
     private static final int BUDGET_PARTS = 2;
 
     private static final int ALL_PARTS = 5;
     private static final int BACKLOG = 1024;
-    /** MINA shrinks its read buffer down to 64 bytes: a request without a body then took several turns to read. */
+    /** MINA would shrink its read buffer to as little as 64 bytes, and even a request without a body took several reads. */
     private static final int MIN_CLIENT_READ_BUFFER = 2_048;
 
     private static final int UPSTREAM_READ_BUFFER = 16_384;
@@ -30,10 +30,10 @@
     private final DescriptorBudget upstreamBudget;
 
     /**
-     * Sets the sockets up, and opens none yet.
+     * Creates the acceptor and the connectors; opens no socket yet.
      *
-     * @param maxDescriptors descriptors that the process may hold
-     * @param clock the Unix clock in microseconds
+     * @param maxDescriptors the number of file descriptors that the process may have open
+     * @param clock the Unix time in microseconds
      */
     ProxyTransport(int maxDescriptors, LongSupplier clock) {
         int budget = Math.max(1, maxDescriptors * BUDGET_PARTS / ALL_PARTS);
@@ -57,17 +57,17 @@
         return processor;
     }
 
-    /** Makes the connections to caches, parents and the origin. */
+    /** Returns the connector for caches, parents and the origin. */
     NioSocketConnector upstreamConnector() {
         return upstreamConnector;
     }
 
-    /** Makes the connection to the discovery service. */
+    /** Returns the connector for the discovery service. */
     NioSocketConnector discoveryConnector() {
         return discoveryConnector;
     }
 
-    /** Accepts the connections of clients. */
+    /** Returns the acceptor of client connections. */
     BoundedAcceptor acceptor() {
         return acceptor;
     }
@@ -80,7 +80,7 @@
         return upstreamBudget;
     }
 
-    /** Closes all sockets, and ends the I/O thread. */
+    /** Closes all sockets and ends the I/O thread. */
     void close() {
         acceptor.dispose();
         upstreamConnector.dispose();
--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -7,19 +7,22 @@
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
 
-/** Decides when a started proxy routes its first request, and when its health check says ready. Event thread only. */
+/**
+ * Decides when a started proxy routes its first request and when its health check reports ready. Used only in the event
+ * thread.
+ */
 final class Readiness {
     private enum State {
         STARTING,
         READY,
-        /** Never ready again. */
+        /** Final state: the proxy does not become ready again. */
         DRAINING
     }
 
     private static final Logger LOG = Logger.getLogger(Readiness.class.getName());
     /**
-     * The longest wait for the discovery service: it sends a heartbeat each second, and its client counts a connection
-     * that is silent for this long as dead, so a proxy that has heard nothing by then would wait in vain.
+     * The longest wait for the discovery service. It sends a heartbeat each second, and the client treats a connection
+     * that was silent for this long as dead, so waiting longer would not help.
      */
     private static final long MAX_WAIT_US = 2_500_000;
 
@@ -46,9 +49,9 @@
     }
 
     /**
-     * Guards a restarted proxy against clients that have not noticed its death and send requests before it is ready:
-     * these wait for the first line of the discovery service, since a drain or a purge may have come after
-     * {@code known} was written.
+     * Lets the proxy route requests once the discovery service has sent its first line, or after the longest wait.
+     * Clients that did not notice a restart send requests before the proxy is ready; these wait, because a drain or a
+     * purge may have happened after {@code known} in the configuration was written.
      */
     void resumeOnceDiscoveryHeard() {
         resumeOnceDiscoveryHeard(loop.now() + MAX_WAIT_US);
@@ -63,8 +66,9 @@
     }
 
     /**
-     * Guards a restarted proxy against a drain or a purge that came after its {@code known} was written: it is ready
-     * once the heartbeat of the discovery service shows that no event is missing, or when waiting longer is useless.
+     * Reports the proxy ready once a heartbeat of the discovery service shows that no event is missing, or after the
+     * longest wait. Otherwise a restarted proxy could miss a drain or a purge that happened after {@code known} in the
+     * configuration was written.
      */
     void readyOnceCaughtUp() {
         readyOnceCaughtUp(loop.now() + MAX_WAIT_US);
@@ -80,15 +84,16 @@
         }
         state = State.READY;
         clients.ready(true);
-        String line = "serving at " + acceptor.getLocalAddress() + ", endpoint list at " + proxy.lastEventIndex();
+        String line =
+                "serving at " + acceptor.getLocalAddress() + ", endpoint list as of event " + proxy.lastEventIndex();
         if (discovery.caughtUp()) {
             LOG.info(line);
         } else {
-            LOG.warning(line + "; no heartbeat from the discovery service yet, so recent changes may be missing");
+            LOG.warning(line + "; no heartbeat from the discovery service yet, recent endpoint changes may be missing");
         }
     }
 
-    /** The planned shutdown has begun. */
+    /** Called when the graceful shutdown starts: the health check fails from now on. */
     void drainStarted() {
         state = State.DRAINING;
         clients.ready(false);
--- a/src/main/java/petrelplank/cli/RecordSinks.java
+++ b/src/main/java/petrelplank/cli/RecordSinks.java
@@ -11,18 +11,19 @@
 import petrelplank.yaml.Yaml;
 
 /**
- * Turns records on where the operator's file says so. Apart from {@link ServeCommand}, so that a proxy without records
- * does not load the classes for them.
+ * Creates the record sink that the operator file asks for. Separate from {@link ServeCommand} so that a proxy without
+ * records does not load the classes for them.
  */
 final class RecordSinks {
     private RecordSinks() {}
 
     /**
-     * Starts the sink of a proxy.
+     * Creates the record sink of a proxy.
      *
-     * @param operator the operator's file
-     * @param name the proxy's name
-     * @return the sink that the file asks for
+     * @param operator the operator file
+     * @param name the name of the proxy
+     * @return the sink, or {@link EventSink#NONE} if the file does not turn records on
+     * @throws IOException if the operator file cannot be read or the record directory cannot be used
      */
     static EventSink sink(File operator, String name) throws IOException {
         Section file = Yaml.read(operator.toPath());
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -21,18 +21,18 @@
 import petrelplank.report.JsonReport;
 import petrelplank.report.TextSummary;
 
-/** {@code report}: the figures and findings of an incident, from the records of proxies. */
+/** {@code report}: analyzes the records of proxies and reports the statistics and findings of an incident. */
 public final class ReportCommand extends BaseCommand {
-    @Argument(metaVar = "DIR", required = true, usage = "directories with records, or record files")
+    @Argument(metaVar = "DIR", required = true, usage = "record files, or directories that contain them")
     private List<String> places = new ArrayList<>();
 
-    @Option(name = "--out", metaVar = "FILE.html", usage = "the page; it needs no network")
+    @Option(name = "--out", metaVar = "FILE.html", usage = "file for the HTML report; it can be viewed offline")
     private File out;
 
-    @Option(name = "--json", metaVar = "FILE", usage = "the same figures as JSON")
+    @Option(name = "--json", metaVar = "FILE", usage = "file for the same report as JSON")
     private File json;
 
-    /** For args4j, which makes it by reflection. */
+    /** Called by args4j through reflection. */
     public ReportCommand() {}
 
     @Override
@@ -49,8 +49,9 @@
                 reader.errors().stream().map(ReadError::message).toList();
         unreadable.forEach(line -> System.err.println("petrelplank: " + line));
         if (records.entries() == 0) {
-            return unusable("no records in " + String.join(", ", places)
-                    + "; a proxy writes them where its operator's file turns them on, and emulate with --records DIR");
+            return unusable(
+                    "no records found in " + String.join(", ", places)
+                            + "; they are written by emulate --records DIR, and by serve if the operator file turns records on");
         }
         write(new IncidentTimeline(records), unreadable);
         return unreadable.isEmpty() ? ExitStatus.SUCCESS : ExitStatus.INCOMPLETE_RECORDS;
@@ -59,7 +60,7 @@
     private static Optional<String> missingInput(List<Path> paths) {
         return paths.stream()
                 .filter(path -> !Files.exists(path))
-                .map(path -> path + ": there is no such file or directory")
+                .map(path -> path + ": no such file or directory")
                 .findFirst();
     }
 
--- a/src/main/java/petrelplank/cli/ScenariosCommand.java
+++ b/src/main/java/petrelplank/cli/ScenariosCommand.java
@@ -6,7 +6,7 @@
 
 /** {@code scenarios}: lists the bundled scenarios. */
 public final class ScenariosCommand extends BaseCommand {
-    /** For args4j, which makes it by reflection. */
+    /** Called by args4j through reflection. */
     public ScenariosCommand() {}
 
     @Override
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -13,40 +13,46 @@
 import petrelplank.settings.FormatException;
 import petrelplank.yaml.YamlException;
 
-/** {@code serve}: runs one proxy. */
+/** {@code serve}: runs one proxy until SIGTERM. */
 public final class ServeCommand extends BaseCommand {
     private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
     private static final long US_PER_SECOND = 1_000_000;
     private static final int NS_PER_US = 1000;
 
-    @Option(name = "--config", metaVar = "FILE", usage = "the configuration; else $EDGE_CONFIG")
+    @Option(name = "--config", metaVar = "FILE", usage = "configuration file (default: $EDGE_CONFIG)")
     private String config = System.getenv("EDGE_CONFIG");
 
-    @Option(name = "--listen", metaVar = "HOST:PORT", usage = "where clients connect; else $EDGE_LISTEN")
+    @Option(
+            name = "--listen",
+            metaVar = "HOST:PORT",
+            usage = "address for client connections (default: $EDGE_LISTEN, else the configuration)")
     private String listen = System.getenv("EDGE_LISTEN");
 
-    @Option(name = "--operator", metaVar = "FILE", usage = "the operator's YAML file; nothing of it is on without")
+    @Option(
+            name = "--operator",
+            metaVar = "FILE",
+            usage = "YAML file with operator settings; without it, no records are written")
     private File operator;
 
     @Option(
             name = "--trace",
             forbids = "--operator",
-            usage = "each event as a line on standard error; costs processor time, for a close look")
+            usage = "print each event as a line on standard error; for debugging, as it takes processor time")
     private boolean trace;
 
-    /** For args4j, which makes it by reflection. */
+    /** Called by args4j through reflection. */
     public ServeCommand() {}
 
     @Override
     public int run() {
         if (config == null) {
-            return unusable("no configuration: give --config or set EDGE_CONFIG");
+            return unusable("no configuration file: use --config FILE or set EDGE_CONFIG");
         }
         ProxyServer server;
         try {
             Configuration configuration = Configuration.read(new File(config));
             if (operator != null && !operator.isFile()) {
-                return unusable(operator + ": no such file");
+                return unusable(operator + ": no such operator file");
             }
             server = start(configuration);
         } catch (JsonProcessingException e) {
@@ -63,7 +69,7 @@
     private ProxyServer start(Configuration configuration) throws IOException {
         ProxyServer server = new ProxyServer(configuration, ServeCommand::unixUs, sink(configuration.name()));
         if (!Signals.on("HUP", () -> reload(server, new File(config)))) {
-            LOG.warning("started with SIGHUP ignored (nohup?): a new configuration will not be read");
+            LOG.warning("started with SIGHUP ignored (nohup?): SIGHUP will not reload the configuration");
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(server), "drain"));
         server.open(listen == null ? configuration.listenAddress() : Addresses.parse(listen));
@@ -77,18 +83,18 @@
         return operator == null ? EventSink.NONE : RecordSinks.sink(operator, proxyName);
     }
 
-    /** Guards the process: whatever is wrong with the new file, the server goes on with what it has. */
+    /** Reloads the configuration. If the file cannot be used, the proxy continues with its current configuration. */
     static void reload(ProxyServer server, File file) {
         try {
             Configuration next = Configuration.read(file);
             server.follow(next.discoveryAddress(), next.knownEvents());
         } catch (IOException | RuntimeException e) {
-            LOG.warning("SIGHUP: " + file + " can't be used, the old configuration stays: "
+            LOG.warning("SIGHUP: " + file + " cannot be used, keeping the current configuration: "
                     + String.valueOf(e.getMessage()).replace('\n', ' '));
         }
     }
 
-    /** Runs at SIGTERM, while the other threads go on; ends the process itself, with status 0. */
+    /** Shutdown hook for SIGTERM: drains while the other threads still run, then halts the process with status 0. */
     private static void drain(ProxyServer server) {
         long longestMs = server.drain(() -> Runtime.getRuntime().halt(0));
         try {
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -8,27 +8,31 @@
 import petrelplank.routing.ServiceClass;
 
 /**
- * The graceful shutdown after SIGTERM, in this order: the health check fails; connections, then requests are accepted a
- * while longer; all that is open is answered; idle connections of clients are closed. Event thread only.
+ * The graceful shutdown after SIGTERM. The health check fails at once. New connections, and for longer new requests, are
+ * still accepted for a while. Then open requests are answered and idle client connections are closed. Except for
+ * {@link #start}, used only in the event thread.
  */
 final class Shutdown {
     private static final Logger LOG = Logger.getLogger(Shutdown.class.getName());
     private static final long US_PER_MS = 1000;
-    /** After SIGTERM connections come for up to 400 ms and requests for 200 ms more; both with a generous margin. */
+    /** Clients open connections for up to 400 ms after SIGTERM and send requests for 200 ms more; both have a margin. */
     private static final long ACCEPT_CONNECTIONS_US = 600 * US_PER_MS;
 
     private static final long ACCEPT_REQUESTS_US = 900 * US_PER_MS;
-    /** SIGKILL comes so long after the longest deadline, counted from SIGTERM; a longer deadline counts as the maximum. */
+    /**
+     * SIGKILL follows SIGTERM after the longest request deadline plus this time. A deadline above the maximum counts as
+     * the maximum.
+     */
     private static final long KILL_AFTER_DEADLINE_US = 700 * US_PER_MS;
 
     private static final long MAX_DEADLINE_US = 3_000 * US_PER_MS;
-    /** All is answered so long before SIGKILL. */
+    /** All requests are answered this long before SIGKILL. */
     private static final long KILL_MARGIN_US = 200 * US_PER_MS;
-    /** Time for the last bytes to go out, and once more for idle connections to be closed. */
+    /** Time to send the last bytes, and the same time again to close idle connections. */
     private static final long FLUSH_US = 50 * US_PER_MS;
 
     private static final long POLL_INTERVAL_US = FLUSH_US / 5;
-    /** After so many more turns of the I/O thread, whatever had arrived by then has been read. */
+    /** After this many more select calls of the I/O thread, all data that had arrived before has been read. */
     private static final int TURNS_UNTIL_READ = 2;
 
     private final EventLoop loop;
@@ -62,10 +66,10 @@
     }
 
     /**
-     * Starts to drain; from any thread.
+     * Starts the shutdown. May be called from any thread.
      *
-     * @param onStopped run last, in the event thread
-     * @return the longest that the shutdown takes, in milliseconds
+     * @param onStopped the task to run at the end, in the event thread
+     * @return the longest time that the shutdown takes, in milliseconds
      */
     long start(Runnable onStopped) {
         long startedUs = loop.clock();
@@ -73,7 +77,7 @@
         long flushedByUs = answeredByUs + FLUSH_US;
         long acceptUntilUs = startedUs + Math.min(ACCEPT_REQUESTS_US, answerAllUs);
         loop.postUrgent(() -> {
-            LOG.info("SIGTERM: draining; so far " + proxy.counts() + "; " + clients.counts() + "; "
+            LOG.info("SIGTERM: draining; totals so far: " + proxy.counts() + "; " + clients.counts() + "; "
                     + proxy.upstreamCounts());
             readiness.drainStarted();
             proxy.startDrain(answeredByUs);
@@ -86,7 +90,7 @@
         return (flushedByUs - startedUs + 2 * FLUSH_US) / US_PER_MS;
     }
 
-    /** Waits for the pending responses, and until the I/O thread has read what had arrived in time. */
+    /** Waits until the I/O thread has read all data that arrived in time and all responses are sent, then closes. */
     private void closeOnceAnswered(long latestUs, long readAtTurn, Runnable onStopped) {
         boolean unread = transport.processor().selections() < readAtTurn;
         boolean unanswered =
@@ -96,18 +100,22 @@
             return;
         }
         LOG.info("stopped: " + proxy.counts());
-        // Whatever is read from here on is rejected, and not sent upstream: nobody would wait for its response.
+        // Requests read from here on are rejected and not sent upstream, since their responses could no longer be
+        // delivered.
         proxy.stopAdmitting();
         closeClients(loop.now() + FLUSH_US, onStopped);
     }
 
-    /** Closes connections one by one where nothing lies unread, so that no response is lost to a reset. */
+    /**
+     * Closes the client connections one by one, each once it has no unread data: closing a socket with unread data
+     * resets the connection, and the client could lose a response.
+     */
     private void closeClients(long latestUs, Runnable onStopped) {
         if (clients.closeUnused() > 0 && loop.now() < latestUs) {
             loop.at(loop.now() + POLL_INTERVAL_US, () -> closeClients(latestUs, onStopped));
             return;
         }
-        // Nothing is left to be answered, and nothing more is admitted: closing the records may block, for a while.
+        // No request is open and no more are admitted, so the event thread may block for a while to close the records.
         proxy.recordStopped();
         onStopped.run();
     }
--- a/src/main/java/petrelplank/cli/Signals.java
+++ b/src/main/java/petrelplank/cli/Signals.java
@@ -4,19 +4,20 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handlers of operating system signals. The platform offers them through {@code sun.misc.Signal} alone, which is
- * supported (module jdk.unsupported), but which javac warns of whatever is switched off: so it is called by reflection.
+ * Installs handlers for operating system signals. Java offers this only through {@code sun.misc.Signal}. That class is
+ * supported (module jdk.unsupported), but javac warns about each direct use and the warning cannot be suppressed, so it
+ * is called by reflection.
  */
 final class Signals {
     private Signals() {}
 
     /**
-     * Runs a task, in a thread of its own, each time a signal comes, in place of the platform's own handler.
+     * Replaces the default handler of a signal. The task runs in a separate thread each time the signal arrives.
      *
-     * @param name the signal's name without SIG
-     * @param task what to run
-     * @return false where the process was started with the signal ignored, as by nohup: the platform then keeps it
-     *     ignored, and the task never runs
+     * @param name the name of the signal, without SIG
+     * @param task the task to run
+     * @return false if the process was started with the signal ignored, for example by nohup: the Java runtime then keeps
+     *     it ignored, and the task never runs
      */
     static boolean on(String name, Runnable task) {
         try {
@@ -29,9 +30,11 @@
             return previousHandler != handlerType.getField("SIG_IGN").get(null);
         } catch (InvocationTargetException e) {
             throw new IllegalStateException(
-                    "no handler for SIG" + name + ": " + e.getCause().getMessage(), e);
+                    "failed to install a handler for SIG" + name + ": "
+                            + e.getCause().getMessage(),
+                    e);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("no handler for SIG" + name + ": " + e.getMessage(), e);
+            throw new IllegalStateException("failed to install a handler for SIG" + name + ": " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/petrelplank/cli/SimulateCommand.java
+++ b/src/main/java/petrelplank/cli/SimulateCommand.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import petrelplank.simulator.SimulatorAdapter;
 
-/** {@code simulate}: the router of {@code serve} behind the simulator's protocol on standard input and output. */
+/** {@code simulate}: runs the router of {@code serve} with the simulator's protocol on standard input and output. */
 public final class SimulateCommand extends BaseCommand {
-    /** Called by args4j, by reflection. */
+    /** Called by args4j through reflection. */
     public SimulateCommand() {}
 
     @Override
--- a/src/main/java/petrelplank/cli/ToolClassLoader.java
+++ b/src/main/java/petrelplank/cli/ToolClassLoader.java
@@ -14,25 +14,25 @@
 import java.util.Set;
 
 /**
- * Runs commands that need libraries beyond the class path of {@code serve}. These are in {@code lib/tools}: the Java
- * runtime opens every library on the class path at the start, and each would cost the proxy a descriptor and memory
- * for good.
+ * Runs commands that need more libraries than {@code serve}. Those are in {@code lib/tools}, off the class path: the Java
+ * runtime opens every library on the class path at startup, and each would take a file descriptor and memory of the
+ * proxy as long as it runs.
  */
 final class ToolClassLoader {
     private static final Set<String> COMMANDS_WITHOUT_TOOLS =
             Set.of(Main.SERVE, Main.SIMULATE, Main.SIMULATE_ALIAS, Main.VERSION);
     private static final String[] LIBRARY_DIRECTORIES = {"lib", "lib/tools"};
-    /** In one of the libraries of {@code lib/tools}. */
+    /** A resource of a library in {@code lib/tools}; if it is found, those libraries are on the class path. */
     private static final String TOOL_RESOURCE = "/org/apache/avro/Schema.class";
 
     private ToolClassLoader() {}
 
-    /** Whether a command line needs libraries that are not on the class path. */
+    /** Returns whether a command line needs libraries that are not on the class path. */
     static boolean isNeeded(String... args) {
         return needsTools(args) && ToolClassLoader.class.getResource(TOOL_RESOURCE) == null;
     }
 
-    /** Whether a command line needs the libraries of {@code lib/tools}. */
+    /** Returns whether a command line needs the libraries in {@code lib/tools}. */
     static boolean needsTools(String... args) {
         if (args.length > 0 && !args[0].startsWith("-") && !COMMANDS_WITHOUT_TOOLS.contains(args[0])) {
             return true;
@@ -45,7 +45,7 @@
         return false;
     }
 
-    /** Records and the operator's YAML file need libraries, and so do log lines as JSON. */
+    /** Records, the YAML operator file and JSON log lines need libraries in {@code lib/tools}. */
     private static boolean optionNeedsTools(String arg) {
         return arg.startsWith("--operator") || arg.equals("json") || arg.equals("--log-format=json");
     }
@@ -53,7 +53,7 @@
     /**
      * Runs a command line in a class loader that has all libraries.
      *
-     * @throws IOException when standard output breaks
+     * @throws IOException if reading input or writing output fails
      */
     static void run(String... args) throws IOException {
         try {
@@ -89,7 +89,7 @@
         return urls.toArray(URL[]::new);
     }
 
-    /** The libraries of a directory, sorted, so that the class path is the same on every machine. */
+    /** Returns the libraries of a directory, sorted so that the class path is the same on every machine. */
     private static File[] libraries(File directory) {
         File[] libraries = directory.listFiles((parent, name) -> name.endsWith(".jar"));
         if (libraries == null) {
--- a/src/main/java/petrelplank/cli/Warmup.java
+++ b/src/main/java/petrelplank/cli/Warmup.java
@@ -11,8 +11,8 @@
 import petrelplank.transport.BoundedAcceptor;
 
 /**
- * Exercises the router and the listener before the proxy is ready. Guards the first clients, which come all at once:
- * with less than half a core they would wait for the compiler.
+ * Exercises the router and the listener before the proxy is ready, so that the JIT compiler has compiled their code. The
+ * first clients connect all at once; with less than half a core, their requests would wait for the compiler.
  */
 final class Warmup {
     private static final Logger LOG = Logger.getLogger(Warmup.class.getName());
@@ -24,11 +24,11 @@
     private final BoundedAcceptor acceptor;
 
     /**
-     * A warm-up of a proxy.
+     * Creates the warm-up of a proxy.
      *
-     * @param settings the settings in service
-     * @param endpoints the endpoints of the first list
-     * @param acceptor listens by the time that {@link #start} is called
+     * @param settings the router settings of the proxy
+     * @param endpoints the endpoints of the complete lists in the configuration
+     * @param acceptor the listener, which must be listening when {@link #start} is called
      */
     Warmup(RouterSettings settings, List<EndpointInfo> endpoints, BoundedAcceptor acceptor) {
         this.settings = settings;
@@ -36,7 +36,7 @@
         this.acceptor = acceptor;
     }
 
-    /** Runs in a thread of its own, and {@code onFinished} there afterwards, even where the warm-up failed. */
+    /** Runs the warm-up in a new thread, then {@code onFinished} in the same thread, even if the warm-up failed. */
     void start(Runnable onFinished) {
         Thread thread = new Thread(() -> run(onFinished), "warm-up");
         thread.setDaemon(true);
@@ -48,7 +48,7 @@
             RouterWarmup.run(settings, endpoints, ROUTED_REQUESTS);
             ListenerWarmup.run(acceptor.getLocalAddress(), LISTENER_ROUNDS);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "warm-up failed, ready without it", e);
+            LOG.log(Level.WARNING, "warm-up failed, continuing without it", e);
         }
         onFinished.run();
     }
--- a/src/main/java/petrelplank/cli/package-info.java
+++ b/src/main/java/petrelplank/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: one class for each sub-command, the wiring of the proxy that {@code serve} runs, signals and
- * logging. Commands that need more libraries than the proxy run in a class loader of their own.
+ * The command line: one class for each sub-command, the setup of the proxy that {@code serve} runs, signal handling and
+ * logging. Commands that need more libraries than the proxy run in a separate class loader.
  */
 package petrelplank.cli;
--- a/src/main/java/petrelplank/simulator/RouterEvent.java
+++ b/src/main/java/petrelplank/simulator/RouterEvent.java
@@ -2,12 +2,12 @@
 
 import petrelplank.routing.Router;
 
-/** A decoded event of the simulator for one router. */
+/** A decoded simulator event that is delivered to one router. */
 @FunctionalInterface
 interface RouterEvent {
-    /** For a router that gets no events any more. */
+    /** Used for every event addressed to a crashed router; does nothing. */
     RouterEvent IGNORED = (router, nowUs) -> {};
 
-    /** Calls the router; {@code nowUs} is the simulator's clock. */
+    /** Calls the router method for this event; {@code nowUs} is the time of the simulator's clock. */
     void deliver(Router router, long nowUs);
 }
--- a/src/main/java/petrelplank/simulator/SimulatorActions.java
+++ b/src/main/java/petrelplank/simulator/SimulatorActions.java
@@ -8,21 +8,26 @@
 import petrelplank.routing.AttemptPlan;
 import petrelplank.routing.Router;
 
-/** Writes the actions of one gateway's router into the reply. */
+/** Writes the actions of one proxy's router into the reply, as JSON objects in the simulator's protocol. */
 final class SimulatorActions implements Router.Actions {
-    /** Bits of an attempt's options on the wire. */
+    /** Bits of the field {@code bits}, which holds the options of an attempt. */
     private static final int COALESCE = 1;
 
     private static final int ONLY_IF_CACHED = 2;
     private static final int STALE_WHILE_REVALIDATE = 8;
 
-    /** In place of a receiver's number: all gateways. */
+    /** Value of {@code neighbour-id} that addresses all proxies instead of a single one. */
     private static final String ALL_GATEWAYS = "all";
 
     private final int gateway;
     private final Supplier<JsonGenerator> reply;
 
-    /** Actions of a gateway; {@code reply} gives the one that is being written. */
+    /**
+     * Creates the actions of one proxy.
+     *
+     * @param gateway the number of the proxy
+     * @param reply supplies the generator of the reply that is being written
+     */
     SimulatorActions(int gateway, Supplier<JsonGenerator> reply) {
         this.gateway = gateway;
         this.reply = reply;
@@ -50,7 +55,7 @@
         action(verb, output -> output.writeStringField(field, text));
     }
 
-    /** The router threw an exception and gets no more events. */
+    /** Reports that the router threw an exception; it receives no events until it is provisioned again. */
     void crashed(String description) {
         action("CRASH", "words", description);
     }
--- a/src/main/java/petrelplank/simulator/SimulatorAdapter.java
+++ b/src/main/java/petrelplank/simulator/SimulatorAdapter.java
@@ -9,7 +9,7 @@
 import java.io.PrintStream;
 import petrelplank.settings.FormatException;
 
-/** Reads batches of events line by line and writes one reply for each. */
+/** Runs the simulator protocol: reads one batch of events per line and writes one reply line for each. */
 public final class SimulatorAdapter {
     private static final int BUFFER_BYTES = 1 << 16;
     private static final int EXIT_OK = 0;
@@ -18,13 +18,13 @@
     private SimulatorAdapter() {}
 
     /**
-     * Replies to every line until the input ends.
+     * Processes every input line until the input ends or a line is invalid.
      *
-     * @param input the batches
-     * @param output gets replies and nothing else
-     * @param errors gets a message on an illegal line
-     * @return the exit status
-     * @throws IOException when the output breaks
+     * @param input the batches of events, one JSON object per line
+     * @param output receives the replies and nothing else
+     * @param errors receives a message about an invalid line
+     * @return the exit status of the process
+     * @throws IOException if reading the input or writing the output fails
      */
     public static int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         InputStream bufferedInput = new BufferedInputStream(input, BUFFER_BYTES);
@@ -48,9 +48,9 @@
         return EXIT_OK;
     }
 
-    /** One line of input, in a buffer that is reused. */
+    /** Holds one line of input; the buffer is reused for the next line. */
     private static final class Line extends ByteArrayOutputStream {
-        /** Reads the next line; false at the end of the input. */
+        /** Reads the next line and returns true, or returns false at the end of the input. */
         boolean read(InputStream input) throws IOException {
             reset();
             int next = input.read();
@@ -64,7 +64,7 @@
             return true;
         }
 
-        /** The buffer, of which the first {@link #size} bytes are the line. */
+        /** Returns the internal buffer, without a copy; the line is its first {@link #size} bytes. */
         byte[] bytes() {
             return buf;
         }
--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -10,16 +10,21 @@
 import petrelplank.settings.FormatException;
 import petrelplank.settings.JsonFields;
 
-/** Decodes the simulator's events for routers. All fields are read before anything of the router is called. */
+/**
+ * Decodes simulator events into calls of a router. All fields are read before the router is called, so an invalid event
+ * never reaches it in part.
+ */
 final class SimulatorEventDecoder {
+    /** Value of {@code how}: the simulated discovery service failed and there is no list. */
     private static final String DISCOVERY_FAILED = "X";
-    /** The list holds only the endpoints that changed. */
+
+    /** Value of {@code how}: the list holds only the endpoints that changed. */
     private static final String PARTIAL_LIST = "D";
 
-    /** Sent once under a number, which later events name. */
+    /** Endpoint lists by number. The simulator sends each list once, and later events refer to its number. */
     private final Map<Integer, List<EndpointInfo>> endpointLists = new HashMap<>();
 
-    /** Keeps the endpoint list of an event for the events that name it. */
+    /** Stores the endpoint list of a {@code MANIFEST} event, to which later events refer by number. */
     void addEndpointList(JsonFields event) {
         endpointLists.put((int) event.integer("list"), SimulatorFieldDecoder.endpoints(event));
     }
@@ -27,7 +32,7 @@
     /**
      * Decodes one event.
      *
-     * @throws FormatException where its verb is unknown, or a field is missing or of the wrong type
+     * @throws FormatException if its verb is unknown, or a field is missing or has the wrong type
      */
     RouterEvent decode(String verb, JsonFields event) {
         return switch (verb) {
@@ -53,7 +58,10 @@
         int number = (int) event.integer("list");
         List<EndpointInfo> endpoints = endpointLists.get(number);
         if (endpoints == null) {
-            throw new FormatException(event.path(), "no list " + event.integer("list"));
+            throw new FormatException(
+                    event.path(),
+                    "\"list\" refers to endpoint list " + event.integer("list")
+                            + ", which no MANIFEST event has defined");
         }
         return (router, nowUs) -> router.endpointsChanged(nowUs, complete, endpoints);
     }
--- a/src/main/java/petrelplank/simulator/SimulatorFieldDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorFieldDecoder.java
@@ -9,9 +9,9 @@
 import petrelplank.settings.FormatException;
 import petrelplank.settings.JsonFields;
 
-/** Decodes fields of the simulator's events to the router's types. */
+/** Decodes fields of simulator events into the types of the router. */
 final class SimulatorFieldDecoder {
-    /** By their codes on the wire; there is no code 0. */
+    /** The attempt statuses, indexed by their codes in the simulator's protocol, which has no code 0. */
     private static final AttemptStatus[] ATTEMPT_STATUS_BY_CODE = {
         null,
         AttemptStatus.OK,
@@ -25,7 +25,7 @@
         AttemptStatus.MISS
     };
 
-    /** By their codes on the wire. */
+    /** The cache statuses, indexed by their codes in the simulator's protocol. */
     private static final CacheStatus[] CACHE_STATUS_BY_CODE = {
         CacheStatus.NONE,
         CacheStatus.HIT,
@@ -45,12 +45,12 @@
     static AttemptStatus attemptStatus(JsonFields event) {
         long code = event.integer("rc");
         if (code < 1 || code >= ATTEMPT_STATUS_BY_CODE.length) {
-            throw new FormatException(event.path(), "rc " + code + " is none of the endings");
+            throw new FormatException(event.path(), "rc " + code + " is not an attempt status; expected 1 to 9");
         }
         return ATTEMPT_STATUS_BY_CODE[(int) code];
     }
 
-    /** An unknown code says nothing of the cache. */
+    /** Decodes the cache status; an absent or unknown code becomes {@link CacheStatus#NONE}. */
     static CacheStatus cacheStatus(JsonFields event) {
         long code = event.integer("note", 0);
         if (code < 0 || code >= CACHE_STATUS_BY_CODE.length) {
@@ -86,11 +86,13 @@
             case "up" -> EndpointState.UP;
             case "draining" -> EndpointState.DRAINING;
             case "removed" -> EndpointState.REMOVED;
-            default -> throw new FormatException(entry.path(), "mode \"" + mode + "\" is unknown");
+            default ->
+                throw new FormatException(
+                        entry.path(), "\"mode\" is \"" + mode + "\"; expected up, draining or removed");
         };
     }
 
-    /** A request's tenant; null where the site names none, for which it may also send 0. */
+    /** Returns the tenant of a request, or null if it has none: the field is then absent, null or 0. */
     static String tenant(JsonFields event) {
         return event.has("billing") && !event.is("billing", 0) ? event.text("billing") : null;
     }
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -18,9 +18,12 @@
 import petrelplank.settings.JsonValue;
 import petrelplank.settings.SettingsParser;
 
-/** A run of the simulator: its routers, and the batches that turn into calls of them and replies with their actions. */
+/**
+ * The state of one simulator run. Holds a router for each simulated proxy, delivers the events of each batch to them,
+ * and writes a reply with the actions that they take.
+ */
 final class SimulatorSession {
-    /** Stack frames that a crash is reported with. */
+    /** The number of stack frames in the report of a crash. */
     private static final int MAX_STACK_FRAMES = 6;
 
     private final JsonFactory json = JsonFactory.builder()
@@ -28,20 +31,21 @@
             .build();
     private final SimulatorEventDecoder decoder = new SimulatorEventDecoder();
     private final Map<Integer, Router> routers = new HashMap<>();
-    /** Gateways whose router threw an exception; they get no events until they are provisioned again. */
+    /** Proxies whose router threw an exception; their events are ignored until they are provisioned again. */
     private final Set<Integer> crashed = new HashSet<>();
-    /** Of the reply that is being written. */
+    /** Generator of the reply that is being written. */
     private JsonGenerator output;
 
     private record Batch(long nowUs, List<JsonFields> events) {}
 
     /**
-     * Processes one batch.
+     * Processes one batch of events and writes the reply.
      *
-     * @param line its JSON, in the first {@code size} bytes
-     * @param size bytes of the line
-     * @param reply gets the actions, without a line end
-     * @throws FormatException where the line is illegal; the reply is then incomplete
+     * @param line a buffer that starts with the JSON of the batch
+     * @param size the length of the JSON, in bytes
+     * @param reply receives the actions, without a line terminator
+     * @throws FormatException if the line is invalid; the reply is then incomplete
+     * @throws IOException if the reply cannot be written
      */
     void process(byte[] line, int size, OutputStream reply) throws IOException {
         Batch batch = parse(line, size);
@@ -63,12 +67,13 @@
             JsonValue value = parser.nextToken() == null ? JsonValue.NULL : JsonValue.read(parser);
             if (parser.nextToken() != null) {
                 long offset = parser.currentLocation().getByteOffset();
-                throw new FormatException("more than one value on the line, at byte " + offset);
+                throw new FormatException(
+                        "expected one JSON object per line, found another value before byte " + offset);
             }
-            JsonFields batch = value.asObject("the batch");
+            JsonFields batch = value.asObject("batch");
             return new Batch(batch.integer("clock-us"), batch.indexedObjects("in", "event"));
         } catch (JsonProcessingException e) {
-            throw new FormatException("not JSON: " + e.getOriginalMessage() + ", at byte "
+            throw new FormatException("not JSON: " + e.getOriginalMessage() + ", near byte "
                     + e.getLocation().getByteOffset());
         }
     }
@@ -89,7 +94,10 @@
         }
     }
 
-    /** What the event does; it is decoded here, so that a call fails by the router's fault alone. */
+    /**
+     * Returns the call that handles the event. The event is decoded here, before the call, so that an exception of the
+     * call is a crash of the router and not an invalid event.
+     */
     private Runnable decode(String verb, int gateway, long nowUs, JsonFields event) {
         return switch (verb) {
             case "PROVISION" -> provision(gateway, event);
@@ -116,7 +124,8 @@
             return RouterEvent.IGNORED;
         }
         if (!routers.containsKey(gateway)) {
-            throw new FormatException(event.path(), "gateway " + gateway + " was not provisioned");
+            throw new FormatException(
+                    event.path(), "gateway " + gateway + " has no router: no PROVISION event, or a TEARDOWN since");
         }
         return decoder.decode(verb, event);
     }
--- a/src/main/java/petrelplank/simulator/package-info.java
+++ b/src/main/java/petrelplank/simulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The adapter between the simulator's wire and the router: batches of events come line by line on standard input, and
- * each is answered by one line with the router's actions. Verbs and field names are the simulator's and differ from
- * the names used elsewhere; this package alone maps them.
+ * The adapter between the simulator's protocol and the router. Each line of standard input holds a batch of events, and
+ * the reply to it is one line with the actions of the routers. The simulator has its own verbs and field names; only
+ * this package maps them to the names of the rest of the program.
  */
 package petrelplank.simulator;
--- a/src/test/java/petrelplank/cli/CommandLineTest.java
+++ b/src/test/java/petrelplank/cli/CommandLineTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.kohsuke.args4j.CmdLineException;
 
-/** The sub-commands, their options and their exit statuses. */
+/** Tests the sub-commands, their options and their exit statuses. */
 class CommandLineTest {
-    /** Guards against a command class that is not public: args4j creates them by reflection, and no command started. */
+    /** args4j creates commands by reflection: when a command class was not public, no command could be started. */
     @Test
     void everySubCommandCanBeCreated() throws CmdLineException {
         assertInstanceOf(ServeCommand.class, Main.parse("serve"));
@@ -69,7 +69,7 @@
         assertThrows(CmdLineException.class, () -> Main.parse("version", "--log-format", "xml"));
     }
 
-    /** Either one would silently leave the other out. */
+    /** If both were accepted, one of them would silently have no effect. */
     @Test
     void traceAndRecordsTogetherAreRejected() {
         CmdLineException rejection = assertThrows(
--- a/src/test/java/petrelplank/cli/ProxySignalsTest.java
+++ b/src/test/java/petrelplank/cli/ProxySignalsTest.java
@@ -12,11 +12,11 @@
 import petrelplank.fastcgi.FastCgiClient;
 import petrelplank.upstream.FakeServer;
 
-/** Signals to a real proxy process at unusual moments. */
+/** Sends signals to a real proxy process while it drains and before it is ready. */
 @Tag("processes")
 class ProxySignalsTest {
     private static final long READY_TIMEOUT_MS = 60_000;
-    /** The longest that a drain may take: 3 s for the longest deadline, 0.7 s more, and time for the process to go. */
+    /** A drain takes up to 3.7 s (the longest deadline of 3 s, plus 0.7 s); the rest is time for the process to exit. */
     private static final long DRAIN_TIMEOUT_S = 15;
 
     private static void signal(String name, long pid) throws IOException, InterruptedException {
@@ -33,7 +33,7 @@
         assertThat(processes.log(0)).contains("stopped: ").doesNotContain("Exception");
     }
 
-    /** A second SIGTERM, and SIGHUP, while the drain answers what is open: neither ends it early. */
+    /** A second SIGTERM and a SIGHUP, sent while open requests are still answered, do not end the drain early. */
     @Test
     void signalsWhileDrainingDoNotInterruptTheDrain(@TempDir Path folder) throws IOException, InterruptedException {
         try (FakeServer cache = new FakeServer();
@@ -62,7 +62,7 @@
         }
     }
 
-    /** SIGTERM to a proxy that is not ready, as it waits for the first heartbeat of the discovery service. */
+    /** Sends SIGTERM to a proxy that is not ready because it waits for the first heartbeat of the discovery service. */
     @Test
     void proxyThatIsNotReadyStopsGracefully(@TempDir Path folder) throws IOException, InterruptedException {
         try (FakeServer silentDiscovery = new FakeServer();
--- a/src/test/java/petrelplank/cli/ReplayTest.java
+++ b/src/test/java/petrelplank/cli/ReplayTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The same seed gives the same bytes in another process: the emulator's ground truth and the report's JSON. Within one
- * process the order of a {@code Map.of} is fixed, so only two processes can show a difference.
+ * Checks that the same seed gives the same ground truth and the same JSON report, byte for byte, in two processes. The
+ * iteration order of {@code Map.of} is fixed within a process, so only two processes can show that the output depends on
+ * it.
  */
 class ReplayTest {
     private static void run(Path folder, String... arguments) throws IOException, InterruptedException {
--- a/src/test/java/petrelplank/cli/ReportTest.java
+++ b/src/test/java/petrelplank/cli/ReportTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.kohsuke.args4j.CmdLineException;
 
-/** The commands as a new user would call them, also wrongly. */
+/** Tests the commands {@code emulate} and {@code report}, with valid and invalid arguments. */
 class ReportTest {
     @TempDir
     Path folder;
@@ -44,11 +44,11 @@
         assertEquals(new ObjectMapper().readTree(truth.toFile()).at("/total/asked"), report.at("/total/asked"));
         String html = Files.readString(page);
         assertTrue(html.contains("Silent hub: <a href=\"#hub-box-1_hub2\">hub-box-1.hub2</a>"));
-        // It opens with no network: nothing is fetched, and nothing runs.
+        // The page can be viewed offline: it contains no scripts and loads nothing.
         assertFalse(html.contains("<script") || html.contains("src=") || html.contains("@import"));
         assertFalse(
-                html.replaceAll("xmlns(:[a-z]+)?=['\"][^'\"]*['\"]", "").contains("http"), "an address in the page");
-        assertEquals(2, run("emulate", "--records", records), "records are never written over");
+                html.replaceAll("xmlns(:[a-z]+)?=['\"][^'\"]*['\"]", "").contains("http"), "the page contains a URL");
+        assertEquals(2, run("emulate", "--records", records), "existing records must not be overwritten");
     }
 
     @Test
@@ -79,8 +79,8 @@
             bytes.add(files);
         }
         assertEquals(10, bytes.get(0).size());
-        assertTrue(bytes.get(0).equals(bytes.get(1)), "the second run differs from the first");
-        assertFalse(bytes.get(0).equals(bytes.get(2)), "another seed gives the same");
+        assertTrue(bytes.get(0).equals(bytes.get(1)), "two runs with the same seed differ");
+        assertFalse(bytes.get(0).equals(bytes.get(2)), "runs with different seeds are identical");
     }
 
     @Test
@@ -104,7 +104,7 @@
     void filesThatAreNoRecordsAreSkippedWithTheirStatus() throws IOException, CmdLineException {
         Path records = folder.resolve("records");
         assertEquals(0, run("emulate", "calm", "--records", records));
-        Files.writeString(records.resolve("notes.txt"), "not one of ours");
+        Files.writeString(records.resolve("notes.txt"), "not a record file");
         File json = folder.resolve("report.json").toFile();
         assertEquals(3, run("report", records, "--json", json));
         JsonNode report = new ObjectMapper().readTree(json);
--- a/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
@@ -16,7 +16,7 @@
 import petrelplank.settings.JsonFields;
 import petrelplank.settings.JsonValue;
 
-/** The codes are the simulator's: a constant that moves in its enum must not change them. */
+/** Checks the status codes of the simulator's protocol, which must not change if enum constants are reordered. */
 class SimulatorFieldDecoderTest {
     private static final JsonFactory JSON = new JsonFactory();
 
--- a/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
@@ -10,9 +10,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The simulator's wire: batches in, replies out. */
+/** Tests the simulator protocol: the replies to batches of events. */
 class SimulatorSessionTest {
-    /** Settings as the simulator sends them; some fields are not read. */
+    /** Settings as the simulator sends them, with fields that the program does not read. */
     private static final String SETUP = """
         {"balancers":1,"caps":{"cancel":true,"connect-timeout-us":400000,"max-retry-after-us":500000,
         "peer-messages":false,"probing":false,"retry-after":true,"second-copies":false,"try-limit":8},
@@ -26,7 +26,7 @@
         "services":[{"aim-stretch":2.0,"aim-us":400000,"deadline-us":6000000,"group":"all","key-ttl-us":5000000,
         "late-worth":0.15,"name":"video","repeat":"free","stream":false,"worth":2.0}],"weights":"rough",
         "zone":"edge-1"}""".replace("\n", "");
-    /** Provisions gateway 3 with a cache and its parent. */
+    /** Provisions proxy 3 with a cache and its parent. */
     private static final String START = "{\"clock-us\":5,\"in\":[{\"verb\":\"PROVISION\",\"gateway\":3,"
             + "\"nonce64\":9223372036854775807,\"setup\":" + SETUP
             + "},{\"verb\":\"MANIFEST\",\"list\":0,\"nodes-list\":"
@@ -75,7 +75,7 @@
         assertTrue(reply.contains("\"fill-from\":\"p-1\""), reply);
     }
 
-    /** The tenant is a name; where there is none, it is absent, null or 0. */
+    /** The tenant is a string; for a request without a tenant it is absent, null or 0. */
     @Test
     void tenantIsANameOrNone() throws IOException {
         for (String tenant : new String[] {"\"acme\"", "null", "0"}) {
