--- a/src/main/java/petrelplank/cli/BaseCommand.java
+++ b/src/main/java/petrelplank/cli/BaseCommand.java
@@ -35,7 +35,7 @@
      * @param file the output file, which may not exist yet
      * @return the reason why it cannot be written, or null if it can
      */
-    static String unwritable(File file) {
+    static String findWriteProblem(File file) {
         File directory = file.getAbsoluteFile().getParentFile();
         if (file.isDirectory()) {
             return file + ": is a directory, expected a file";
@@ -43,8 +43,8 @@
         if (!directory.isDirectory()) {
             return file + ": directory does not exist: " + directory;
         }
-        File changed = file.exists() ? file : directory;
-        return Files.isWritable(changed.toPath()) ? null : file + ": no permission to write";
+        File writeTarget = file.exists() ? file : directory;
+        return Files.isWritable(writeTarget.toPath()) ? null : file + ": no permission to write";
     }
 
     /**
@@ -53,7 +53,7 @@
      * @param reason the problem
      * @return {@link ExitStatus#UNUSABLE_INPUT}
      */
-    static int unusable(String reason) {
+    static int reportUnusableInput(String reason) {
         System.err.println("petrelplank: " + String.valueOf(reason).replace('\n', ' '));
         return ExitStatus.UNUSABLE_INPUT;
     }
--- a/src/main/java/petrelplank/cli/EmulateCommand.java
+++ b/src/main/java/petrelplank/cli/EmulateCommand.java
@@ -55,22 +55,23 @@
         try {
             scenario = Scenario.of(scenarioName);
         } catch (YamlException | IOException e) {
-            return unusable(e.getMessage());
+            return reportUnusableInput(e.getMessage());
         }
-        String problem = outputProblem();
+        String problem = prepareOutput();
         if (problem != null) {
-            return unusable(problem);
+            return reportUnusableInput(problem);
         }
         // Log lines of emulated proxies would show the real time and not the simulated time; the records hold more
         // detail.
         PROXY_LOGGER.setLevel(Level.OFF);
         long startNs = System.nanoTime();
-        Simulation simulation = new Simulation(scenario, seed, this::sink);
+        Simulation simulation = new Simulation(scenario, seed, this::createSink);
         GroundTruth truth;
         try {
             truth = simulation.run();
         } catch (UncheckedIOException e) {
-            return unusable("failed to write records: " + e.getCause().getMessage());
+            return reportUnusableInput(
+                    "failed to write records: " + e.getCause().getMessage());
         }
         double seconds = (System.nanoTime() - startNs) / 1e9;
         if (truthFile != null) {
@@ -81,19 +82,19 @@
     }
 
     /** Creates the record directory; returns why the records or the truth cannot be written, or null if they can. */
-    private String outputProblem() {
+    private String prepareOutput() {
         String[] earlierRecords = recordDirectory == null
                 ? null
-                : recordDirectory.list((folder, name) -> name.endsWith(RECORD_FILE_SUFFIX));
+                : recordDirectory.list((parent, name) -> name.endsWith(RECORD_FILE_SUFFIX));
         if (earlierRecords != null && earlierRecords.length > 0) {
             return recordDirectory + ": already contains record files; choose another directory or remove them";
         }
-        String truthProblem = truthFile == null ? null : unwritable(truthFile);
+        String truthProblem = truthFile == null ? null : findWriteProblem(truthFile);
         if (truthProblem != null) {
             return truthProblem;
         }
-        boolean directoryIsThere = recordDirectory == null || recordDirectory.isDirectory() || recordDirectory.mkdirs();
-        return directoryIsThere ? null : recordDirectory + ": failed to create the directory";
+        boolean directoryExists = recordDirectory == null || recordDirectory.isDirectory() || recordDirectory.mkdirs();
+        return directoryExists ? null : recordDirectory + ": failed to create the directory";
     }
 
     private static void printSummary(Scenario scenario, long requests, double seconds, GroundTruth truth) {
@@ -107,7 +108,7 @@
                 JSON.convertValue(truth.total(), new TypeReference<LinkedHashMap<String, Object>>() {}));
     }
 
-    private EventSink sink(String proxy, long incarnation) {
+    private EventSink createSink(String proxy, long incarnation) {
         return recordDirectory == null
                 ? EventSink.NONE
                 : new DirectSink(RecordSettings.in(recordDirectory.toPath()), proxy, incarnation);
--- a/src/main/java/petrelplank/cli/JsonLogs.java
+++ b/src/main/java/petrelplank/cli/JsonLogs.java
@@ -5,8 +5,8 @@
 import java.util.logging.Logger;
 
 /**
- * Formats log lines as JSON in the Elastic Common Schema. Separate from {@link Logs} because the library that it uses is
- * on the class path only if JSON was requested.
+ * Formats log lines as JSON in the Elastic Common Schema. Separate from {@link Logs} because its library is on the
+ * class path only if JSON was requested.
  */
 final class JsonLogs {
     private JsonLogs() {}
--- a/src/main/java/petrelplank/cli/Logs.java
+++ b/src/main/java/petrelplank/cli/Logs.java
@@ -13,7 +13,7 @@
 
     private Logs() {}
 
-    /** Initializes logging. Must run before the first log line, since the Java runtime reads these properties only once. */
+    /** Initializes logging. Runs before the first log line, since the Java runtime reads these properties only once. */
     static void initialize() {
         System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
         System.setProperty("java.util.logging.SimpleFormatter.format", LINE_FORMAT);
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Creates the handlers now. The Java runtime would otherwise create them at the first log line, and no longer once a
-     * shutdown has begun: after a SIGTERM before that line, the process would log nothing at all.
+     * Creates the handlers now. The Java runtime would otherwise create them at the first log line, and no longer once
+     * a shutdown has begun: after a SIGTERM before that line, the process would log nothing at all.
      */
     private static void createHandlers() {
         Logger.getLogger("").getHandlers();
--- a/src/main/java/petrelplank/cli/Main.java
+++ b/src/main/java/petrelplank/cli/Main.java
@@ -25,7 +25,7 @@
 
     private static final String ERROR_PREFIX = "petrelplank: ";
     /** Leaves option defaults out of the help; usage texts state those that matter to the user. */
-    private static final ParserProperties WITHOUT_DEFAULTS =
+    private static final ParserProperties HELP_PROPERTIES =
             ParserProperties.defaults().withShowDefaults(false);
 
     @Argument(
@@ -107,21 +107,21 @@
      */
     static BaseCommand parse(String... args) throws CmdLineException {
         Main main = new Main();
-        new CmdLineParser(main).parseArgument(withoutAlias(args));
+        new CmdLineParser(main).parseArgument(resolveAlias(args));
         return main.command;
     }
 
     /** Replaces a command alias by its name. An alias known to args4j would be listed among the commands. */
-    private static String[] withoutAlias(String... args) {
-        String[] replaced = args.clone();
-        int command = 0;
-        while (command < args.length && args[command].startsWith("-")) {
-            command++;
+    private static String[] resolveAlias(String... args) {
+        String[] resolved = args.clone();
+        int commandIndex = 0;
+        while (commandIndex < args.length && args[commandIndex].startsWith("-")) {
+            commandIndex++;
         }
-        if (command < args.length && args[command].equals(SIMULATE_ALIAS)) {
-            replaced[command] = SIMULATE;
+        if (commandIndex < args.length && args[commandIndex].equals(SIMULATE_ALIAS)) {
+            resolved[commandIndex] = SIMULATE;
         }
-        return replaced;
+        return resolved;
     }
 
     /** Prints the commands and the exit statuses. */
@@ -130,7 +130,7 @@
     }
 
     private static void printOptions(Object options, PrintStream out) {
-        new CmdLineParser(options, WITHOUT_DEFAULTS).printUsage(out);
+        new CmdLineParser(options, HELP_PROPERTIES).printUsage(out);
         out.println(ExitStatus.HELP);
     }
 }
--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -25,7 +25,7 @@
     private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
     private static final long MIN_CONNECT_TIMEOUT_US = 50_000;
     /** Bounds the memory that open requests take under overload: 2,048 of them at 128 MB. */
-    private static final int OPEN_REQUESTS_PER_MB = 16;
+    private static final int MAX_OPEN_REQUESTS_PER_MB = 16;
 
     private static final int BYTES_PER_MB_SHIFT = 20;
 
@@ -34,7 +34,7 @@
     private final EventSink sink;
     private final EdgeProxy proxy;
     private final DiscoveryClient discovery;
-    private final FastCgiAcceptor clients;
+    private final FastCgiAcceptor clientAcceptor;
     private final Readiness readiness;
     private final Warmup warmup;
     private final Shutdown shutdown;
@@ -51,23 +51,23 @@
         this.sink = sink;
         loop = new EventLoop(clock);
         transport = new ProxyTransport(configuration.maxDescriptors(), clock);
-        proxy = proxy(configuration);
+        proxy = createProxy(configuration);
         List<EndpointInfo> endpoints = applyKnownEvents(configuration.knownEvents());
         discovery = new DiscoveryClient(
                 loop, proxy, transport.discoveryConnector(), configuration.discoveryAddress(), configuration.seed());
-        clients = new FastCgiAcceptor(
+        clientAcceptor = new FastCgiAcceptor(
                 loop,
                 proxy,
                 transport.acceptor(),
                 transport.clientBudget(),
                 (long) configuration.memoryMb() << BYTES_PER_MB_SHIFT,
                 configuration.sizeScale());
-        readiness = new Readiness(loop, proxy, discovery, clients, transport.acceptor());
+        readiness = new Readiness(loop, proxy, discovery, clientAcceptor, transport.acceptor());
         warmup = new Warmup(settings, endpoints, transport.acceptor());
-        shutdown = new Shutdown(loop, proxy, clients, transport, readiness, settings);
+        shutdown = new Shutdown(loop, proxy, clientAcceptor, transport, readiness, settings);
     }
 
-    private EdgeProxy proxy(Configuration configuration) {
+    private EdgeProxy createProxy(Configuration configuration) {
         RouterSettings settings = configuration.settings();
         ConnectionLimits limits = new ConnectionLimits(
                 transport.upstreamBudget(),
@@ -80,16 +80,16 @@
                 loop,
                 settings,
                 configuration.seed(),
-                OPEN_REQUESTS_PER_MB * configuration.memoryMb(),
+                MAX_OPEN_REQUESTS_PER_MB * configuration.memoryMb(),
                 sink,
                 (events, forwarder) -> new UpstreamConnectionPool(
                         events, forwarder, transport.upstreamConnector(), limits, settings.reportFields()));
     }
 
     /** Applies the events, and returns the endpoints of the complete lists among them. */
-    private List<EndpointInfo> applyKnownEvents(List<JsonFields> known) {
+    private List<EndpointInfo> applyKnownEvents(List<JsonFields> knownEvents) {
         List<EndpointInfo> endpoints = new ArrayList<>();
-        for (JsonFields fields : known) {
+        for (JsonFields fields : knownEvents) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(fields);
             proxy.onEvent(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
@@ -102,10 +102,10 @@
     /** Starts to listen and to follow the discovery service. The proxy becomes ready some time after {@link #run}. */
     void open(InetSocketAddress address) throws IOException {
         proxy.pause();
-        clients.listen(address);
+        clientAcceptor.listen(address);
         loop.post(discovery::start);
-        loop.post(readiness::resumeOnceDiscoveryHeard);
-        warmup.start(() -> loop.post(readiness::readyOnceCaughtUp));
+        loop.post(readiness::resumeAfterFirstDiscoveryEvent);
+        warmup.start(() -> loop.post(readiness::becomeReadyOnceCaughtUp));
     }
 
     /**
@@ -113,11 +113,11 @@
      * thread.
      *
      * @param address the address of the discovery service
-     * @param known the events listed in the new configuration; those applied already are ignored
+     * @param knownEvents the events listed in the new configuration; those applied already are ignored
      */
-    void follow(InetSocketAddress address, List<JsonFields> known) {
+    void followDiscovery(InetSocketAddress address, List<JsonFields> knownEvents) {
         List<DiscoveryEvent> events =
-                known.stream().map(DiscoveryEventDecoder::decode).toList();
+                knownEvents.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
             events.forEach(proxy::onEvent);
             LOG.info("SIGHUP: now following the discovery service at " + address + " from event "
@@ -143,7 +143,8 @@
     }
 
     /**
-     * Starts to drain: answers open requests and those that still arrive, then runs a task. May be called from any thread.
+     * Starts to drain: answers open requests and those that still arrive, then runs a task. May be called from any
+     * thread.
      *
      * @param onStopped the task, run last in the event thread
      * @return the longest time until the task runs, in milliseconds
--- a/src/main/java/petrelplank/cli/ProxyTransport.java
+++ b/src/main/java/petrelplank/cli/ProxyTransport.java
@@ -11,15 +11,15 @@
 /** The sockets of one proxy. The acceptor and both connectors share a single I/O processor. */
 final class ProxyTransport {
     /** Client and upstream connections may use two fifths of the descriptors each; the process needs the rest. */
-    private static final int BUDGET_PARTS = 2;
+    private static final int BUDGET_NUMERATOR = 2;
 
-    private static final int ALL_PARTS = 5;
-    private static final int BACKLOG = 1024;
-    /** MINA would shrink its read buffer to as little as 64 bytes, and even a request without a body took several reads. */
-    private static final int MIN_CLIENT_READ_BUFFER = 2_048;
+    private static final int BUDGET_DENOMINATOR = 5;
+    private static final int ACCEPT_BACKLOG = 1024;
+    /** MINA would shrink its read buffer down to 64 bytes, and even a request without a body took several reads. */
+    private static final int MIN_CLIENT_READ_BUFFER_BYTES = 2_048;
 
-    private static final int UPSTREAM_READ_BUFFER = 16_384;
-    private static final int MAX_UPSTREAM_READ_BUFFER = 65_536;
+    private static final int UPSTREAM_READ_BUFFER_BYTES = 16_384;
+    private static final int MAX_UPSTREAM_READ_BUFFER_BYTES = 65_536;
 
     private final ExecutorService ioThread = Executors.newCachedThreadPool();
     private final SharedProcessor processor;
@@ -36,21 +36,21 @@
      * @param clock the Unix time in microseconds
      */
     ProxyTransport(int maxDescriptors, LongSupplier clock) {
-        int budget = Math.max(1, maxDescriptors * BUDGET_PARTS / ALL_PARTS);
+        int budget = Math.max(1, maxDescriptors * BUDGET_NUMERATOR / BUDGET_DENOMINATOR);
         clientBudget = new DescriptorBudget(budget);
         upstreamBudget = new DescriptorBudget(budget);
         processor = new SharedProcessor(ioThread, clock);
         upstreamConnector = new NioSocketConnector(processor);
         discoveryConnector = new NioSocketConnector(processor);
         upstreamConnector.getSessionConfig().setTcpNoDelay(true);
-        upstreamConnector.getSessionConfig().setReadBufferSize(UPSTREAM_READ_BUFFER);
-        upstreamConnector.getSessionConfig().setMaxReadBufferSize(MAX_UPSTREAM_READ_BUFFER);
+        upstreamConnector.getSessionConfig().setReadBufferSize(UPSTREAM_READ_BUFFER_BYTES);
+        upstreamConnector.getSessionConfig().setMaxReadBufferSize(MAX_UPSTREAM_READ_BUFFER_BYTES);
         processor.setDescriptorBudget(upstreamConnector, upstreamBudget);
         acceptor = new BoundedAcceptor(processor, clientBudget);
         acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.getSessionConfig().setMinReadBufferSize(MIN_CLIENT_READ_BUFFER);
+        acceptor.getSessionConfig().setMinReadBufferSize(MIN_CLIENT_READ_BUFFER_BYTES);
         acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
+        acceptor.setBacklog(ACCEPT_BACKLOG);
     }
 
     SharedProcessor processor() {
--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -31,7 +31,7 @@
     private final EventLoop loop;
     private final EdgeProxy proxy;
     private final DiscoveryClient discovery;
-    private final FastCgiAcceptor clients;
+    private final FastCgiAcceptor clientAcceptor;
     private final BoundedAcceptor acceptor;
     private State state = State.STARTING;
 
@@ -39,12 +39,12 @@
             EventLoop loop,
             EdgeProxy proxy,
             DiscoveryClient discovery,
-            FastCgiAcceptor clients,
+            FastCgiAcceptor clientAcceptor,
             BoundedAcceptor acceptor) {
         this.loop = loop;
         this.proxy = proxy;
         this.discovery = discovery;
-        this.clients = clients;
+        this.clientAcceptor = clientAcceptor;
         this.acceptor = acceptor;
     }
 
@@ -53,15 +53,15 @@
      * Clients that did not notice a restart send requests before the proxy is ready; these wait, because a drain or a
      * purge may have happened after {@code known} in the configuration was written.
      */
-    void resumeOnceDiscoveryHeard() {
-        resumeOnceDiscoveryHeard(loop.now() + MAX_WAIT_US);
+    void resumeAfterFirstDiscoveryEvent() {
+        resumeAfterFirstDiscoveryEvent(loop.now() + MAX_WAIT_US);
     }
 
-    private void resumeOnceDiscoveryHeard(long latestUs) {
-        if (discovery.hasReceivedEvents() || loop.now() >= latestUs) {
+    private void resumeAfterFirstDiscoveryEvent(long giveUpAtUs) {
+        if (discovery.hasReceivedEvents() || loop.now() >= giveUpAtUs) {
             proxy.resume();
         } else {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> resumeOnceDiscoveryHeard(latestUs));
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> resumeAfterFirstDiscoveryEvent(giveUpAtUs));
         }
     }
 
@@ -70,32 +70,32 @@
      * longest wait. Otherwise a restarted proxy could miss a drain or a purge that happened after {@code known} in the
      * configuration was written.
      */
-    void readyOnceCaughtUp() {
-        readyOnceCaughtUp(loop.now() + MAX_WAIT_US);
+    void becomeReadyOnceCaughtUp() {
+        becomeReadyOnceCaughtUp(loop.now() + MAX_WAIT_US);
     }
 
-    private void readyOnceCaughtUp(long latestUs) {
+    private void becomeReadyOnceCaughtUp(long giveUpAtUs) {
         if (state == State.DRAINING) {
             return;
         }
-        if (!discovery.caughtUp() && loop.now() < latestUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> readyOnceCaughtUp(latestUs));
+        if (!discovery.caughtUp() && loop.now() < giveUpAtUs) {
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> becomeReadyOnceCaughtUp(giveUpAtUs));
             return;
         }
         state = State.READY;
-        clients.ready(true);
-        String line =
+        clientAcceptor.ready(true);
+        String message =
                 "serving at " + acceptor.getLocalAddress() + ", endpoint list as of event " + proxy.lastEventIndex();
         if (discovery.caughtUp()) {
-            LOG.info(line);
+            LOG.info(message);
         } else {
-            LOG.warning(line + "; no heartbeat from the discovery service yet, recent endpoint changes may be missing");
+            LOG.warning(message + "; no heartbeat from the discovery service yet, endpoint changes may be missing");
         }
     }
 
     /** Called when the graceful shutdown starts: the health check fails from now on. */
     void drainStarted() {
         state = State.DRAINING;
-        clients.ready(false);
+        clientAcceptor.ready(false);
     }
 }
--- a/src/main/java/petrelplank/cli/RecordSinks.java
+++ b/src/main/java/petrelplank/cli/RecordSinks.java
@@ -20,15 +20,15 @@
     /**
      * Creates the record sink of a proxy.
      *
-     * @param operator the operator file
-     * @param name the name of the proxy
+     * @param operatorFile the operator file
+     * @param proxyName the name of the proxy
      * @return the sink, or {@link EventSink#NONE} if the file does not turn records on
      * @throws IOException if the operator file cannot be read or the record directory cannot be used
      */
-    static EventSink sink(File operator, String name) throws IOException {
-        Section file = Yaml.read(operator.toPath());
-        RecordSettings settings = OperatorRecords.read(file.section("records"));
-        file.done();
-        return settings == null ? EventSink.NONE : new FileSink(settings, name, new SecureRandom().nextLong());
+    static EventSink create(File operatorFile, String proxyName) throws IOException {
+        Section operatorSettings = Yaml.read(operatorFile.toPath());
+        RecordSettings settings = OperatorRecords.read(operatorSettings.section("records"));
+        operatorSettings.done();
+        return settings == null ? EventSink.NONE : new FileSink(settings, proxyName, new SecureRandom().nextLong());
     }
 }
--- a/src/main/java/petrelplank/cli/ReportCommand.java
+++ b/src/main/java/petrelplank/cli/ReportCommand.java
@@ -24,61 +24,60 @@
 /** {@code report}: analyzes the records of proxies and reports the statistics and findings of an incident. */
 public final class ReportCommand extends BaseCommand {
     @Argument(metaVar = "DIR", required = true, usage = "record files, or directories that contain them")
-    private List<String> places = new ArrayList<>();
+    private List<String> inputs = new ArrayList<>();
 
     @Option(name = "--out", metaVar = "FILE.html", usage = "file for the HTML report; it can be viewed offline")
-    private File out;
+    private File htmlFile;
 
     @Option(name = "--json", metaVar = "FILE", usage = "file for the same report as JSON")
-    private File json;
+    private File jsonFile;
 
     /** Called by args4j through reflection. */
     public ReportCommand() {}
 
     @Override
     public int run() throws IOException {
-        List<Path> paths = places.stream().map(Path::of).toList();
-        Optional<String> unusable = missingInput(paths).or(this::unwritableOutput);
-        if (unusable.isPresent()) {
-            return unusable(unusable.get());
+        List<Path> paths = inputs.stream().map(Path::of).toList();
+        Optional<String> problem = findMissingInput(paths).or(this::findUnwritableOutput);
+        if (problem.isPresent()) {
+            return reportUnusableInput(problem.get());
         }
         RecordAggregator records = new RecordAggregator();
         RecordReader reader = new RecordReader();
         reader.read(paths, records::add);
-        List<String> unreadable =
+        List<String> readErrors =
                 reader.errors().stream().map(ReadError::message).toList();
-        unreadable.forEach(line -> System.err.println("petrelplank: " + line));
+        readErrors.forEach(message -> System.err.println("petrelplank: " + message));
         if (records.entries() == 0) {
-            return unusable(
-                    "no records found in " + String.join(", ", places)
-                            + "; they are written by emulate --records DIR, and by serve if the operator file turns records on");
+            return reportUnusableInput("no records found in " + String.join(", ", inputs)
+                    + "; emulate --records DIR writes them, and serve does if the operator file turns records on");
         }
-        write(new IncidentTimeline(records), unreadable);
-        return unreadable.isEmpty() ? ExitStatus.SUCCESS : ExitStatus.INCOMPLETE_RECORDS;
+        write(new IncidentTimeline(records), readErrors);
+        return readErrors.isEmpty() ? ExitStatus.SUCCESS : ExitStatus.INCOMPLETE_RECORDS;
     }
 
-    private static Optional<String> missingInput(List<Path> paths) {
+    private static Optional<String> findMissingInput(List<Path> paths) {
         return paths.stream()
                 .filter(path -> !Files.exists(path))
                 .map(path -> path + ": no such file or directory")
                 .findFirst();
     }
 
-    private Optional<String> unwritableOutput() {
-        return Stream.of(out, json)
+    private Optional<String> findUnwritableOutput() {
+        return Stream.of(htmlFile, jsonFile)
                 .filter(Objects::nonNull)
-                .map(BaseCommand::unwritable)
+                .map(BaseCommand::findWriteProblem)
                 .filter(Objects::nonNull)
                 .findFirst();
     }
 
-    private void write(IncidentTimeline timeline, List<String> unreadable) throws IOException {
+    private void write(IncidentTimeline timeline, List<String> readErrors) throws IOException {
         List<Finding> findings = Diagnosis.of(timeline);
-        if (json != null) {
-            JsonReport.of(timeline, findings, unreadable).writeTo(json);
+        if (jsonFile != null) {
+            JsonReport.of(timeline, findings, readErrors).writeTo(jsonFile);
         }
-        if (out != null) {
-            Files.writeString(out.toPath(), HtmlReport.of(timeline, findings, unreadable));
+        if (htmlFile != null) {
+            Files.writeString(htmlFile.toPath(), HtmlReport.of(timeline, findings, readErrors));
         }
         System.out.print(TextSummary.of(timeline, findings));
     }
--- a/src/main/java/petrelplank/cli/ServeCommand.java
+++ b/src/main/java/petrelplank/cli/ServeCommand.java
@@ -20,19 +20,19 @@
     private static final int NS_PER_US = 1000;
 
     @Option(name = "--config", metaVar = "FILE", usage = "configuration file (default: $EDGE_CONFIG)")
-    private String config = System.getenv("EDGE_CONFIG");
+    private String configPath = System.getenv("EDGE_CONFIG");
 
     @Option(
             name = "--listen",
             metaVar = "HOST:PORT",
             usage = "address for client connections (default: $EDGE_LISTEN, else the configuration)")
-    private String listen = System.getenv("EDGE_LISTEN");
+    private String listenAddress = System.getenv("EDGE_LISTEN");
 
     @Option(
             name = "--operator",
             metaVar = "FILE",
             usage = "YAML file with operator settings; without it, no records are written")
-    private File operator;
+    private File operatorFile;
 
     @Option(
             name = "--trace",
@@ -45,49 +45,49 @@
 
     @Override
     public int run() {
-        if (config == null) {
-            return unusable("no configuration file: use --config FILE or set EDGE_CONFIG");
+        if (configPath == null) {
+            return reportUnusableInput("no configuration file: use --config FILE or set EDGE_CONFIG");
         }
         ProxyServer server;
         try {
-            Configuration configuration = Configuration.read(new File(config));
-            if (operator != null && !operator.isFile()) {
-                return unusable(operator + ": no such operator file");
+            Configuration configuration = Configuration.read(new File(configPath));
+            if (operatorFile != null && !operatorFile.isFile()) {
+                return reportUnusableInput(operatorFile + ": no such operator file");
             }
             server = start(configuration);
         } catch (JsonProcessingException e) {
-            return unusable(config + ": not JSON: " + e.getOriginalMessage());
+            return reportUnusableInput(configPath + ": not JSON: " + e.getOriginalMessage());
         } catch (YamlException e) {
-            return unusable(e.getMessage());
+            return reportUnusableInput(e.getMessage());
         } catch (IOException | FormatException | IllegalArgumentException e) {
-            return unusable(config + ": " + e.getMessage());
+            return reportUnusableInput(configPath + ": " + e.getMessage());
         }
         server.run();
         return ExitStatus.SUCCESS;
     }
 
     private ProxyServer start(Configuration configuration) throws IOException {
-        ProxyServer server = new ProxyServer(configuration, ServeCommand::unixUs, sink(configuration.name()));
-        if (!Signals.on("HUP", () -> reload(server, new File(config)))) {
+        ProxyServer server = new ProxyServer(configuration, ServeCommand::unixTimeUs, createSink(configuration.name()));
+        if (!Signals.on("HUP", () -> reload(server, new File(configPath)))) {
             LOG.warning("started with SIGHUP ignored (nohup?): SIGHUP will not reload the configuration");
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(server), "drain"));
-        server.open(listen == null ? configuration.listenAddress() : Addresses.parse(listen));
+        server.open(listenAddress == null ? configuration.listenAddress() : Addresses.parse(listenAddress));
         return server;
     }
 
-    private EventSink sink(String proxyName) throws IOException {
+    private EventSink createSink(String proxyName) throws IOException {
         if (trace) {
             return FileSink.trace(System.err, proxyName);
         }
-        return operator == null ? EventSink.NONE : RecordSinks.sink(operator, proxyName);
+        return operatorFile == null ? EventSink.NONE : RecordSinks.create(operatorFile, proxyName);
     }
 
     /** Reloads the configuration. If the file cannot be used, the proxy continues with its current configuration. */
     static void reload(ProxyServer server, File file) {
         try {
-            Configuration next = Configuration.read(file);
-            server.follow(next.discoveryAddress(), next.knownEvents());
+            Configuration newConfiguration = Configuration.read(file);
+            server.followDiscovery(newConfiguration.discoveryAddress(), newConfiguration.knownEvents());
         } catch (IOException | RuntimeException e) {
             LOG.warning("SIGHUP: " + file + " cannot be used, keeping the current configuration: "
                     + String.valueOf(e.getMessage()).replace('\n', ' '));
@@ -96,16 +96,16 @@
 
     /** Shutdown hook for SIGTERM: drains while the other threads still run, then halts the process with status 0. */
     private static void drain(ProxyServer server) {
-        long longestMs = server.drain(() -> Runtime.getRuntime().halt(0));
+        long maxDrainMs = server.drain(() -> Runtime.getRuntime().halt(0));
         try {
-            Thread.sleep(longestMs);
+            Thread.sleep(maxDrainMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         Runtime.getRuntime().halt(0);
     }
 
-    private static long unixUs() {
+    private static long unixTimeUs() {
         Instant now = Instant.now();
         return now.getEpochSecond() * US_PER_SECOND + now.getNano() / NS_PER_US;
     }
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -8,14 +8,14 @@
 import petrelplank.routing.ServiceClass;
 
 /**
- * The graceful shutdown after SIGTERM. The health check fails at once. New connections, and for longer new requests, are
- * still accepted for a while. Then open requests are answered and idle client connections are closed. Except for
+ * The graceful shutdown after SIGTERM. The health check fails at once. New connections, and for longer new requests,
+ * are still accepted for a while. Then open requests are answered and idle client connections are closed. Except for
  * {@link #start}, used only in the event thread.
  */
 final class Shutdown {
     private static final Logger LOG = Logger.getLogger(Shutdown.class.getName());
     private static final long US_PER_MS = 1000;
-    /** Clients open connections for up to 400 ms after SIGTERM and send requests for 200 ms more; both have a margin. */
+    /** Clients connect for up to 400 ms after SIGTERM and send requests for 200 ms more; both get a large margin. */
     private static final long ACCEPT_CONNECTIONS_US = 600 * US_PER_MS;
 
     private static final long ACCEPT_REQUESTS_US = 900 * US_PER_MS;
@@ -29,32 +29,32 @@
     /** All requests are answered this long before SIGKILL. */
     private static final long KILL_MARGIN_US = 200 * US_PER_MS;
     /** Time to send the last bytes, and the same time again to close idle connections. */
-    private static final long FLUSH_US = 50 * US_PER_MS;
+    private static final long FLUSH_TIMEOUT_US = 50 * US_PER_MS;
 
-    private static final long POLL_INTERVAL_US = FLUSH_US / 5;
+    private static final long POLL_INTERVAL_US = FLUSH_TIMEOUT_US / 5;
     /** After this many more select calls of the I/O thread, all data that had arrived before has been read. */
-    private static final int TURNS_UNTIL_READ = 2;
+    private static final int SELECTS_UNTIL_READ = 2;
 
     private final EventLoop loop;
     private final EdgeProxy proxy;
-    private final FastCgiAcceptor clients;
+    private final FastCgiAcceptor clientAcceptor;
     private final ProxyTransport transport;
     private final Readiness readiness;
-    private final long answerAllUs;
+    private final long answerTimeLimitUs;
 
     Shutdown(
             EventLoop loop,
             EdgeProxy proxy,
-            FastCgiAcceptor clients,
+            FastCgiAcceptor clientAcceptor,
             ProxyTransport transport,
             Readiness readiness,
             RouterSettings settings) {
         this.loop = loop;
         this.proxy = proxy;
-        this.clients = clients;
+        this.clientAcceptor = clientAcceptor;
         this.transport = transport;
         this.readiness = readiness;
-        this.answerAllUs =
+        this.answerTimeLimitUs =
                 Math.min(MAX_DEADLINE_US, longestDeadlineUs(settings)) + KILL_AFTER_DEADLINE_US - KILL_MARGIN_US;
     }
 
@@ -73,46 +73,47 @@
      */
     long start(Runnable onStopped) {
         long startedUs = loop.clock();
-        long answeredByUs = startedUs + answerAllUs;
-        long flushedByUs = answeredByUs + FLUSH_US;
-        long acceptUntilUs = startedUs + Math.min(ACCEPT_REQUESTS_US, answerAllUs);
+        long answerByUs = startedUs + answerTimeLimitUs;
+        long flushByUs = answerByUs + FLUSH_TIMEOUT_US;
+        long acceptUntilUs = startedUs + Math.min(ACCEPT_REQUESTS_US, answerTimeLimitUs);
         loop.postUrgent(() -> {
-            LOG.info("SIGTERM: draining; totals so far: " + proxy.counts() + "; " + clients.counts() + "; "
+            LOG.info("SIGTERM: draining; totals so far: " + proxy.counts() + "; " + clientAcceptor.counts() + "; "
                     + proxy.upstreamCounts());
             readiness.drainStarted();
-            proxy.startDrain(answeredByUs);
-            loop.at(startedUs + ACCEPT_CONNECTIONS_US, clients::stopListening);
+            proxy.startDrain(answerByUs);
+            loop.at(startedUs + ACCEPT_CONNECTIONS_US, clientAcceptor::stopListening);
             loop.at(
                     acceptUntilUs,
                     () -> closeOnceAnswered(
-                            flushedByUs, transport.processor().selections() + TURNS_UNTIL_READ, onStopped));
+                            flushByUs, transport.processor().selections() + SELECTS_UNTIL_READ, onStopped));
         });
-        return (flushedByUs - startedUs + 2 * FLUSH_US) / US_PER_MS;
+        return (flushByUs - startedUs + 2 * FLUSH_TIMEOUT_US) / US_PER_MS;
     }
 
     /** Waits until the I/O thread has read all data that arrived in time and all responses are sent, then closes. */
-    private void closeOnceAnswered(long latestUs, long readAtTurn, Runnable onStopped) {
-        boolean unread = transport.processor().selections() < readAtTurn;
-        boolean unanswered =
-                unread || proxy.hasPendingRequests() || transport.acceptor().getScheduledWriteBytes() > 0;
-        if (unanswered && loop.now() < latestUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeOnceAnswered(latestUs, readAtTurn, onStopped));
+    private void closeOnceAnswered(long closeByUs, long readAtSelection, Runnable onStopped) {
+        boolean hasUnreadData = transport.processor().selections() < readAtSelection;
+        boolean hasPendingWork = hasUnreadData
+                || proxy.hasPendingRequests()
+                || transport.acceptor().getScheduledWriteBytes() > 0;
+        if (hasPendingWork && loop.now() < closeByUs) {
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeOnceAnswered(closeByUs, readAtSelection, onStopped));
             return;
         }
         LOG.info("stopped: " + proxy.counts());
         // Requests read from here on are rejected and not sent upstream, since their responses could no longer be
         // delivered.
         proxy.stopAdmitting();
-        closeClients(loop.now() + FLUSH_US, onStopped);
+        closeClientConnections(loop.now() + FLUSH_TIMEOUT_US, onStopped);
     }
 
     /**
      * Closes the client connections one by one, each once it has no unread data: closing a socket with unread data
      * resets the connection, and the client could lose a response.
      */
-    private void closeClients(long latestUs, Runnable onStopped) {
-        if (clients.closeUnused() > 0 && loop.now() < latestUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeClients(latestUs, onStopped));
+    private void closeClientConnections(long closeByUs, Runnable onStopped) {
+        if (clientAcceptor.closeUnused() > 0 && loop.now() < closeByUs) {
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeClientConnections(closeByUs, onStopped));
             return;
         }
         // No request is open and no more are admitted, so the event thread may block for a while to close the records.
--- a/src/main/java/petrelplank/cli/Signals.java
+++ b/src/main/java/petrelplank/cli/Signals.java
@@ -16,8 +16,8 @@
      *
      * @param name the name of the signal, without SIG
      * @param task the task to run
-     * @return false if the process was started with the signal ignored, for example by nohup: the Java runtime then keeps
-     *     it ignored, and the task never runs
+     * @return false if the process was started with the signal ignored, for example by nohup: the Java runtime then
+     *     keeps it ignored, and the task never runs
      */
     static boolean on(String name, Runnable task) {
         try {
--- a/src/main/java/petrelplank/cli/ToolClassLoader.java
+++ b/src/main/java/petrelplank/cli/ToolClassLoader.java
@@ -14,9 +14,9 @@
 import java.util.Set;
 
 /**
- * Runs commands that need more libraries than {@code serve}. Those are in {@code lib/tools}, off the class path: the Java
- * runtime opens every library on the class path at startup, and each would take a file descriptor and memory of the
- * proxy as long as it runs.
+ * Runs commands that need more libraries than {@code serve}. Those are in {@code lib/tools}, off the class path: the
+ * Java runtime opens every library on the class path at startup, and each would take a file descriptor and memory of
+ * the proxy as long as it runs.
  */
 final class ToolClassLoader {
     private static final Set<String> COMMANDS_WITHOUT_TOOLS =
@@ -63,13 +63,13 @@
                     .getMethod("start", String[].class)
                     .invoke(null, (Object) args);
         } catch (InvocationTargetException e) {
-            throw rethrown(e.getCause());
+            throw asRuntimeException(e.getCause());
         } catch (ReflectiveOperationException | URISyntaxException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static RuntimeException rethrown(Throwable cause) throws IOException {
+    private static RuntimeException asRuntimeException(Throwable cause) throws IOException {
         if (cause instanceof IOException ioException) {
             throw ioException;
         }
--- a/src/main/java/petrelplank/cli/Warmup.java
+++ b/src/main/java/petrelplank/cli/Warmup.java
@@ -11,8 +11,8 @@
 import petrelplank.transport.BoundedAcceptor;
 
 /**
- * Exercises the router and the listener before the proxy is ready, so that the JIT compiler has compiled their code. The
- * first clients connect all at once; with less than half a core, their requests would wait for the compiler.
+ * Exercises the router and the listener before the proxy is ready, so that the JIT compiler has compiled their code.
+ * The first clients connect all at once; with less than half a core, their requests would wait for the compiler.
  */
 final class Warmup {
     private static final Logger LOG = Logger.getLogger(Warmup.class.getName());
--- a/src/main/java/petrelplank/simulator/SimulatorActions.java
+++ b/src/main/java/petrelplank/simulator/SimulatorActions.java
@@ -11,25 +11,25 @@
 /** Writes the actions of one proxy's router into the reply, as JSON objects in the simulator's protocol. */
 final class SimulatorActions implements Router.Actions {
     /** Bits of the field {@code bits}, which holds the options of an attempt. */
-    private static final int COALESCE = 1;
+    private static final int COALESCE_BIT = 1;
 
-    private static final int ONLY_IF_CACHED = 2;
-    private static final int STALE_WHILE_REVALIDATE = 8;
+    private static final int ONLY_IF_CACHED_BIT = 2;
+    private static final int STALE_WHILE_REVALIDATE_BIT = 8;
 
     /** Value of {@code neighbour-id} that addresses all proxies instead of a single one. */
-    private static final String ALL_GATEWAYS = "all";
+    private static final String ALL_PROXIES = "all";
 
-    private final int gateway;
+    private final int proxyNumber;
     private final Supplier<JsonGenerator> reply;
 
     /**
      * Creates the actions of one proxy.
      *
-     * @param gateway the number of the proxy
+     * @param proxyNumber the number of the proxy
      * @param reply supplies the generator of the reply that is being written
      */
-    SimulatorActions(int gateway, Supplier<JsonGenerator> reply) {
-        this.gateway = gateway;
+    SimulatorActions(int proxyNumber, Supplier<JsonGenerator> reply) {
+        this.proxyNumber = proxyNumber;
         this.reply = reply;
     }
 
@@ -38,12 +38,12 @@
         void write(JsonGenerator output) throws IOException;
     }
 
-    private void action(String verb, FieldWriter fields) {
+    private void writeAction(String verb, FieldWriter fields) {
         JsonGenerator output = reply.get();
         try {
             output.writeStartObject();
             output.writeStringField("verb", verb);
-            output.writeNumberField("gateway", gateway);
+            output.writeNumberField("gateway", proxyNumber);
             fields.write(output);
             output.writeEndObject();
         } catch (IOException e) {
@@ -51,18 +51,18 @@
         }
     }
 
-    private void action(String verb, String field, String text) {
-        action(verb, output -> output.writeStringField(field, text));
+    private void writeAction(String verb, String field, String value) {
+        writeAction(verb, output -> output.writeStringField(field, value));
     }
 
     /** Reports that the router threw an exception; it receives no events until it is provisioned again. */
-    void crashed(String description) {
-        action("CRASH", "words", description);
+    void reportCrash(String description) {
+        writeAction("CRASH", "words", description);
     }
 
     @Override
     public void send(String request, AttemptPlan plan) {
-        action("SERVE_VIA", output -> {
+        writeAction("SERVE_VIA", output -> {
             output.writeStringField("job", request);
             output.writeStringField("cache", plan.server());
             output.writeNumberField("limit-us", plan.timeoutUs());
@@ -74,14 +74,14 @@
     }
 
     private static int optionBits(AttemptPlan plan) {
-        return (plan.coalesce() ? COALESCE : 0)
-                | (plan.onlyIfCached() ? ONLY_IF_CACHED : 0)
-                | (plan.staleWhileRevalidate() ? STALE_WHILE_REVALIDATE : 0);
+        return (plan.coalesce() ? COALESCE_BIT : 0)
+                | (plan.onlyIfCached() ? ONLY_IF_CACHED_BIT : 0)
+                | (plan.staleWhileRevalidate() ? STALE_WHILE_REVALIDATE_BIT : 0);
     }
 
     @Override
     public void reject(String request, long retryAfterUs) {
-        action("DECLINE", output -> {
+        writeAction("DECLINE", output -> {
             output.writeStringField("job", request);
             if (retryAfterUs > 0) {
                 output.writeNumberField("retry-after-us", retryAfterUs);
@@ -91,12 +91,12 @@
 
     @Override
     public void fail(String request) {
-        action("SURRENDER", "job", request);
+        writeAction("SURRENDER", "job", request);
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        action("ABANDON", output -> {
+        writeAction("ABANDON", output -> {
             output.writeStringField("job", request);
             output.writeNumberField("send-no", attempt);
         });
@@ -104,14 +104,14 @@
 
     @Override
     public void healthCheck(String endpoint) {
-        action("CHECK", "cache", endpoint);
+        writeAction("CHECK", "cache", endpoint);
     }
 
     @Override
     public void gossip(int receiver, byte[] message) {
-        action("SHARE", output -> {
+        writeAction("SHARE", output -> {
             if (receiver < 0) {
-                output.writeStringField("neighbour-id", ALL_GATEWAYS);
+                output.writeStringField("neighbour-id", ALL_PROXIES);
             } else {
                 output.writeNumberField("neighbour-id", receiver);
             }
@@ -121,7 +121,7 @@
 
     @Override
     public void setTimer(long token, long atUs) {
-        action("AFTER", output -> {
+        writeAction("AFTER", output -> {
             output.writeNumberField("nonce", token);
             output.writeNumberField("due-at-us", atUs);
         });
@@ -129,16 +129,16 @@
 
     @Override
     public void watchEndpoints() {
-        action("WATCH", output -> output.writeBooleanField("enable", true));
+        writeAction("WATCH", output -> output.writeBooleanField("enable", true));
     }
 
     @Override
     public void fetchEndpoints() {
-        action("REFRESH", output -> {});
+        writeAction("REFRESH", output -> {});
     }
 
     @Override
     public void log(String line) {
-        action("LOG", "words", line);
+        writeAction("LOG", "words", line);
     }
 }
--- a/src/main/java/petrelplank/simulator/SimulatorAdapter.java
+++ b/src/main/java/petrelplank/simulator/SimulatorAdapter.java
@@ -12,8 +12,8 @@
 /** Runs the simulator protocol: reads one batch of events per line and writes one reply line for each. */
 public final class SimulatorAdapter {
     private static final int BUFFER_BYTES = 1 << 16;
-    private static final int EXIT_OK = 0;
-    private static final int EXIT_ILLEGAL_INPUT = 1;
+    private static final int EXIT_SUCCESS = 0;
+    private static final int EXIT_INVALID_INPUT = 1;
 
     private SimulatorAdapter() {}
 
@@ -30,26 +30,26 @@
         InputStream bufferedInput = new BufferedInputStream(input, BUFFER_BYTES);
         OutputStream bufferedOutput = new BufferedOutputStream(output, BUFFER_BYTES);
         SimulatorSession session = new SimulatorSession();
-        Line line = new Line();
+        LineBuffer line = new LineBuffer();
         ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_BYTES);
-        for (long number = 1; line.read(bufferedInput); number++) {
+        for (long lineNumber = 1; line.read(bufferedInput); lineNumber++) {
             try {
                 reply.reset();
-                session.process(line.bytes(), line.size(), reply);
+                session.process(line.buffer(), line.size(), reply);
             } catch (FormatException e) {
-                errors.println("line " + number + ": " + e.getMessage());
+                errors.println("line " + lineNumber + ": " + e.getMessage());
                 errors.flush();
-                return EXIT_ILLEGAL_INPUT;
+                return EXIT_INVALID_INPUT;
             }
             reply.writeTo(bufferedOutput);
             bufferedOutput.write('\n');
             bufferedOutput.flush();
         }
-        return EXIT_OK;
+        return EXIT_SUCCESS;
     }
 
     /** Holds one line of input; the buffer is reused for the next line. */
-    private static final class Line extends ByteArrayOutputStream {
+    private static final class LineBuffer extends ByteArrayOutputStream {
         /** Reads the next line and returns true, or returns false at the end of the input. */
         boolean read(InputStream input) throws IOException {
             reset();
@@ -65,7 +65,7 @@
         }
 
         /** Returns the internal buffer, without a copy; the line is its first {@link #size} bytes. */
-        byte[] bytes() {
+        byte[] buffer() {
             return buf;
         }
     }
--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -15,11 +15,11 @@
  * never reaches it in part.
  */
 final class SimulatorEventDecoder {
-    /** Value of {@code how}: the simulated discovery service failed and there is no list. */
-    private static final String DISCOVERY_FAILED = "X";
+    /** Value of {@code changeKind}: the simulated discovery service failed and there is no list. */
+    private static final String CHANGE_DISCOVERY_FAILED = "X";
 
-    /** Value of {@code how}: the list holds only the endpoints that changed. */
-    private static final String PARTIAL_LIST = "D";
+    /** Value of {@code changeKind}: the list holds only the endpoints that changed. */
+    private static final String CHANGE_PARTIAL_LIST = "D";
 
     /** Endpoint lists by number. The simulator sends each list once, and later events refer to its number. */
     private final Map<Integer, List<EndpointInfo>> endpointLists = new HashMap<>();
@@ -50,13 +50,13 @@
     }
 
     private RouterEvent endpointsChanged(JsonFields event) {
-        String how = event.text("how");
-        if (how.equals(DISCOVERY_FAILED)) {
+        String changeKind = event.text("how");
+        if (changeKind.equals(CHANGE_DISCOVERY_FAILED)) {
             return (router, nowUs) -> router.discoveryFailed(nowUs);
         }
-        boolean complete = !how.equals(PARTIAL_LIST);
-        int number = (int) event.integer("list");
-        List<EndpointInfo> endpoints = endpointLists.get(number);
+        boolean complete = !changeKind.equals(CHANGE_PARTIAL_LIST);
+        int listNumber = (int) event.integer("list");
+        List<EndpointInfo> endpoints = endpointLists.get(listNumber);
         if (endpoints == null) {
             throw new FormatException(
                     event.path(),
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -26,15 +26,15 @@
     /** The number of stack frames in the report of a crash. */
     private static final int MAX_STACK_FRAMES = 6;
 
-    private final JsonFactory json = JsonFactory.builder()
+    private final JsonFactory jsonFactory = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .build();
-    private final SimulatorEventDecoder decoder = new SimulatorEventDecoder();
+    private final SimulatorEventDecoder eventDecoder = new SimulatorEventDecoder();
     private final Map<Integer, Router> routers = new HashMap<>();
     /** Proxies whose router threw an exception; their events are ignored until they are provisioned again. */
-    private final Set<Integer> crashed = new HashSet<>();
+    private final Set<Integer> crashedProxies = new HashSet<>();
     /** Generator of the reply that is being written. */
-    private JsonGenerator output;
+    private JsonGenerator replyGenerator;
 
     private record Batch(long nowUs, List<JsonFields> events) {}
 
@@ -49,21 +49,21 @@
      */
     void process(byte[] line, int size, OutputStream reply) throws IOException {
         Batch batch = parse(line, size);
-        output = json.createGenerator(reply);
-        output.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-        output.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
-        output.writeStartObject();
-        output.writeArrayFieldStart("out");
+        replyGenerator = jsonFactory.createGenerator(reply);
+        replyGenerator.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+        replyGenerator.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
+        replyGenerator.writeStartObject();
+        replyGenerator.writeArrayFieldStart("out");
         for (int i = 0; i < batch.events.size(); i++) {
             process(batch.nowUs, batch.events.get(i));
         }
-        output.writeEndArray();
-        output.writeEndObject();
-        output.close();
+        replyGenerator.writeEndArray();
+        replyGenerator.writeEndObject();
+        replyGenerator.close();
     }
 
     private Batch parse(byte[] line, int size) throws IOException {
-        try (JsonParser parser = json.createParser(line, 0, size)) {
+        try (JsonParser parser = jsonFactory.createParser(line, 0, size)) {
             JsonValue value = parser.nextToken() == null ? JsonValue.NULL : JsonValue.read(parser);
             if (parser.nextToken() != null) {
                 long offset = parser.currentLocation().getByteOffset();
@@ -81,16 +81,16 @@
     private void process(long nowUs, JsonFields event) {
         String verb = event.text("verb");
         if (verb.equals("MANIFEST")) {
-            decoder.addEndpointList(event);
+            eventDecoder.addEndpointList(event);
             return;
         }
-        int gateway = (int) event.integer("gateway");
-        Runnable call = decode(verb, gateway, nowUs, event);
+        int proxyNumber = (int) event.integer("gateway");
+        Runnable call = decodeCall(verb, proxyNumber, nowUs, event);
         try {
             call.run();
         } catch (RuntimeException e) {
-            crashed.add(gateway);
-            actions(gateway).crashed(describe(e));
+            crashedProxies.add(proxyNumber);
+            createActions(proxyNumber).reportCrash(describeCrash(e));
         }
     }
 
@@ -98,45 +98,46 @@
      * Returns the call that handles the event. The event is decoded here, before the call, so that an exception of the
      * call is a crash of the router and not an invalid event.
      */
-    private Runnable decode(String verb, int gateway, long nowUs, JsonFields event) {
+    private Runnable decodeCall(String verb, int proxyNumber, long nowUs, JsonFields event) {
         return switch (verb) {
-            case "PROVISION" -> provision(gateway, event);
-            case "TEARDOWN" -> () -> routers.remove(gateway);
+            case "PROVISION" -> decodeProvision(proxyNumber, event);
+            case "TEARDOWN" -> () -> routers.remove(proxyNumber);
             default -> {
-                Router router = routers.get(gateway);
-                RouterEvent decoded = routerEvent(verb, gateway, event);
+                Router router = routers.get(proxyNumber);
+                RouterEvent decoded = decodeRouterEvent(verb, proxyNumber, event);
                 yield () -> decoded.deliver(router, nowUs);
             }
         };
     }
 
-    private Runnable provision(int gateway, JsonFields event) {
+    private Runnable decodeProvision(int proxyNumber, JsonFields event) {
         JsonFields setup = event.object("setup", "setup");
         long seed = event.integer("nonce64");
         return () -> {
-            crashed.remove(gateway);
-            routers.put(gateway, new RequestRouter(SettingsParser.settings(setup), seed, actions(gateway)));
+            crashedProxies.remove(proxyNumber);
+            routers.put(
+                    proxyNumber, new RequestRouter(SettingsParser.settings(setup), seed, createActions(proxyNumber)));
         };
     }
 
-    private RouterEvent routerEvent(String verb, int gateway, JsonFields event) {
-        if (crashed.contains(gateway)) {
+    private RouterEvent decodeRouterEvent(String verb, int proxyNumber, JsonFields event) {
+        if (crashedProxies.contains(proxyNumber)) {
             return RouterEvent.IGNORED;
         }
-        if (!routers.containsKey(gateway)) {
+        if (!routers.containsKey(proxyNumber)) {
             throw new FormatException(
-                    event.path(), "gateway " + gateway + " has no router: no PROVISION event, or a TEARDOWN since");
+                    event.path(), "gateway " + proxyNumber + " has no router: no PROVISION event, or a TEARDOWN since");
         }
-        return decoder.decode(verb, event);
+        return eventDecoder.decode(verb, event);
     }
 
-    private SimulatorActions actions(int gateway) {
-        return new SimulatorActions(gateway, () -> output);
+    private SimulatorActions createActions(int proxyNumber) {
+        return new SimulatorActions(proxyNumber, () -> replyGenerator);
     }
 
-    private static String describe(RuntimeException fault) {
-        StringBuilder text = new StringBuilder(fault.toString());
-        StackTraceElement[] frames = fault.getStackTrace();
+    private static String describeCrash(RuntimeException exception) {
+        StringBuilder text = new StringBuilder(exception.toString());
+        StackTraceElement[] frames = exception.getStackTrace();
         for (int i = 0; i < Math.min(MAX_STACK_FRAMES, frames.length); i++) {
             text.append(" at ").append(frames[i]);
         }
--- a/src/test/java/petrelplank/cli/CommandLineTest.java
+++ b/src/test/java/petrelplank/cli/CommandLineTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void helpNamesEverySubCommandAndLeavesTheAliasOut() {
+    void helpListsEverySubCommandButNotTheAlias() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Main.printHelp(new PrintStream(out, true, StandardCharsets.UTF_8));
         String help = out.toString(StandardCharsets.UTF_8).replaceAll("\\s+", " ");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void commandsOfTheProxyAndOfTheSimulatorDoWithoutTheToolLibraries() {
+    void proxyAndSimulatorCommandsNeedNoToolLibraries() {
         for (String name : new String[] {"serve", "simulate", "drill", "version", "--help"}) {
             assertFalse(ToolClassLoader.needsTools(name), name);
         }
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void logFormatsAreNamedInLowerCase() throws CmdLineException {
+    void logFormatOptionValuesAreLowerCase() throws CmdLineException {
         assertEquals(LogFormat.TEXT, Main.parse("version").logFormat());
         assertEquals(
                 LogFormat.TEXT, Main.parse("version", "--log-format", "text").logFormat());
--- a/src/test/java/petrelplank/cli/ProxySignalsTest.java
+++ b/src/test/java/petrelplank/cli/ProxySignalsTest.java
@@ -16,17 +16,17 @@
 @Tag("processes")
 class ProxySignalsTest {
     private static final long READY_TIMEOUT_MS = 60_000;
-    /** A drain takes up to 3.7 s (the longest deadline of 3 s, plus 0.7 s); the rest is time for the process to exit. */
+    /** A drain takes up to 3.7 s (longest deadline 3 s, plus 0.7 s); the rest is time for the process to exit. */
     private static final long DRAIN_TIMEOUT_S = 15;
 
-    private static void signal(String name, long pid) throws IOException, InterruptedException {
+    private static void sendSignal(String name, long pid) throws IOException, InterruptedException {
         assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(pid))
                         .start()
                         .waitFor())
                 .isZero();
     }
 
-    private static void stopsGracefully(ProxyProcesses processes) throws IOException, InterruptedException {
+    private static void assertStopsGracefully(ProxyProcesses processes) throws IOException, InterruptedException {
         assertThat(processes.process(0).waitFor(DRAIN_TIMEOUT_S, TimeUnit.SECONDS))
                 .isTrue();
         assertThat(processes.process(0).exitValue()).as(processes.log(0)).isZero();
@@ -39,15 +39,15 @@
         try (FakeServer cache = new FakeServer();
                 FakeDiscoveryService discovery = new FakeDiscoveryService("[]")) {
             String instances = "[" + LoopbackFixture.endpointJson("c-1", cache, "edge-1", "box", "active") + "]";
-            String at = "127.0.0.1:" + discovery.port();
-            try (ProxyProcesses processes = new ProxyProcesses(folder, 1, at, instances)) {
+            String discoveryAddress = "127.0.0.1:" + discovery.port();
+            try (ProxyProcesses processes = new ProxyProcesses(folder, 1, discoveryAddress, instances)) {
                 InetSocketAddress address = processes.ready(READY_TIMEOUT_MS).get(0);
                 try (FastCgiClient client = new FastCgiClient(address)) {
                     client.sendRequest(1, "/invoke/media", new byte[0], RequestHeaders.of("aaaaaaaaaaaaaaaa"));
                     FakeServer.Line upstreamRequest = cache.next();
-                    signal("TERM", processes.pid(0));
-                    signal("HUP", processes.pid(0));
-                    signal("TERM", processes.pid(0));
+                    sendSignal("TERM", processes.pid(0));
+                    sendSignal("HUP", processes.pid(0));
+                    sendSignal("TERM", processes.pid(0));
                     client.sendRequest(2, "/_health", new byte[0]);
                     while (!client.readResponse().startsWith("2 Status: 503")) {
                         client.sendRequest(2, "/_health", new byte[0]);
@@ -57,7 +57,7 @@
                             .startsWith("1 Status: 200")
                             .endsWith("one");
                 }
-                stopsGracefully(processes);
+                assertStopsGracefully(processes);
             }
         }
     }
@@ -68,8 +68,8 @@
         try (FakeServer silentDiscovery = new FakeServer();
                 ProxyProcesses processes = new ProxyProcesses(folder, 1, silentDiscovery.address(), "[]")) {
             assertThat(silentDiscovery.next().text()).isEqualTo("follow 1");
-            signal("TERM", processes.pid(0));
-            stopsGracefully(processes);
+            sendSignal("TERM", processes.pid(0));
+            assertStopsGracefully(processes);
             assertThat(processes.log(0)).doesNotContain("serving at");
         }
     }
--- a/src/test/java/petrelplank/cli/ReplayTest.java
+++ b/src/test/java/petrelplank/cli/ReplayTest.java
@@ -14,8 +14,8 @@
 
 /**
  * Checks that the same seed gives the same ground truth and the same JSON report, byte for byte, in two processes. The
- * iteration order of {@code Map.of} is fixed within a process, so only two processes can show that the output depends on
- * it.
+ * iteration order of {@code Map.of} is fixed within a process, so only two processes can show that the output depends
+ * on it.
  */
 class ReplayTest {
     private static void run(Path folder, String... arguments) throws IOException, InterruptedException {
--- a/src/test/java/petrelplank/cli/ReportTest.java
+++ b/src/test/java/petrelplank/cli/ReportTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void reportNamesTheEmulatedIncident() throws IOException, CmdLineException {
+    void reportFindsTheEmulatedIncident() throws IOException, CmdLineException {
         Path records = folder.resolve("records");
         Path truth = folder.resolve("truth.json");
         assertEquals(0, run("emulate", "--records", records, "--truth", truth));
@@ -53,7 +53,7 @@
 
     @Test
     void sameSeedGivesTheSameBytes() throws IOException, CmdLineException {
-        List<Map<String, String>> bytes = new ArrayList<>();
+        List<Map<String, String>> filesByRun = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Path records = folder.resolve("records" + i);
             assertEquals(
@@ -76,19 +76,19 @@
             }
             files.put("page", Files.readString(folder.resolve("page" + i)));
             files.put("truth", Files.readString(folder.resolve("truth" + i)));
-            bytes.add(files);
+            filesByRun.add(files);
         }
-        assertEquals(10, bytes.get(0).size());
-        assertTrue(bytes.get(0).equals(bytes.get(1)), "two runs with the same seed differ");
-        assertFalse(bytes.get(0).equals(bytes.get(2)), "runs with different seeds are identical");
+        assertEquals(10, filesByRun.get(0).size());
+        assertTrue(filesByRun.get(0).equals(filesByRun.get(1)), "two runs with the same seed differ");
+        assertFalse(filesByRun.get(0).equals(filesByRun.get(2)), "runs with different seeds are identical");
     }
 
     @Test
     void unusableArgumentsAreReportedWithTheirStatus() throws IOException, CmdLineException {
         assertEquals(2, run("emulate", "no-such-scenario"));
-        Path bad = folder.resolve("bad.yaml");
-        Files.writeString(bad, "name: x\ntroubles:\n  - kind: silent\n    servers: [box-9.branch9]\n");
-        assertEquals(2, run("emulate", bad));
+        Path invalidScenario = folder.resolve("bad.yaml");
+        Files.writeString(invalidScenario, "name: x\ntroubles:\n  - kind: silent\n    servers: [box-9.branch9]\n");
+        assertEquals(2, run("emulate", invalidScenario));
         assertEquals(2, run("report", folder.resolve("nowhere")));
         Path file = Files.writeString(folder.resolve("file"), "");
         assertEquals(2, run("emulate", "calm", "--records", file));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void filesThatAreNoRecordsAreSkippedWithTheirStatus() throws IOException, CmdLineException {
+    void otherFilesAreSkippedWithIncompleteStatus() throws IOException, CmdLineException {
         Path records = folder.resolve("records");
         assertEquals(0, run("emulate", "calm", "--records", records));
         Files.writeString(records.resolve("notes.txt"), "not a record file");
--- a/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {-1, 0, 10})
-    void unknownAttemptStatusIsIllegal(long code) throws IOException {
+    void unknownAttemptStatusIsRejected(long code) throws IOException {
         JsonFields event = event("{\"rc\":" + code + "}");
         assertThrows(FormatException.class, () -> SimulatorFieldDecoder.attemptStatus(event));
     }
--- a/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorSessionTest.java
@@ -27,7 +27,7 @@
         "late-worth":0.15,"name":"video","repeat":"free","stream":false,"worth":2.0}],"weights":"rough",
         "zone":"edge-1"}""".replace("\n", "");
     /** Provisions proxy 3 with a cache and its parent. */
-    private static final String START = "{\"clock-us\":5,\"in\":[{\"verb\":\"PROVISION\",\"gateway\":3,"
+    private static final String PROVISION_LINE = "{\"clock-us\":5,\"in\":[{\"verb\":\"PROVISION\",\"gateway\":3,"
             + "\"nonce64\":9223372036854775807,\"setup\":" + SETUP
             + "},{\"verb\":\"MANIFEST\",\"list\":0,\"nodes-list\":"
             + "[{\"cache\":\"c-1\",\"rack-zone\":\"edge-1\",\"hw\":\"box\",\"block\":0,\"mode\":\"up\",\"share\":5,"
@@ -52,10 +52,10 @@
         return errors.toString(StandardCharsets.UTF_8);
     }
 
-    private static String accept(String extra) {
+    private static String requestLine(String extraFields) {
         return "{\"clock-us\":9,\"in\":[{\"verb\":\"ACCEPT\",\"gateway\":3,\"job\":\"rq_1\",\"label-no\":1,"
                 + "\"is-write\":false,\"resource\":\"91f03b7c55d20a64\",\"grade\":\"video\",\"not-after-us\":4000009,"
-                + "\"part\":0,\"length-kb\":640,\"billing\":null,\"repeat\":false" + extra + "}]}\n";
+                + "\"part\":0,\"length-kb\":640,\"billing\":null,\"repeat\":false" + extraFields + "}]}\n";
     }
 
     @Test
@@ -66,7 +66,7 @@
 
     @Test
     void requestIsRoutedViaItsCacheAndParent() throws IOException {
-        assertEquals(0, run(START + accept(",\"unheard-of\":{\"x\":[1]}")));
+        assertEquals(0, run(PROVISION_LINE + requestLine(",\"unheard-of\":{\"x\":[1]}")));
         String reply = output().split("\n")[1];
         assertTrue(
                 reply.startsWith("{\"out\":[{\"verb\":\"SERVE_VIA\",\"gateway\":3,\"job\":\"rq_1\","
@@ -80,10 +80,13 @@
     void tenantIsANameOrNone() throws IOException {
         for (String tenant : new String[] {"\"acme\"", "null", "0"}) {
             output.reset();
-            assertEquals(0, run(START + accept("").replace("\"billing\":null", "\"billing\":" + tenant)), tenant);
+            assertEquals(
+                    0,
+                    run(PROVISION_LINE + requestLine("").replace("\"billing\":null", "\"billing\":" + tenant)),
+                    tenant);
             assertTrue(output().contains("SERVE_VIA"), tenant);
         }
-        assertEquals(1, run(START + accept("").replace("\"billing\":null", "\"billing\":7")));
+        assertEquals(1, run(PROVISION_LINE + requestLine("").replace("\"billing\":null", "\"billing\":7")));
         assertTrue(errors().contains("\"billing\" should be a string"), errors());
     }
 
@@ -91,21 +94,21 @@
     void unknownRequestIsIgnored() throws IOException {
         assertEquals(
                 0,
-                run(START + "{\"clock-us\":9,\"in\":[{\"verb\":\"CLIENT_GONE\",\"gateway\":3,"
+                run(PROVISION_LINE + "{\"clock-us\":9,\"in\":[{\"verb\":\"CLIENT_GONE\",\"gateway\":3,"
                         + "\"job\":\"rq_9\"}]}\n"));
         assertTrue(output().endsWith("{\"out\":[]}\n"));
     }
 
     @Test
-    void illegalLineEndsWithAMessageAndNothingOnOutput() throws IOException {
+    void invalidLineIsReportedWithoutOutput() throws IOException {
         assertEquals(1, run("{\"clock-us\":1,\"in\":[}\n"));
         assertTrue(errors().startsWith("line 1: not JSON"), errors());
         assertEquals(0, output.size());
     }
 
     @Test
-    void missingAndWrongFieldsAreNamed() throws IOException {
-        assertEquals(1, run(START + "{\"clock-us\":9,\"in\":[{\"verb\":\"TIMEOUT_FIRED\",\"gateway\":3}]}\n"));
+    void missingAndInvalidFieldsAreReportedByName() throws IOException {
+        assertEquals(1, run(PROVISION_LINE + "{\"clock-us\":9,\"in\":[{\"verb\":\"TIMEOUT_FIRED\",\"gateway\":3}]}\n"));
         assertTrue(errors().contains("line 2: event 0: \"nonce\" is missing"));
         errors.reset();
         assertEquals(1, run("{\"in\":[],\"clock-us\":\"x\"}\n"));
@@ -113,8 +116,8 @@
     }
 
     @Test
-    void exceptionOfARouterBecomesACrash() throws IOException {
-        assertEquals(0, run(START.replace("\"zone\":\"edge-1\"", "\"zone\":\"nowhere\"")));
+    void routerExceptionIsReportedAsCrash() throws IOException {
+        assertEquals(0, run(PROVISION_LINE.replace("\"zone\":\"edge-1\"", "\"zone\":\"nowhere\"")));
         String reply = output();
         assertTrue(reply.contains("\"verb\":\"CRASH\"") && reply.contains("zone (must be one of zones)"), reply);
     }
