--- a/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
+++ b/src/main/java/petrelplank/simulator/SimulatorEventDecoder.java
@@ -15,10 +15,10 @@
  * never reaches it in part.
  */
 final class SimulatorEventDecoder {
-    /** Value of {@code changeKind}: the simulated discovery service failed and there is no list. */
+    /** Value of the field {@code how}: the simulated discovery service failed and there is no list. */
     private static final String CHANGE_DISCOVERY_FAILED = "X";
 
-    /** Value of {@code changeKind}: the list holds only the endpoints that changed. */
+    /** Value of the field {@code how}: the list holds only the endpoints that changed. */
     private static final String CHANGE_PARTIAL_LIST = "D";
 
     /** Endpoint lists by number. The simulator sends each list once, and later events refer to its number. */
