--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -7,19 +7,22 @@
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
 
-/** Decides when a started proxy routes its first request, and when its health check says ready. Event thread only. */
+/**
+ * Decides when a started proxy routes its first request and when its health check reports ready. Used only in the event
+ * thread.
+ */
 final class Readiness {
     private enum State {
         STARTING,
         READY,
-        /** Never ready again. */
+        /** Final state: the proxy does not become ready again. */
         DRAINING
     }
 
     private static final Logger LOG = Logger.getLogger(Readiness.class.getName());
     /**
-     * The longest wait for the discovery service: it sends a heartbeat each second, and its client counts a connection
-     * that is silent for this long as dead, so a proxy that has heard nothing by then would wait in vain.
+     * The longest wait for the discovery service. It sends a heartbeat each second, and the client treats a connection
+     * that was silent for this long as dead, so waiting longer would not help.
      */
     private static final long MAX_WAIT_US = 2_500_000;
 
@@ -28,7 +31,7 @@
     private final EventLoop loop;
     private final EdgeProxy proxy;
     private final DiscoveryClient discovery;
-    private final FastCgiAcceptor clients;
+    private final FastCgiAcceptor clientAcceptor;
     private final BoundedAcceptor acceptor;
     private State state = State.STARTING;
 
@@ -36,61 +39,63 @@
             EventLoop loop,
             EdgeProxy proxy,
             DiscoveryClient discovery,
-            FastCgiAcceptor clients,
+            FastCgiAcceptor clientAcceptor,
             BoundedAcceptor acceptor) {
         this.loop = loop;
         this.proxy = proxy;
         this.discovery = discovery;
-        this.clients = clients;
+        this.clientAcceptor = clientAcceptor;
         this.acceptor = acceptor;
     }
 
     /**
-     * Guards a restarted proxy against clients that have not noticed its death and send requests before it is ready:
-     * these wait for the first line of the discovery service, since a drain or a purge may have come after
-     * {@code known} was written.
+     * Lets the proxy route requests once the discovery service has sent its first line, or after the longest wait.
+     * Clients that did not notice a restart send requests before the proxy is ready; these wait, because a drain or a
+     * purge may have happened after {@code known} in the configuration was written.
      */
-    void resumeOnceDiscoveryHeard() {
-        resumeOnceDiscoveryHeard(loop.now() + MAX_WAIT_US);
+    void resumeAfterFirstDiscoveryEvent() {
+        resumeAfterFirstDiscoveryEvent(loop.now() + MAX_WAIT_US);
     }
 
-    private void resumeOnceDiscoveryHeard(long latestUs) {
-        if (discovery.hasReceivedEvents() || loop.now() >= latestUs) {
+    private void resumeAfterFirstDiscoveryEvent(long giveUpAtUs) {
+        if (discovery.hasReceivedEvents() || loop.now() >= giveUpAtUs) {
             proxy.resume();
         } else {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> resumeOnceDiscoveryHeard(latestUs));
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> resumeAfterFirstDiscoveryEvent(giveUpAtUs));
         }
     }
 
     /**
-     * Guards a restarted proxy against a drain or a purge that came after its {@code known} was written: it is ready
-     * once the heartbeat of the discovery service shows that no event is missing, or when waiting longer is useless.
+     * Reports the proxy ready once a heartbeat of the discovery service shows that no event is missing, or after the
+     * longest wait. Otherwise a restarted proxy could miss a drain or a purge that happened after {@code known} in the
+     * configuration was written.
      */
-    void readyOnceCaughtUp() {
-        readyOnceCaughtUp(loop.now() + MAX_WAIT_US);
+    void becomeReadyOnceCaughtUp() {
+        becomeReadyOnceCaughtUp(loop.now() + MAX_WAIT_US);
     }
 
-    private void readyOnceCaughtUp(long latestUs) {
+    private void becomeReadyOnceCaughtUp(long giveUpAtUs) {
         if (state == State.DRAINING) {
             return;
         }
-        if (!discovery.caughtUp() && loop.now() < latestUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> readyOnceCaughtUp(latestUs));
+        if (!discovery.caughtUp() && loop.now() < giveUpAtUs) {
+            loop.at(loop.now() + POLL_INTERVAL_US, () -> becomeReadyOnceCaughtUp(giveUpAtUs));
             return;
         }
         state = State.READY;
-        clients.ready(true);
-        String line = "serving at " + acceptor.getLocalAddress() + ", endpoint list at " + proxy.lastEventIndex();
+        clientAcceptor.ready(true);
+        String message =
+                "serving at " + acceptor.getLocalAddress() + ", endpoint list as of event " + proxy.lastEventIndex();
         if (discovery.caughtUp()) {
-            LOG.info(line);
+            LOG.info(message);
         } else {
-            LOG.warning(line + "; no heartbeat from the discovery service yet, so recent changes may be missing");
+            LOG.warning(message + "; no heartbeat from the discovery service yet, endpoint changes may be missing");
         }
     }
 
-    /** The planned shutdown has begun. */
+    /** Called when the graceful shutdown starts: the health check fails from now on. */
     void drainStarted() {
         state = State.DRAINING;
-        clients.ready(false);
+        clientAcceptor.ready(false);
     }
 }
--- a/src/main/java/petrelplank/simulator/SimulatorAdapter.java
+++ b/src/main/java/petrelplank/simulator/SimulatorAdapter.java
@@ -9,48 +9,48 @@
 import java.io.PrintStream;
 import petrelplank.settings.FormatException;
 
-/** Reads batches of events line by line and writes one reply for each. */
+/** Runs the simulator protocol: reads one batch of events per line and writes one reply line for each. */
 public final class SimulatorAdapter {
     private static final int BUFFER_BYTES = 1 << 16;
-    private static final int EXIT_OK = 0;
-    private static final int EXIT_ILLEGAL_INPUT = 1;
+    private static final int EXIT_SUCCESS = 0;
+    private static final int EXIT_INVALID_INPUT = 1;
 
     private SimulatorAdapter() {}
 
     /**
-     * Replies to every line until the input ends.
+     * Processes every input line until the input ends or a line is invalid.
      *
-     * @param input the batches
-     * @param output gets replies and nothing else
-     * @param errors gets a message on an illegal line
-     * @return the exit status
-     * @throws IOException when the output breaks
+     * @param input the batches of events, one JSON object per line
+     * @param output receives the replies and nothing else
+     * @param errors receives a message about an invalid line
+     * @return the exit status of the process
+     * @throws IOException if reading the input or writing the output fails
      */
     public static int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         InputStream bufferedInput = new BufferedInputStream(input, BUFFER_BYTES);
         OutputStream bufferedOutput = new BufferedOutputStream(output, BUFFER_BYTES);
         SimulatorSession session = new SimulatorSession();
-        Line line = new Line();
+        LineBuffer line = new LineBuffer();
         ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_BYTES);
-        for (long number = 1; line.read(bufferedInput); number++) {
+        for (long lineNumber = 1; line.read(bufferedInput); lineNumber++) {
             try {
                 reply.reset();
-                session.process(line.bytes(), line.size(), reply);
+                session.process(line.buffer(), line.size(), reply);
             } catch (FormatException e) {
-                errors.println("line " + number + ": " + e.getMessage());
+                errors.println("line " + lineNumber + ": " + e.getMessage());
                 errors.flush();
-                return EXIT_ILLEGAL_INPUT;
+                return EXIT_INVALID_INPUT;
             }
             reply.writeTo(bufferedOutput);
             bufferedOutput.write('\n');
             bufferedOutput.flush();
         }
-        return EXIT_OK;
+        return EXIT_SUCCESS;
     }
 
-    /** One line of input, in a buffer that is reused. */
-    private static final class Line extends ByteArrayOutputStream {
-        /** Reads the next line; false at the end of the input. */
+    /** Holds one line of input; the buffer is reused for the next line. */
+    private static final class LineBuffer extends ByteArrayOutputStream {
+        /** Reads the next line and returns true, or returns false at the end of the input. */
         boolean read(InputStream input) throws IOException {
             reset();
             int next = input.read();
@@ -64,8 +64,8 @@
             return true;
         }
 
-        /** The buffer, of which the first {@link #size} bytes are the line. */
-        byte[] bytes() {
+        /** Returns the internal buffer, without a copy; the line is its first {@link #size} bytes. */
+        byte[] buffer() {
             return buf;
         }
     }
--- a/src/main/java/petrelplank/simulator/SimulatorSession.java
+++ b/src/main/java/petrelplank/simulator/SimulatorSession.java
@@ -18,57 +18,62 @@
 import petrelplank.settings.JsonValue;
 import petrelplank.settings.SettingsParser;
 
-/** A run of the simulator: its routers, and the batches that turn into calls of them and replies with their actions. */
+/**
+ * The state of one simulator run. Holds a router for each simulated proxy, delivers the events of each batch to them,
+ * and writes a reply with the actions that they take.
+ */
 final class SimulatorSession {
-    /** Stack frames that a crash is reported with. */
+    /** The number of stack frames in the report of a crash. */
     private static final int MAX_STACK_FRAMES = 6;
 
-    private final JsonFactory json = JsonFactory.builder()
+    private final JsonFactory jsonFactory = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .build();
-    private final SimulatorEventDecoder decoder = new SimulatorEventDecoder();
+    private final SimulatorEventDecoder eventDecoder = new SimulatorEventDecoder();
     private final Map<Integer, Router> routers = new HashMap<>();
-    /** Gateways whose router threw an exception; they get no events until they are provisioned again. */
-    private final Set<Integer> crashed = new HashSet<>();
-    /** Of the reply that is being written. */
-    private JsonGenerator output;
+    /** Proxies whose router threw an exception; their events are ignored until they are provisioned again. */
+    private final Set<Integer> crashedProxies = new HashSet<>();
+    /** Generator of the reply that is being written. */
+    private JsonGenerator replyGenerator;
 
     private record Batch(long nowUs, List<JsonFields> events) {}
 
     /**
-     * Processes one batch.
+     * Processes one batch of events and writes the reply.
      *
-     * @param line its JSON, in the first {@code size} bytes
-     * @param size bytes of the line
-     * @param reply gets the actions, without a line end
-     * @throws FormatException where the line is illegal; the reply is then incomplete
+     * @param line a buffer that starts with the JSON of the batch
+     * @param size the length of the JSON, in bytes
+     * @param reply receives the actions, without a line terminator
+     * @throws FormatException if the line is invalid; the reply is then incomplete
+     * @throws IOException if the reply cannot be written
      */
     void process(byte[] line, int size, OutputStream reply) throws IOException {
         Batch batch = parse(line, size);
-        output = json.createGenerator(reply);
-        output.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-        output.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
-        output.writeStartObject();
-        output.writeArrayFieldStart("out");
+        replyGenerator = jsonFactory.createGenerator(reply);
+        replyGenerator.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+        replyGenerator.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
+        replyGenerator.writeStartObject();
+        replyGenerator.writeArrayFieldStart("out");
         for (int i = 0; i < batch.events.size(); i++) {
             process(batch.nowUs, batch.events.get(i));
         }
-        output.writeEndArray();
-        output.writeEndObject();
-        output.close();
+        replyGenerator.writeEndArray();
+        replyGenerator.writeEndObject();
+        replyGenerator.close();
     }
 
     private Batch parse(byte[] line, int size) throws IOException {
-        try (JsonParser parser = json.createParser(line, 0, size)) {
+        try (JsonParser parser = jsonFactory.createParser(line, 0, size)) {
             JsonValue value = parser.nextToken() == null ? JsonValue.NULL : JsonValue.read(parser);
             if (parser.nextToken() != null) {
                 long offset = parser.currentLocation().getByteOffset();
-                throw new FormatException("more than one value on the line, at byte " + offset);
+                throw new FormatException(
+                        "expected one JSON object per line, found another value before byte " + offset);
             }
-            JsonFields batch = value.asObject("the batch");
+            JsonFields batch = value.asObject("batch");
             return new Batch(batch.integer("clock-us"), batch.indexedObjects("in", "event"));
         } catch (JsonProcessingException e) {
-            throw new FormatException("not JSON: " + e.getOriginalMessage() + ", at byte "
+            throw new FormatException("not JSON: " + e.getOriginalMessage() + ", near byte "
                     + e.getLocation().getByteOffset());
         }
     }
@@ -76,58 +81,63 @@
     private void process(long nowUs, JsonFields event) {
         String verb = event.text("verb");
         if (verb.equals("MANIFEST")) {
-            decoder.addEndpointList(event);
+            eventDecoder.addEndpointList(event);
             return;
         }
-        int gateway = (int) event.integer("gateway");
-        Runnable call = decode(verb, gateway, nowUs, event);
+        int proxyNumber = (int) event.integer("gateway");
+        Runnable call = decodeCall(verb, proxyNumber, nowUs, event);
         try {
             call.run();
         } catch (RuntimeException e) {
-            crashed.add(gateway);
-            actions(gateway).crashed(describe(e));
+            crashedProxies.add(proxyNumber);
+            createActions(proxyNumber).reportCrash(describeCrash(e));
         }
     }
 
-    /** What the event does; it is decoded here, so that a call fails by the router's fault alone. */
-    private Runnable decode(String verb, int gateway, long nowUs, JsonFields event) {
+    /**
+     * Returns the call that handles the event. The event is decoded here, before the call, so that an exception of the
+     * call is a crash of the router and not an invalid event.
+     */
+    private Runnable decodeCall(String verb, int proxyNumber, long nowUs, JsonFields event) {
         return switch (verb) {
-            case "PROVISION" -> provision(gateway, event);
-            case "TEARDOWN" -> () -> routers.remove(gateway);
+            case "PROVISION" -> decodeProvision(proxyNumber, event);
+            case "TEARDOWN" -> () -> routers.remove(proxyNumber);
             default -> {
-                Router router = routers.get(gateway);
-                RouterEvent decoded = routerEvent(verb, gateway, event);
+                Router router = routers.get(proxyNumber);
+                RouterEvent decoded = decodeRouterEvent(verb, proxyNumber, event);
                 yield () -> decoded.deliver(router, nowUs);
             }
         };
     }
 
-    private Runnable provision(int gateway, JsonFields event) {
+    private Runnable decodeProvision(int proxyNumber, JsonFields event) {
         JsonFields setup = event.object("setup", "setup");
         long seed = event.integer("nonce64");
         return () -> {
-            crashed.remove(gateway);
-            routers.put(gateway, new RequestRouter(SettingsParser.settings(setup), seed, actions(gateway)));
+            crashedProxies.remove(proxyNumber);
+            routers.put(
+                    proxyNumber, new RequestRouter(SettingsParser.settings(setup), seed, createActions(proxyNumber)));
         };
     }
 
-    private RouterEvent routerEvent(String verb, int gateway, JsonFields event) {
-        if (crashed.contains(gateway)) {
+    private RouterEvent decodeRouterEvent(String verb, int proxyNumber, JsonFields event) {
+        if (crashedProxies.contains(proxyNumber)) {
             return RouterEvent.IGNORED;
         }
-        if (!routers.containsKey(gateway)) {
-            throw new FormatException(event.path(), "gateway " + gateway + " was not provisioned");
+        if (!routers.containsKey(proxyNumber)) {
+            throw new FormatException(
+                    event.path(), "gateway " + proxyNumber + " has no router: no PROVISION event, or a TEARDOWN since");
         }
-        return decoder.decode(verb, event);
+        return eventDecoder.decode(verb, event);
     }
 
-    private SimulatorActions actions(int gateway) {
-        return new SimulatorActions(gateway, () -> output);
+    private SimulatorActions createActions(int proxyNumber) {
+        return new SimulatorActions(proxyNumber, () -> replyGenerator);
     }
 
-    private static String describe(RuntimeException fault) {
-        StringBuilder text = new StringBuilder(fault.toString());
-        StackTraceElement[] frames = fault.getStackTrace();
+    private static String describeCrash(RuntimeException exception) {
+        StringBuilder text = new StringBuilder(exception.toString());
+        StackTraceElement[] frames = exception.getStackTrace();
         for (int i = 0; i < Math.min(MAX_STACK_FRAMES, frames.length); i++) {
             text.append(" at ").append(frames[i]);
         }
--- a/src/test/java/petrelplank/cli/CommandLineTest.java
+++ b/src/test/java/petrelplank/cli/CommandLineTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.kohsuke.args4j.CmdLineException;
 
-/** The sub-commands, their options and their exit statuses. */
+/** Tests the sub-commands, their options and their exit statuses. */
 class CommandLineTest {
-    /** Guards against a command class that is not public: args4j creates them by reflection, and no command started. */
+    /** args4j creates commands by reflection: when a command class was not public, no command could be started. */
     @Test
     void everySubCommandCanBeCreated() throws CmdLineException {
         assertInstanceOf(ServeCommand.class, Main.parse("serve"));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void helpNamesEverySubCommandAndLeavesTheAliasOut() {
+    void helpListsEverySubCommandButNotTheAlias() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Main.printHelp(new PrintStream(out, true, StandardCharsets.UTF_8));
         String help = out.toString(StandardCharsets.UTF_8).replaceAll("\\s+", " ");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void commandsOfTheProxyAndOfTheSimulatorDoWithoutTheToolLibraries() {
+    void proxyAndSimulatorCommandsNeedNoToolLibraries() {
         for (String name : new String[] {"serve", "simulate", "drill", "version", "--help"}) {
             assertFalse(ToolClassLoader.needsTools(name), name);
         }
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void logFormatsAreNamedInLowerCase() throws CmdLineException {
+    void logFormatOptionValuesAreLowerCase() throws CmdLineException {
         assertEquals(LogFormat.TEXT, Main.parse("version").logFormat());
         assertEquals(
                 LogFormat.TEXT, Main.parse("version", "--log-format", "text").logFormat());
@@ -69,7 +69,7 @@
         assertThrows(CmdLineException.class, () -> Main.parse("version", "--log-format", "xml"));
     }
 
-    /** Either one would silently leave the other out. */
+    /** If both were accepted, one of them would silently have no effect. */
     @Test
     void traceAndRecordsTogetherAreRejected() {
         CmdLineException rejection = assertThrows(
--- a/src/test/java/petrelplank/cli/ReportTest.java
+++ b/src/test/java/petrelplank/cli/ReportTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.kohsuke.args4j.CmdLineException;
 
-/** The commands as a new user would call them, also wrongly. */
+/** Tests the commands {@code emulate} and {@code report}, with valid and invalid arguments. */
 class ReportTest {
     @TempDir
     Path folder;
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void reportNamesTheEmulatedIncident() throws IOException, CmdLineException {
+    void reportFindsTheEmulatedIncident() throws IOException, CmdLineException {
         Path records = folder.resolve("records");
         Path truth = folder.resolve("truth.json");
         assertEquals(0, run("emulate", "--records", records, "--truth", truth));
@@ -44,16 +44,16 @@
         assertEquals(new ObjectMapper().readTree(truth.toFile()).at("/total/asked"), report.at("/total/asked"));
         String html = Files.readString(page);
         assertTrue(html.contains("Silent hub: <a href=\"#hub-box-1_hub2\">hub-box-1.hub2</a>"));
-        // It opens with no network: nothing is fetched, and nothing runs.
+        // The page can be viewed offline: it contains no scripts and loads nothing.
         assertFalse(html.contains("<script") || html.contains("src=") || html.contains("@import"));
         assertFalse(
-                html.replaceAll("xmlns(:[a-z]+)?=['\"][^'\"]*['\"]", "").contains("http"), "an address in the page");
-        assertEquals(2, run("emulate", "--records", records), "records are never written over");
+                html.replaceAll("xmlns(:[a-z]+)?=['\"][^'\"]*['\"]", "").contains("http"), "the page contains a URL");
+        assertEquals(2, run("emulate", "--records", records), "existing records must not be overwritten");
     }
 
     @Test
     void sameSeedGivesTheSameBytes() throws IOException, CmdLineException {
-        List<Map<String, String>> bytes = new ArrayList<>();
+        List<Map<String, String>> filesByRun = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Path records = folder.resolve("records" + i);
             assertEquals(
@@ -76,19 +76,19 @@
             }
             files.put("page", Files.readString(folder.resolve("page" + i)));
             files.put("truth", Files.readString(folder.resolve("truth" + i)));
-            bytes.add(files);
+            filesByRun.add(files);
         }
-        assertEquals(10, bytes.get(0).size());
-        assertTrue(bytes.get(0).equals(bytes.get(1)), "the second run differs from the first");
-        assertFalse(bytes.get(0).equals(bytes.get(2)), "another seed gives the same");
+        assertEquals(10, filesByRun.get(0).size());
+        assertTrue(filesByRun.get(0).equals(filesByRun.get(1)), "two runs with the same seed differ");
+        assertFalse(filesByRun.get(0).equals(filesByRun.get(2)), "runs with different seeds are identical");
     }
 
     @Test
     void unusableArgumentsAreReportedWithTheirStatus() throws IOException, CmdLineException {
         assertEquals(2, run("emulate", "no-such-scenario"));
-        Path bad = folder.resolve("bad.yaml");
-        Files.writeString(bad, "name: x\ntroubles:\n  - kind: silent\n    servers: [box-9.branch9]\n");
-        assertEquals(2, run("emulate", bad));
+        Path invalidScenario = folder.resolve("bad.yaml");
+        Files.writeString(invalidScenario, "name: x\ntroubles:\n  - kind: silent\n    servers: [box-9.branch9]\n");
+        assertEquals(2, run("emulate", invalidScenario));
         assertEquals(2, run("report", folder.resolve("nowhere")));
         Path file = Files.writeString(folder.resolve("file"), "");
         assertEquals(2, run("emulate", "calm", "--records", file));
@@ -101,10 +101,10 @@
     }
 
     @Test
-    void filesThatAreNoRecordsAreSkippedWithTheirStatus() throws IOException, CmdLineException {
+    void otherFilesAreSkippedWithIncompleteStatus() throws IOException, CmdLineException {
         Path records = folder.resolve("records");
         assertEquals(0, run("emulate", "calm", "--records", records));
-        Files.writeString(records.resolve("notes.txt"), "not one of ours");
+        Files.writeString(records.resolve("notes.txt"), "not a record file");
         File json = folder.resolve("report.json").toFile();
         assertEquals(3, run("report", records, "--json", json));
         JsonNode report = new ObjectMapper().readTree(json);
--- a/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
+++ b/src/test/java/petrelplank/simulator/SimulatorFieldDecoderTest.java
@@ -16,7 +16,7 @@
 import petrelplank.settings.JsonFields;
 import petrelplank.settings.JsonValue;
 
-/** The codes are the simulator's: a constant that moves in its enum must not change them. */
+/** Checks the status codes of the simulator's protocol, which must not change if enum constants are reordered. */
 class SimulatorFieldDecoderTest {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {-1, 0, 10})
-    void unknownAttemptStatusIsIllegal(long code) throws IOException {
+    void unknownAttemptStatusIsRejected(long code) throws IOException {
         JsonFields event = event("{\"rc\":" + code + "}");
         assertThrows(FormatException.class, () -> SimulatorFieldDecoder.attemptStatus(event));
     }
