--- a/src/main/java/petrelplank/emulator/CacheFaults.java
+++ b/src/main/java/petrelplank/emulator/CacheFaults.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 import petrelplank.routing.EndpointState;
 
-/** Injects the faults of caches, of parent caches and of the links into zones. */
+/** Injects faults into caches, parent caches and the incoming links of zones. */
 final class CacheFaults {
-    /** A server is listed so long after its start. */
+    /** Time from the start of a server until the discovery service lists it. */
     private static final long LISTING_DELAY_US = 800_000;
-    /** A replaced server leaves so long after it was listed as draining. */
+    /** Time for which a replaced server is listed as draining before it is removed. */
     private static final long REMOVAL_DELAY_US = 6_000_000;
 
     private final EventScheduler clock;
@@ -21,30 +21,36 @@
         this.discovery = discovery;
     }
 
+    /** Makes the servers accept requests without replying for the duration of the fault. */
     void silence(Fault fault) {
-        during(fault, CacheNode::startSilence, CacheNode::endSilence);
+        scheduleOnServers(fault, CacheNode::startSilence, CacheNode::endSilence);
     }
 
+    /** Makes a share of the requests to the servers fail immediately for the duration of the fault. */
     void failFast(Fault fault) {
-        during(fault, node -> node.setFailureShare(fault.share()), node -> node.setFailureShare(0));
+        scheduleOnServers(fault, node -> node.setFailureShare(fault.share()), node -> node.setFailureShare(0));
     }
 
-    /** A lost server is not listed as draining or gone; it returns cold. */
+    /**
+     * Stops the servers without notice: they fall silent but stay listed as up. After the fault they restart with an
+     * empty cache and are listed again.
+     */
     void lose(Fault fault) {
-        during(fault, CacheNode::startSilence, node -> {
+        scheduleOnServers(fault, CacheNode::startSilence, node -> {
             node.endSilence();
             node.startCold();
             clock.after(LISTING_DELAY_US, () -> discovery.publishState(EndpointState.UP, List.of(node)));
         });
     }
 
-    private void during(Fault fault, Consumer<CacheNode> onStart, Consumer<CacheNode> onEnd) {
+    private void scheduleOnServers(Fault fault, Consumer<CacheNode> onStart, Consumer<CacheNode> onEnd) {
         for (String id : fault.servers()) {
             clock.at(fault.startUnixUs(), () -> onStart.accept(caches.node(id)));
             clock.at(fault.endUnixUs(), () -> onEnd.accept(caches.node(id)));
         }
     }
 
+    /** Lists the servers as draining when the fault starts, and as removed when it ends. */
     void drain(Fault fault) {
         clock.at(fault.startUnixUs(), () -> discovery.publishState(EndpointState.DRAINING, nodes(fault)));
         clock.at(fault.endUnixUs(), () -> discovery.publishState(EndpointState.REMOVED, nodes(fault)));
@@ -54,6 +60,7 @@
         return fault.servers().stream().map(caches::node).toList();
     }
 
+    /** Reduces the capacity of the incoming links of zones for the duration of the fault. */
     void crowdLinks(Fault fault) {
         clock.at(fault.startUnixUs(), () -> setLinkCapacity(fault.servers(), fault.share()));
         clock.at(fault.endUnixUs(), () -> setLinkCapacity(fault.servers(), 1));
@@ -63,27 +70,27 @@
         zones.forEach(zone -> caches.zoneLink(zone).setCapacityShare(share));
     }
 
-    /** Replaces servers at even intervals over the fault's duration. */
+    /** Replaces the servers one after another, at even intervals over the duration of the fault. */
     void replace(Fault fault) {
         int count = fault.servers().size();
         for (int i = 0; i < count; i++) {
-            CacheNode old = caches.node(fault.servers().get(i));
-            clock.at(fault.startUnixUs() + fault.durationUs() * i / count, () -> replace(old));
+            CacheNode replaced = caches.node(fault.servers().get(i));
+            clock.at(fault.startUnixUs() + fault.durationUs() * i / count, () -> replaceServer(replaced));
         }
     }
 
-    /** A new server starts cold beside the old one, which then drains and is gone a while later. */
-    private void replace(CacheNode old) {
-        CacheNode successor = old.successor();
+    /** Starts a successor with an empty cache. Once it is listed, the replaced server drains and is later removed. */
+    private void replaceServer(CacheNode replaced) {
+        CacheNode successor = replaced.successor();
         caches.add(successor);
         successor.startCold();
         clock.after(LISTING_DELAY_US, () -> {
             discovery.publishState(EndpointState.UP, List.of(successor));
-            discovery.publishState(EndpointState.DRAINING, List.of(old));
+            discovery.publishState(EndpointState.DRAINING, List.of(replaced));
         });
         clock.after(LISTING_DELAY_US + REMOVAL_DELAY_US, () -> {
-            discovery.publishState(EndpointState.REMOVED, List.of(old));
-            old.startSilence();
+            discovery.publishState(EndpointState.REMOVED, List.of(replaced));
+            replaced.startSilence();
         });
     }
 }
--- a/src/main/java/petrelplank/emulator/CacheFleet.java
+++ b/src/main/java/petrelplank/emulator/CacheFleet.java
@@ -10,17 +10,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import petrelplank.routing.Hash;
 
-/** The caches and parent caches of a fleet, and the links into the edge zones. */
+/** The caches and parent caches of a fleet, and the incoming links of the edge zones. */
 final class CacheFleet {
-    /** A zone's link carries fills, which are as fast as those of a parent cache. */
-    private static final double LINK_TRANSFER_BYTES_PER_US =
-            TrafficClasses.FLOW_BYTES_PER_US * CacheSpec.FILL_SPEED_FACTOR;
+    /** Maximum speed of one transfer on a zone's link: the link carries fills, at the speed of a parent cache. */
+    private static final double MAX_FILL_BYTES_PER_US = TrafficClasses.FLOW_BYTES_PER_US * CacheSpec.FILL_SPEED_FACTOR;
 
     private static final int WARMING_REQUESTS_PER_OBJECT = 40;
     private static final int MAX_WARMING_REQUESTS = 400_000;
     private static final int MAX_COPY_AGE_US = 60_000_000;
-    /** An object may be at so many caches at the beginning. */
-    private static final int PLACES_PER_OBJECT = 7;
+    /** Maximum number of caches that hold a copy of the same object after warming. */
+    private static final int CACHES_PER_OBJECT = 7;
 
     private final EventScheduler clock;
     private final UniformRandomProvider random;
@@ -35,7 +34,7 @@
                 add(new CacheNode(CacheSpec.cache(zone, number, capacity), clock, random));
             }
             double bytesPerUs = TrafficClasses.FLOW_BYTES_PER_US * capacity.zoneLinkWeight();
-            linksByZone.put(ServerNames.edgeZone(zone), new Link(clock, bytesPerUs, LINK_TRANSFER_BYTES_PER_US));
+            linksByZone.put(ServerNames.edgeZone(zone), new Link(clock, bytesPerUs, MAX_FILL_BYTES_PER_US));
         }
         for (int hub = 1; hub <= topology.hubs(); hub++) {
             for (int number = 1; number <= topology.parentsPerHub(); number++) {
@@ -44,27 +43,29 @@
         }
     }
 
+    /** Adds a cache, which is reachable by its id from now on. */
     void add(CacheNode node) {
         nodes.put(node.id(), node);
     }
 
-    /** A cache by its id; null where there is none, as for the origin. */
+    /** Returns the cache or parent cache with an id, or null if there is none, as for the origin. */
     CacheNode node(String id) {
         return nodes.get(id);
     }
 
+    /** Returns all caches and parent caches, in the order in which they were added. */
     Collection<CacheNode> nodes() {
         return Collections.unmodifiableCollection(nodes.values());
     }
 
-    /** The link into a zone; null for a hub's zone, which has no limit. */
+    /** Returns the incoming link of an edge zone, or null for the zone of a hub, whose link is not limited. */
     Link zoneLink(String zone) {
         return linksByZone.get(zone);
     }
 
-    /** Gives caches the copies that they would hold from earlier requests. */
+    /** Fills the caches with copies as if requests had been served before the emulation starts. */
     void warm(Catalogue catalogue, int objects) {
-        List<CacheNode> all = new ArrayList<>(nodes.values());
+        List<CacheNode> allNodes = new ArrayList<>(nodes.values());
         int requests = Math.min(WARMING_REQUESTS_PER_OBJECT * objects, MAX_WARMING_REQUESTS);
         for (int i = 0; i < requests; i++) {
             Catalogue.Item item = catalogue.draw();
@@ -73,8 +74,8 @@
                         catalogue.transferBytes(item),
                         clock.nowUs() - random.nextInt(MAX_COPY_AGE_US),
                         catalogue.group(item.object()));
-                long place = Hash.mix(item.object() + i % PLACES_PER_OBJECT);
-                CacheNode node = all.get((int) Long.remainderUnsigned(place, all.size()));
+                long placementHash = Hash.mix(item.object() + i % CACHES_PER_OBJECT);
+                CacheNode node = allNodes.get((int) Long.remainderUnsigned(placementHash, allNodes.size()));
                 node.storage().put(item.object(), copy);
             }
         }
--- a/src/main/java/petrelplank/emulator/CacheNode.java
+++ b/src/main/java/petrelplank/emulator/CacheNode.java
@@ -5,18 +5,18 @@
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 
-/** A cache or a parent cache: its copies, its outgoing link, its fills, and the faults that it has. */
+/** An emulated cache or parent cache: stored copies, outgoing link, fills in flight and injected faults. */
 final class CacheNode {
-    /** The share of its capacity with which a cache starts, and the time after which it has all of it. */
+    /** Share of its link capacity that a cache has right after a cold start. */
     static final double COLD_CAPACITY_SHARE = 0.15;
-
+    /** Time from a cold start until a cache has its full link capacity. */
     static final long WARM_UP_US = 15_000_000;
-    /** Requests in flight, over the link's weight, above which new ones are rejected. */
+    /** Requests in flight per unit of the link's weight, from which on new requests are rejected. */
     private static final double MAX_IN_FLIGHT_PER_WEIGHT = 8;
 
     private static final int MIN_IN_FLIGHT_LIMIT = 4;
     private static final long WARM_UP_STEP_US = 250_000;
-    private static final long IMMEDIATE_REPLY_US = 300;
+    private static final long IMMEDIATE_REPLY_DELAY_US = 300;
 
     private final CacheSpec spec;
     private final EventScheduler clock;
@@ -25,7 +25,7 @@
     private final Link link;
     private final FillTable fills;
     private int inFlight;
-    /** Rises where all requests in flight are forgotten. */
+    /** Incremented when all requests in flight are dropped, so that their late replies are ignored. */
     private int generation;
 
     private boolean silent;
@@ -64,17 +64,17 @@
         return inFlight;
     }
 
-    /** Another one of its kind and zone, not started yet. */
+    /** Creates a cache of the same kind in the same zone, which has not started yet. */
     CacheNode successor() {
         return new CacheNode(spec.successor(), clock, random);
     }
 
-    /** From now on requests are accepted and none is answered. */
+    /** From now on, requests are accepted but never answered. */
     void startSilence() {
         silent = true;
     }
 
-    /** From now on requests are answered again; those that came meanwhile are forgotten. */
+    /** Answers requests again. Those still in flight, from before and during the silence, are dropped. */
     void endSilence() {
         silent = false;
         inFlight = 0;
@@ -83,12 +83,12 @@
         link.clear();
     }
 
-    /** Sets the share of requests that fail at once. */
+    /** Sets the share of requests that are answered with an error immediately. */
     void setFailureShare(double share) {
         failureShare = share;
     }
 
-    /** Starts empty and with a part of its capacity only. */
+    /** Starts with no copies and with reduced link capacity, which then grows to its full value. */
     void startCold() {
         startedUs = clock.nowUs();
         storage.clear();
@@ -105,12 +105,12 @@
     }
 
     /**
-     * Serves a proxy's request.
+     * Serves a request from a proxy.
      *
-     * @param source fills a miss; null for none
-     * @param coalesce a fill of the same object that is under way may be waited for
-     * @param onlyIfCached the source may not fill from further sources
-     * @param onReply takes the reply; never called while this cache is silent
+     * @param source where a miss is filled from, or null if a miss must not be filled
+     * @param coalesce whether the request may wait for a fill of the same object that is already in flight
+     * @param onlyIfCached whether the source may reply only with a copy that it already holds
+     * @param onReply receives the reply; not called while this cache is silent
      */
     void serve(
             CacheRequest request,
@@ -122,29 +122,32 @@
             return;
         }
         if (failureShare > 0 && random.nextDouble() < failureShare) {
-            replySoon(AttemptStatus.ERROR, onReply);
+            replyWithoutServing(AttemptStatus.ERROR, onReply);
             return;
         }
         if (inFlight >= Math.max(MIN_IN_FLIGHT_LIMIT, MAX_IN_FLIGHT_PER_WEIGHT * spec.weight())) {
-            replySoon(AttemptStatus.REJECTED, onReply);
+            replyWithoutServing(AttemptStatus.REJECTED, onReply);
             return;
         }
-        Consumer<CacheReply> onEnd = admit(onReply);
+        Consumer<CacheReply> releaseAndReply = admit(onReply);
         if (request.write()) {
-            forwardWrite(request, source, onEnd);
+            forwardWrite(request, source, releaseAndReply);
             return;
         }
         CacheStorage.Copy copy = storage.get(request.object());
         if (copy != null && request.allows(copy, clock.nowUs())) {
-            send(request, CacheReply.ok(CacheStatus.HIT, copy.createdUs()), onEnd);
+            send(request, CacheReply.ok(CacheStatus.HIT, copy.createdUs()), releaseAndReply);
         } else if (source == null) {
-            onEnd.accept(CacheReply.withoutCopy(AttemptStatus.MISS, CacheStatus.NONE));
+            releaseAndReply.accept(CacheReply.withoutCopy(AttemptStatus.MISS, CacheStatus.NONE));
         } else {
-            fills.fill(request, source, coalesce, onlyIfCached, onEnd);
+            fills.fill(request, source, coalesce, onlyIfCached, releaseAndReply);
         }
     }
 
-    /** This cache as the source of another one's fill: the copy that it holds, or one through it from the origin. */
+    /**
+     * Returns this cache as a source for fills of other caches. It replies with the copy that it holds, or else fills
+     * the object from the origin first.
+     */
     FillSource asSource(FillSource origin, long oneWayUs) {
         return (request, onlyIfCached, onReply) -> clock.after(oneWayUs, () -> {
             if (!silent) {
@@ -169,22 +172,24 @@
         }
     }
 
-    private void replySoon(AttemptStatus status, Consumer<CacheReply> onReply) {
-        clock.after(IMMEDIATE_REPLY_US, () -> reply(CacheReply.withoutCopy(status, CacheStatus.NONE), onReply));
+    private void replyWithoutServing(AttemptStatus status, Consumer<CacheReply> onReply) {
+        clock.after(
+                IMMEDIATE_REPLY_DELAY_US,
+                () -> replyUnlessSilent(CacheReply.withoutCopy(status, CacheStatus.NONE), onReply));
     }
 
     private Consumer<CacheReply> admit(Consumer<CacheReply> onReply) {
         inFlight++;
-        int admittedIn = generation;
+        int admittedGeneration = generation;
         return reply -> {
-            if (admittedIn == generation) {
+            if (admittedGeneration == generation) {
                 inFlight--;
-                reply(reply, onReply);
+                replyUnlessSilent(reply, onReply);
             }
         };
     }
 
-    private void reply(CacheReply reply, Consumer<CacheReply> onReply) {
+    private void replyUnlessSilent(CacheReply reply, Consumer<CacheReply> onReply) {
         if (!silent) {
             onReply.accept(reply);
         }
@@ -194,7 +199,7 @@
         link.transfer(request.bytes(), () -> onReply.accept(reply));
     }
 
-    /** A write always runs at the origin, and is never kept. */
+    /** Forwards a write to the origin. The response to a write is never stored. */
     private void forwardWrite(CacheRequest request, FillSource source, Consumer<CacheReply> onReply) {
         if (source == null) {
             onReply.accept(CacheReply.withoutCopy(AttemptStatus.MISS, CacheStatus.NONE));
--- a/src/main/java/petrelplank/emulator/CacheSpec.java
+++ b/src/main/java/petrelplank/emulator/CacheSpec.java
@@ -1,19 +1,19 @@
 package petrelplank.emulator;
 
 /**
- * What a cache or a parent cache is, apart from its state.
+ * The fixed properties of a cache or parent cache.
  *
- * @param id its name
- * @param zone its zone
- * @param kind its kind, as the discovery service lists it
- * @param weight its outgoing link, in transfers at full speed
- * @param maximumBytes what it holds
- * @param transferSpeedFactor top speed of one transfer, as a multiple of that to a client
+ * @param id its unique id
+ * @param zone the zone in which it runs
+ * @param kind its kind in the list of the discovery service
+ * @param weight capacity of its outgoing link, in concurrent transfers at the speed of one client
+ * @param maximumBytes total size of the copies that it can hold
+ * @param transferSpeedFactor maximum speed of one transfer, as a multiple of the speed of one client
  */
 record CacheSpec(String id, String zone, String kind, double weight, long maximumBytes, double transferSpeedFactor) {
     static final String CACHE_KIND = "box";
     static final String PARENT_KIND = "hub";
-    /** Caches take a fill faster than clients take a response. */
+    /** Speed of a fill as a multiple of the speed of one client: caches receive faster than clients. */
     static final double FILL_SPEED_FACTOR = 3;
 
     static CacheSpec cache(int zone, int number, Capacity capacity) {
@@ -40,6 +40,7 @@
         return kind.equals(PARENT_KIND);
     }
 
+    /** Returns the properties of the server that replaces this one. */
     CacheSpec successor() {
         return new CacheSpec(ServerNames.successor(id), zone, kind, weight, maximumBytes, transferSpeedFactor);
     }
--- a/src/main/java/petrelplank/emulator/CacheStorage.java
+++ b/src/main/java/petrelplank/emulator/CacheStorage.java
@@ -4,52 +4,53 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The copies that a cache holds within a bound on bytes; the least recently used is evicted first. */
+/** The copies that a cache holds, limited by their total size. Evicts the least recently used copy first. */
 final class CacheStorage {
     /**
-     * A copy of an object.
+     * A stored copy of an object.
      *
-     * @param bytes its size
-     * @param createdUs when the origin sent it
-     * @param group the object's group
+     * @param bytes size of the copy
+     * @param createdUs when the origin sent the copy
+     * @param group purge group of the object
      */
     record Copy(long bytes, long createdUs, int group) {}
 
     private final long maximumBytes;
     private final LinkedHashMap<Long, Copy> copies = new LinkedHashMap<>(16, 0.75f, true);
-    private long heldBytes;
+    private long storedBytes;
 
     CacheStorage(long maximumBytes) {
         this.maximumBytes = maximumBytes;
     }
 
-    /** The copy of an object, which counts as used now; null where there is none. */
+    /** Returns the copy of an object and marks it as recently used, or returns null if there is none. */
     Copy get(long object) {
         return copies.get(object);
     }
 
+    /** Stores a copy and evicts others to make room. The last copy stays even if it alone exceeds the limit. */
     void put(long object, Copy copy) {
         Copy replaced = copies.put(object, copy);
-        heldBytes += copy.bytes() - (replaced == null ? 0 : replaced.bytes());
-        Iterator<Map.Entry<Long, Copy>> eldest = copies.entrySet().iterator();
-        while (heldBytes > maximumBytes && copies.size() > 1) {
-            heldBytes -= eldest.next().getValue().bytes();
-            eldest.remove();
+        storedBytes += copy.bytes() - (replaced == null ? 0 : replaced.bytes());
+        Iterator<Map.Entry<Long, Copy>> leastRecentlyUsed = copies.entrySet().iterator();
+        while (storedBytes > maximumBytes && copies.size() > 1) {
+            storedBytes -= leastRecentlyUsed.next().getValue().bytes();
+            leastRecentlyUsed.remove();
         }
     }
 
-    /** Drops the copies that a purge means. */
+    /** Removes the copies that match a purge and that the origin sent before {@code beforeUs}. */
     void purge(PurgeTarget target, long beforeUs) {
         copies.entrySet().removeIf(entry -> {
             Copy copy = entry.getValue();
             boolean purged = target.matches(entry.getKey(), copy.group()) && copy.createdUs() < beforeUs;
-            heldBytes -= purged ? copy.bytes() : 0;
+            storedBytes -= purged ? copy.bytes() : 0;
             return purged;
         });
     }
 
     void clear() {
         copies.clear();
-        heldBytes = 0;
+        storedBytes = 0;
     }
 }
--- a/src/main/java/petrelplank/emulator/Capacity.java
+++ b/src/main/java/petrelplank/emulator/Capacity.java
@@ -1,15 +1,15 @@
 package petrelplank.emulator;
 
 /**
- * What the servers and links of a fleet can do.
+ * The capacity of the servers and links of a fleet.
  *
- * @param cacheBytes what a cache holds
- * @param parentBytes what a parent cache holds
- * @param cacheWeight a cache's outgoing link, in transfers at full speed
- * @param parentWeight a parent cache's outgoing link, in transfers at full speed
- * @param zoneLinkWeight an edge zone's incoming link, in transfers at the speed of one client
- * @param originPerSecond calls that the origin can do in a second
- * @param originCallUs the origin's usual time for a call
+ * @param cacheBytes total size of the copies that a cache can hold
+ * @param parentBytes total size of the copies that a parent cache can hold
+ * @param cacheWeight capacity of a cache's outgoing link, in concurrent transfers at the speed of one client
+ * @param parentWeight capacity of a parent cache's outgoing link, in concurrent transfers at the speed of one client
+ * @param zoneLinkWeight capacity of an edge zone's incoming link, in concurrent transfers at the speed of one client
+ * @param originPerSecond calls per second that the origin can complete
+ * @param originCallUs average service time of a call at the origin while it is not busy
  */
 public record Capacity(
         long cacheBytes,
--- a/src/main/java/petrelplank/emulator/FillSource.java
+++ b/src/main/java/petrelplank/emulator/FillSource.java
@@ -2,15 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** Where a cache gets an object that it does not hold: another cache or the origin. */
+/** A source from which a cache fetches objects that it does not hold: another cache or the origin. */
 @FunctionalInterface
 interface FillSource {
     /**
-     * Asks for the object.
+     * Fetches an object.
      *
-     * @param request what is asked for
-     * @param onlyIfCached a miss at the source ends the fill
-     * @param onReply takes the reply; never called where the source is silent
+     * @param request the requested object
+     * @param onlyIfCached whether the source may reply only with a copy that it already holds
+     * @param onReply receives the reply; not called if the source is silent
      */
     void fetch(CacheRequest request, boolean onlyIfCached, Consumer<CacheReply> onReply);
 }
--- a/src/main/java/petrelplank/emulator/FillTable.java
+++ b/src/main/java/petrelplank/emulator/FillTable.java
@@ -8,18 +8,20 @@
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 
-/** The fills of a cache that are under way: bounded in number and time, and shared by requests for the same object. */
+/** The fills in flight of a cache. Limits their number and duration, and coalesces requests for the same object. */
 final class FillTable {
     private static final long TIMEOUT_US = 1_500_000;
     private static final int MAX_FILLS = 64;
 
-    /** A fill under way. */
+    /** A fill in flight. */
     private static final class Fill {
-        private final List<Consumer<CacheReply>> coalesced = new ArrayList<>();
-        private boolean ended;
+        /** Callbacks of the requests that wait for this fill. */
+        private final List<Consumer<CacheReply>> waiters = new ArrayList<>();
+
+        private boolean completed;
     }
 
-    /** Sends an object to the requester once it is there. */
+    /** Transfers an object to the requester, then passes it the reply. */
     interface Sender {
         void send(CacheRequest request, CacheReply reply, Consumer<CacheReply> onReply);
     }
@@ -35,16 +37,21 @@
         this.sender = sender;
     }
 
-    /** Fills an object from a source, or waits for a fill of it that is under way where {@code coalesce} allows it. */
+    /**
+     * Fetches an object from a source, stores it and sends it to the requester.
+     *
+     * @param coalesce whether to wait for a fill of the same object that is already in flight, if there is one
+     * @param onlyIfCached whether the source may reply only with a copy that it already holds
+     */
     void fill(
             CacheRequest request,
             FillSource source,
             boolean coalesce,
             boolean onlyIfCached,
             Consumer<CacheReply> onReply) {
-        Fill underWay = fills.get(request.object());
-        if (underWay != null && coalesce) {
-            underWay.coalesced.add(reply -> replyToCoalesced(request, reply, onReply));
+        Fill fillInFlight = fills.get(request.object());
+        if (fillInFlight != null && coalesce) {
+            fillInFlight.waiters.add(reply -> replyToWaiter(request, reply, onReply));
             return;
         }
         if (fills.size() >= MAX_FILLS) {
@@ -54,7 +61,7 @@
         Fill fill = new Fill();
         fills.put(request.object(), fill);
         long startUs = clock.nowUs();
-        Consumer<CacheReply> onSourceReply = reply -> end(fill, request, reply, startUs, onReply);
+        Consumer<CacheReply> onSourceReply = reply -> complete(fill, request, reply, startUs, onReply);
         clock.after(
                 TIMEOUT_US,
                 () -> onSourceReply.accept(
@@ -62,12 +69,15 @@
         source.fetch(request, onlyIfCached, onSourceReply);
     }
 
-    /** Forgets all fills; their requests get no reply from this table, but from the sources that still reply. */
+    /**
+     * Removes all fills, so that later requests do not coalesce with them. It does not cancel them: a reply of the
+     * source or the timeout still completes them.
+     */
     void clear() {
         fills.clear();
     }
 
-    private void replyToCoalesced(CacheRequest request, CacheReply reply, Consumer<CacheReply> onReply) {
+    private void replyToWaiter(CacheRequest request, CacheReply reply, Consumer<CacheReply> onReply) {
         if (reply.isOk()) {
             sender.send(
                     request,
@@ -78,11 +88,12 @@
         }
     }
 
-    private void end(Fill fill, CacheRequest request, CacheReply reply, long startUs, Consumer<CacheReply> onReply) {
-        if (fill.ended) {
+    private void complete(
+            Fill fill, CacheRequest request, CacheReply reply, long startUs, Consumer<CacheReply> onReply) {
+        if (fill.completed) {
             return;
         }
-        fill.ended = true;
+        fill.completed = true;
         fills.remove(request.object(), fill);
         CacheReply filled =
                 new CacheReply(reply.status(), reply.cacheStatus(), clock.nowUs() - startUs, reply.createdUs());
@@ -92,6 +103,6 @@
         } else {
             onReply.accept(filled);
         }
-        fill.coalesced.forEach(coalesced -> coalesced.accept(filled));
+        fill.waiters.forEach(waiter -> waiter.accept(filled));
     }
 }
--- a/src/main/java/petrelplank/emulator/Link.java
+++ b/src/main/java/petrelplank/emulator/Link.java
@@ -3,101 +3,107 @@
 import java.util.PriorityQueue;
 
 /**
- * A link whose capacity all transfers share evenly, none faster than the top speed of one transfer (processor
- * sharing). Since all transfers progress at the same speed, one running sum of bytes orders them by their ends.
+ * A network link whose capacity is shared evenly by all transfers (processor sharing), each limited to a maximum
+ * speed. Since all transfers progress at the same speed, one running sum of the bytes that each has received
+ * determines the order in which they complete.
  */
 final class Link {
-    /** Rounding of the running sum that may not delay an end. */
+    /** Tolerance for rounding errors of the running sum, which must not delay the completion of a transfer. */
     private static final double TOLERANCE_BYTES = 1e-6;
 
-    private record Transfer(double endsAtBytes, long order, Runnable done) implements Comparable<Transfer> {
+    private record Transfer(double completesAtBytes, long sequenceNumber, Runnable onComplete)
+            implements Comparable<Transfer> {
         @Override
         public int compareTo(Transfer other) {
-            int byEnd = Double.compare(endsAtBytes, other.endsAtBytes);
-            return byEnd != 0 ? byEnd : Long.compare(order, other.order);
+            int byCompletion = Double.compare(completesAtBytes, other.completesAtBytes);
+            return byCompletion != 0 ? byCompletion : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
     private final EventScheduler clock;
     private final double bytesPerUs;
-    private final double transferBytesPerUs;
+    private final double maxTransferBytesPerUs;
     private final PriorityQueue<Transfer> transfers = new PriorityQueue<>();
     private double capacityShare = 1;
-    /** Bytes that a transfer has had that has been under way since the link was last idle. */
+    /** Bytes received by a transfer that started when the link was last idle. */
     private double progressBytes;
-
+    /** Time up to which {@link #progressBytes} is computed. */
     private long progressAtUs;
+
     private long transfersStarted;
-    /** Number of the planned end that is valid; any change of the link makes earlier ones void. */
-    private long planNumber;
+    /** Number of the valid scheduled completion. Any change to the link supersedes the earlier ones. */
+    private long validCompletion;
 
     /**
-     * An idle link.
+     * Creates an idle link.
      *
-     * @param clock simulated time
+     * @param clock simulated clock
      * @param bytesPerUs capacity of the link
-     * @param transferBytesPerUs top speed of one transfer
+     * @param maxTransferBytesPerUs maximum speed of one transfer
      */
-    Link(EventScheduler clock, double bytesPerUs, double transferBytesPerUs) {
+    Link(EventScheduler clock, double bytesPerUs, double maxTransferBytesPerUs) {
         this.clock = clock;
         this.bytesPerUs = bytesPerUs;
-        this.transferBytesPerUs = transferBytesPerUs;
+        this.maxTransferBytesPerUs = maxTransferBytesPerUs;
         this.progressAtUs = clock.nowUs();
     }
 
-    /** Transfers under way over those that fit at top speed. */
+    /** Returns the number of transfers in flight divided by the number that the link can carry at maximum speed. */
     double utilization() {
-        return transfers.size() / Math.max(1e-9, bytesPerUs * capacityShare / transferBytesPerUs);
+        return transfers.size() / Math.max(1e-9, bytesPerUs * capacityShare / maxTransferBytesPerUs);
     }
 
-    /** Sets the share of its capacity that the link has from now on. */
+    /** Sets the share of its capacity that the link can use from now on. */
     void setCapacityShare(double share) {
-        advance();
+        updateProgress();
         capacityShare = share;
-        plan();
+        scheduleCompletion();
     }
 
-    void transfer(long bytes, Runnable done) {
-        advance();
-        transfers.add(new Transfer(progressBytes + bytes, transfersStarted++, done));
-        plan();
+    /** Starts a transfer and runs a task when it completes. */
+    void transfer(long bytes, Runnable onComplete) {
+        updateProgress();
+        transfers.add(new Transfer(progressBytes + bytes, transfersStarted++, onComplete));
+        scheduleCompletion();
     }
 
-    /** Drops what is under way. */
+    /** Drops all transfers in flight; their completion tasks do not run. */
     void clear() {
-        advance();
+        updateProgress();
         transfers.clear();
-        plan();
+        scheduleCompletion();
     }
 
-    private double currentBytesPerUs() {
-        return transfers.isEmpty() ? 0 : Math.min(transferBytesPerUs, bytesPerUs * capacityShare / transfers.size());
+    private double currentTransferBytesPerUs() {
+        return transfers.isEmpty() ? 0 : Math.min(maxTransferBytesPerUs, bytesPerUs * capacityShare / transfers.size());
     }
 
-    private void advance() {
-        progressBytes += currentBytesPerUs() * (clock.nowUs() - progressAtUs);
+    private void updateProgress() {
+        progressBytes += currentTransferBytesPerUs() * (clock.nowUs() - progressAtUs);
         progressAtUs = clock.nowUs();
         if (transfers.isEmpty()) {
             progressBytes = 0;
         }
     }
 
-    private void plan() {
-        long number = ++planNumber;
+    private void scheduleCompletion() {
+        long completion = ++validCompletion;
         if (!transfers.isEmpty()) {
-            double leftBytes = Math.max(0, transfers.peek().endsAtBytes() - progressBytes);
-            clock.after((long) Math.ceil(leftBytes / currentBytesPerUs()), () -> endTransfers(number));
+            double remainingBytes = Math.max(0, transfers.peek().completesAtBytes() - progressBytes);
+            clock.after(
+                    (long) Math.ceil(remainingBytes / currentTransferBytesPerUs()),
+                    () -> completeTransfers(completion));
         }
     }
 
-    private void endTransfers(long number) {
-        if (number != planNumber) {
+    private void completeTransfers(long completion) {
+        if (completion != validCompletion) {
             return;
         }
-        advance();
-        while (!transfers.isEmpty() && transfers.peek().endsAtBytes() <= progressBytes + TOLERANCE_BYTES) {
-            clock.after(0, transfers.poll().done());
+        updateProgress();
+        while (!transfers.isEmpty() && transfers.peek().completesAtBytes() <= progressBytes + TOLERANCE_BYTES) {
+            clock.after(0, transfers.poll().onComplete());
         }
-        plan();
+        scheduleCompletion();
     }
 }
--- a/src/main/java/petrelplank/emulator/PurgeTarget.java
+++ b/src/main/java/petrelplank/emulator/PurgeTarget.java
@@ -1,10 +1,10 @@
 package petrelplank.emulator;
 
 /**
- * What a purge means: one object or a group of objects.
+ * The objects that a purge removes: a single object or all objects of a group.
  *
- * @param object the object; null for a whole group
- * @param group the group, where no object is named
+ * @param object id of the object, or null to purge a whole group
+ * @param group the purged group, if {@code object} is null
  */
 record PurgeTarget(Long object, int group) {
     private static final int NO_GROUP = -1;
@@ -17,8 +17,8 @@
         return new PurgeTarget(null, group);
     }
 
-    /** Whether an object of a group is meant. */
-    boolean matches(long otherObject, int otherGroup) {
-        return object != null ? object == otherObject : group == otherGroup;
+    /** Returns whether the purge applies to an object that belongs to a group. */
+    boolean matches(long candidateObject, int candidateGroup) {
+        return object != null ? object == candidateObject : group == candidateGroup;
     }
 }
