--- a/src/main/java/petrelplank/emulator/Catalogue.java
+++ b/src/main/java/petrelplank/emulator/Catalogue.java
@@ -11,7 +11,7 @@
 import petrelplank.routing.Hash;
 import petrelplank.routing.ServiceClass;
 
-/** What clients ask for: objects with their class, group, size and popularity. */
+/** The objects that clients request, with their service class, purge group, size and popularity. */
 final class Catalogue {
     private static final double MEDIA_SHARE = 0.3;
     private static final double WRITE_SHARE = 0.03;
@@ -19,37 +19,37 @@
     private static final int WRITE_BYTES = 1_024;
     private static final double MEDIAN_MEDIA_BYTES = 90_000;
     private static final double MEDIAN_PAGE_BYTES = 12_000;
-    /** The standard deviation of the logarithm of sizes. */
+    /** Standard deviation of the natural logarithm of object sizes. */
     private static final double LOG_SIZE_DEVIATION = 0.6;
 
     private static final int MIN_BYTES = 1_024;
-    /** What the protocol carries at most. */
+    /** Largest object that the protocol can carry. */
     private static final int MAX_BYTES = 240_000;
 
     /**
-     * Something to ask for.
+     * A requested object.
      *
-     * @param serviceClass its class
-     * @param object the object
+     * @param serviceClass service class of the request
+     * @param object id of the object
      */
     record Item(ServiceClass serviceClass, long object) {}
 
     private final UniformRandomProvider random;
-    private final DiscreteSampler ranks;
+    private final DiscreteSampler popularityRanks;
     private final int groups;
-    private final Map<Long, Long> sizes = new HashMap<>();
-    /** The hot object; null while there is none. */
+    private final Map<Long, Long> bytesByObject = new HashMap<>();
+    /** The hot object, or null while there is none. */
     private Long hotObject;
-
+    /** Share of the reads that request the hot object. */
     private double hotShare;
 
     Catalogue(Workload workload, UniformRandomProvider random) {
         this.random = random;
-        this.ranks = RejectionInversionZipfSampler.of(random, workload.objects(), workload.skew());
+        this.popularityRanks = RejectionInversionZipfSampler.of(random, workload.objects(), workload.skew());
         this.groups = workload.groups();
     }
 
-    /** From now on a new object draws a share of the reads; its share of the bytes is somewhat larger. */
+    /** Directs a share of the reads to a new object. It is large, so its share of the transferred bytes is higher. */
     void startHotObject(long object, double share) {
         hotObject = object;
         hotShare = share;
@@ -60,6 +60,7 @@
         hotShare = 0;
     }
 
+    /** Draws the object of the next client request, by popularity. */
     Item draw() {
         if (random.nextDouble() < WRITE_SHARE) {
             return new Item(TrafficClasses.STOCK_MOVES, random.nextLong());
@@ -67,12 +68,13 @@
         if (hotObject != null && random.nextDouble() < hotShare) {
             return new Item(TrafficClasses.MEDIA, hotObject);
         }
-        int rank = ranks.sample();
-        // An object's class never changes: it follows from a hash of its rank.
+        int rank = popularityRanks.sample();
+        // The service class is derived from a hash of the rank, so that an object always has the same one.
         boolean media = Hash.unit(Hash.mix(rank)) < MEDIA_SHARE;
         return new Item(media ? TrafficClasses.MEDIA : TrafficClasses.PAGES, Hash.mix(rank * 31L + 7));
     }
 
+    /** Returns the purge group of an object. */
     int group(long object) {
         return (int) Long.remainderUnsigned(Hash.mix(object ^ 0x5eed), groups);
     }
@@ -81,7 +83,7 @@
         return groups;
     }
 
-    /** The size of an item as it is transferred: in whole KiB. */
+    /** Returns the size of an item as transferred, which is rounded up to whole KiB. */
     long transferBytes(Item item) {
         return (bytes(item) + TrafficClasses.KIB - 1) / TrafficClasses.KIB * TrafficClasses.KIB;
     }
@@ -93,17 +95,17 @@
         if (hotObject != null && item.object() == hotObject) {
             return HOT_OBJECT_BYTES;
         }
-        return sizes.computeIfAbsent(item.object(), object -> drawBytes(item));
+        return bytesByObject.computeIfAbsent(item.object(), object -> drawBytes(item));
     }
 
-    /** Sizes are log-normal, each drawn from a generator that the object itself seeds. */
+    /** Draws a log-normal size from a generator seeded with the object, so that each object always has one size. */
     private static long drawBytes(Item item) {
-        double median = item.serviceClass() == TrafficClasses.MEDIA ? MEDIAN_MEDIA_BYTES : MEDIAN_PAGE_BYTES;
-        double drawn = LogNormalSampler.of(
+        double medianBytes = item.serviceClass() == TrafficClasses.MEDIA ? MEDIAN_MEDIA_BYTES : MEDIAN_PAGE_BYTES;
+        double drawnBytes = LogNormalSampler.of(
                         ZigguratSampler.NormalizedGaussian.of(RandomSource.SPLIT_MIX_64.create(item.object())),
-                        Math.log(median),
+                        Math.log(medianBytes),
                         LOG_SIZE_DEVIATION)
                 .sample();
-        return (long) Math.max(MIN_BYTES, Math.min(MAX_BYTES, drawn));
+        return (long) Math.max(MIN_BYTES, Math.min(MAX_BYTES, drawnBytes));
     }
 }
--- a/src/main/java/petrelplank/emulator/ClientLoad.java
+++ b/src/main/java/petrelplank/emulator/ClientLoad.java
@@ -7,7 +7,7 @@
 import petrelplank.routing.Hash;
 import petrelplank.routing.Idempotency;
 
-/** The clients: sends requests to proxies drawn at random, and notes the responses in the ground truth. */
+/** The emulated clients: sends requests to randomly chosen proxies and records responses in the ground truth. */
 final class ClientLoad {
     private static final int REQUEST_ID_SHIFT = 20;
     private static final byte[] NO_BODY = new byte[0];
@@ -19,7 +19,7 @@
     private final OpenRequests openRequests;
     private final ProxyFleet proxies;
     private final GroundTruthRecorder truth;
-    private long requests;
+    private long requestsSent;
 
     ClientLoad(
             EventScheduler clock,
@@ -38,34 +38,35 @@
         this.truth = truth;
     }
 
-    /** Requests sent so far. */
+    /** Returns the number of requests sent so far. */
     long requests() {
-        return requests;
+        return requestsSent;
     }
 
+    /** Sends requests at random intervals until {@code endUs}. */
     void start(double requestsPerSecond, long endUs) {
         new PoissonProcess(clock, random, requestsPerSecond, 1, endUs, this::sendRequest).start();
     }
 
     private void sendRequest() {
         Catalogue.Item item = catalogue.draw();
-        List<EmulatedProxy> alive = proxies.alive();
-        EmulatedProxy proxy = alive.get(random.nextInt(alive.size()));
-        requests++;
-        ClientRequest request = request(hex(Hash.mix(seed ^ requests << REQUEST_ID_SHIFT)), item);
+        List<EmulatedProxy> aliveProxies = proxies.alive();
+        EmulatedProxy proxy = aliveProxies.get(random.nextInt(aliveProxies.size()));
+        requestsSent++;
+        ClientRequest request = newClientRequest(hex(Hash.mix(seed ^ requestsSent << REQUEST_ID_SHIFT)), item);
         long bytes = catalogue.transferBytes(item);
         long sentUs = clock.nowUs();
-        openRequests.opened(request.id(), item);
+        openRequests.add(request.id(), item);
         truth.requested(proxy, item.serviceClass());
         proxy.handle(request, response -> {
-            openRequests.closed(request.id());
+            openRequests.remove(request.id());
             long servedBytes = response.kind() == ClientResponse.Kind.SERVED ? bytes : 0;
             truth.responded(proxy, item.serviceClass(), servedBytes, response.kind(), clock.nowUs() - sentUs);
         });
     }
 
-    private ClientRequest request(String id, Catalogue.Item item) {
-        boolean keyed = item.serviceClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
+    private ClientRequest newClientRequest(String id, Catalogue.Item item) {
+        boolean needsIdempotencyKey = item.serviceClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
         return new ClientRequest(
                 id,
                 item.serviceClass().deadlineUs(),
@@ -75,7 +76,7 @@
                 catalogue.group(item.object()),
                 0,
                 null,
-                keyed ? id : null,
+                needsIdempotencyKey ? id : null,
                 null,
                 NO_BODY);
     }
--- a/src/main/java/petrelplank/emulator/Network.java
+++ b/src/main/java/petrelplank/emulator/Network.java
@@ -10,7 +10,7 @@
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.CacheStatus;
 
-/** Carries attempts from proxies to servers and fills between servers, with the time that each way takes. */
+/** Carries attempts from proxies to servers and fills between servers, with a random delay in each direction. */
 final class Network implements EmulatedProxy.AttemptTransport {
     private static final long CACHE_ONE_WAY_US = 700;
     private static final long PARENT_ONE_WAY_US = 4_000;
@@ -25,7 +25,7 @@
     private final CacheFleet caches;
     private final OriginServer origin;
     private final GroundTruthRecorder truth;
-    /** Bodies by their length: a fleet sends the same few lengths again and again. */
+    /** Response bodies by length, reused because a fleet sends the same few lengths over and over. */
     private final Map<Integer, byte[]> bodies = new HashMap<>();
 
     Network(
@@ -45,14 +45,14 @@
         this.truth = truth;
     }
 
-    private long delayUs(long usualUs) {
-        return (long) (usualUs * (MIN_DELAY_FACTOR + DELAY_SPREAD * random.nextDouble()));
+    private long delayUs(long averageUs) {
+        return (long) (averageUs * (MIN_DELAY_FACTOR + DELAY_SPREAD * random.nextDouble()));
     }
 
     @Override
     public void send(EmulatedProxy proxy, Attempt attempt) {
-        UpstreamRequest attempted = attempt.request();
-        CacheRequest request = cacheRequest(attempted);
+        UpstreamRequest upstreamRequest = attempt.request();
+        CacheRequest request = cacheRequest(upstreamRequest);
         CacheNode node = caches.node(attempt.server());
         long oneWayUs = oneWayUs(node);
         Consumer<CacheReply> onReply = reply ->
@@ -61,22 +61,23 @@
             if (node == null) {
                 callOrigin(request, onReply);
             } else {
-                FillSource source = attempted.source() == null ? null : fillSource(attempted.source(), node);
-                node.serve(request, source, attempted.coalesce(), attempted.onlyIfCached(), onReply);
+                FillSource source =
+                        upstreamRequest.source() == null ? null : fillSource(upstreamRequest.source(), node);
+                node.serve(request, source, upstreamRequest.coalesce(), upstreamRequest.onlyIfCached(), onReply);
             }
         });
     }
 
-    private CacheRequest cacheRequest(UpstreamRequest attempted) {
-        Catalogue.Item item = openRequests.item(attempted.id());
-        long object = Long.parseUnsignedLong(attempted.object(), 16);
+    private CacheRequest cacheRequest(UpstreamRequest upstreamRequest) {
+        Catalogue.Item item = openRequests.item(upstreamRequest.id());
+        long object = Long.parseUnsignedLong(upstreamRequest.object(), 16);
         return new CacheRequest(
-                attempted.id(),
+                upstreamRequest.id(),
                 object,
                 catalogue.group(object),
                 item == null ? TrafficClasses.KIB : catalogue.transferBytes(item),
-                attempted.maxAgeMs() * 1000,
-                attempted.serviceClass().equals(TrafficClasses.STOCK_MOVES.name()));
+                upstreamRequest.maxAgeMs() * 1000,
+                upstreamRequest.serviceClass().equals(TrafficClasses.STOCK_MOVES.name()));
     }
 
     private static long oneWayUs(CacheNode node) {
@@ -86,19 +87,22 @@
         return node.spec().isParent() ? PARENT_ONE_WAY_US : CACHE_ONE_WAY_US;
     }
 
-    /** The source of a fill: another cache or the origin, over the link into the zone where it is in another one. */
-    private FillSource fillSource(String sourceId, CacheNode target) {
+    /**
+     * Returns the source of a fill: another cache or the origin. A fill from outside the zone of the filled cache also
+     * passes the incoming link of that zone.
+     */
+    private FillSource fillSource(String sourceId, CacheNode filledNode) {
         CacheNode node = caches.node(sourceId);
-        FillSource viaOrigin = (request, onlyIfCached, onReply) ->
+        FillSource originSource = (request, onlyIfCached, onReply) ->
                 clock.after(delayUs(ORIGIN_ONE_WAY_US), () -> callOrigin(request, onReply));
-        FillSource source = node == null ? viaOrigin : node.asSource(viaOrigin, delayUs(PARENT_ONE_WAY_US));
-        Link link = caches.zoneLink(target.spec().zone());
+        FillSource source = node == null ? originSource : node.asSource(originSource, delayUs(PARENT_ONE_WAY_US));
+        Link link = caches.zoneLink(filledNode.spec().zone());
         boolean sameZone =
-                node != null && node.spec().zone().equals(target.spec().zone());
-        return link == null || sameZone ? source : overLink(source, link);
+                node != null && node.spec().zone().equals(filledNode.spec().zone());
+        return link == null || sameZone ? source : throughLink(source, link);
     }
 
-    private static FillSource overLink(FillSource source, Link link) {
+    private static FillSource throughLink(FillSource source, Link link) {
         return (request, onlyIfCached, onReply) -> source.fetch(request, onlyIfCached, reply -> {
             if (reply.isOk() && !request.write()) {
                 link.transfer(request.bytes(), () -> onReply.accept(reply));
@@ -137,7 +141,7 @@
                 bodies.computeIfAbsent(length, byte[]::new));
     }
 
-    /** In the order of {@link ProxySettings}' report fields. */
+    /** Returns the load report of a cache, in the order of the report fields in {@link ProxySettings}. */
     private double[] loadReport(CacheNode node) {
         Link link = caches.zoneLink(node.spec().zone());
         return new double[] {node.inFlight(), link == null ? 0 : link.utilization()};
--- a/src/main/java/petrelplank/emulator/OpenRequests.java
+++ b/src/main/java/petrelplank/emulator/OpenRequests.java
@@ -3,19 +3,19 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the clients' open requests are about; servers look up there how large a response is. */
+/** The requested items of open client requests, from which the network determines the size of a response. */
 final class OpenRequests {
     private final Map<String, Catalogue.Item> items = new HashMap<>();
 
-    void opened(String requestId, Catalogue.Item item) {
+    void add(String requestId, Catalogue.Item item) {
         items.put(requestId, item);
     }
 
-    void closed(String requestId) {
+    void remove(String requestId) {
         items.remove(requestId);
     }
 
-    /** The item of a request; null where the client has had its response. */
+    /** Returns the item of a request, or null if the client has already received its response. */
     Catalogue.Item item(String requestId) {
         return items.get(requestId);
     }
--- a/src/main/java/petrelplank/emulator/OriginServer.java
+++ b/src/main/java/petrelplank/emulator/OriginServer.java
@@ -5,23 +5,24 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * The origin: a few workers, a bounded queue, and service times that grow with the queue. Under an overload of
- * {@link #OVERLOAD_MULTIPLE} times its capacity for {@link #OVERLOAD_US}, it stops for a while.
+ * The origin: a fixed number of workers and a bounded queue, with service times that grow with the queue. If its load
+ * exceeds {@link #OVERLOAD_MULTIPLE} times its capacity for {@link #OVERLOAD_US}, it stops for {@link #STOPPED_US}.
  */
 final class OriginServer {
     static final double OVERLOAD_MULTIPLE = 2.5;
     static final long OVERLOAD_US = 3_000_000;
     private static final long STOPPED_US = 5_000_000;
-    private static final long LOAD_INTERVAL_US = 100_000;
-    private static final long FAILURE_US = 1_000;
-    /** A call that would wait longer than this fails at once. */
+    private static final long LOAD_CHECK_INTERVAL_US = 100_000;
+    private static final long FAILURE_DELAY_US = 1_000;
+    /** A call that would wait in the queue for longer than this fails immediately. */
     private static final double MAX_QUEUE_US = 1_500_000;
-    /** How much slower a call is with a long queue. */
+    /** Additional service time of a call while the queue is long, as a share of the time without a queue. */
     private static final double QUEUE_SLOWDOWN = 0.5;
 
+    /** Value of a start time while the condition does not hold. */
     private static final long NEVER = -1;
 
-    /** Takes the end of a call. */
+    /** Receives the outcome of a call. */
     @FunctionalInterface
     interface Callback {
         void completed(boolean succeeded);
@@ -29,39 +30,39 @@
 
     private final EventScheduler clock;
     private final GroundTruthRecorder truth;
-    private final ZigguratSampler.Exponential callTimes;
-    private final double usualCallUs;
+    private final ZigguratSampler.Exponential callTimeFactors;
+    private final double averageCallUs;
     private final int workers;
-    private final double callsPerUs;
+    private final double capacityCallsPerUs;
     private final ArrayDeque<Callback> queue = new ArrayDeque<>();
     private int busyWorkers;
     private double slowdown = 1;
-    /** Rises with each stop: calls from before it have failed. */
+    /** Incremented on each stop, so that calls started before it fail when they complete. */
     private long incarnation;
 
     private long stoppedUntilUs;
     private double callsInInterval;
     private long overloadedSinceUs = NEVER;
     private long outsideLoadSinceUs = NEVER;
-    /** Number of the outside load that is valid; a change of it ends the earlier one. */
+    /** Number of the current outside load. Incrementing it ends the previous one. */
     private long outsideLoadNumber;
 
     OriginServer(EventScheduler clock, Capacity capacity, UniformRandomProvider random, GroundTruthRecorder truth) {
         this.clock = clock;
         this.truth = truth;
-        this.callTimes = ZigguratSampler.Exponential.of(random);
-        this.usualCallUs = capacity.originCallUs();
+        this.callTimeFactors = ZigguratSampler.Exponential.of(random);
+        this.averageCallUs = capacity.originCallUs();
         this.workers = (int) Math.max(1, Math.round(capacity.originPerSecond() * capacity.originCallUs() / 1e6));
-        this.callsPerUs = workers / usualCallUs;
-        clock.after(LOAD_INTERVAL_US, this::checkLoad);
+        this.capacityCallsPerUs = workers / averageCallUs;
+        clock.after(LOAD_CHECK_INTERVAL_US, this::checkLoad);
     }
 
-    /** From now on other clients call at even intervals, instead of those that did so far. */
+    /** Starts calls from clients outside the fleet at even intervals, which replace any earlier outside load. */
     void startOutsideLoad(double callsPerSecond) {
         long number = ++outsideLoadNumber;
         if (callsPerSecond > 0) {
             outsideLoadSinceUs = clock.nowUs();
-            callFromOutside(number, (long) (1e6 / callsPerSecond));
+            sendOutsideCall(number, (long) (1e6 / callsPerSecond));
         }
     }
 
@@ -69,14 +70,14 @@
         outsideLoadNumber++;
     }
 
-    private void callFromOutside(long number, long gapUs) {
+    private void sendOutsideCall(long number, long intervalUs) {
         if (number == outsideLoadNumber) {
             call(succeeded -> {});
-            clock.after(gapUs, () -> callFromOutside(number, gapUs));
+            clock.after(intervalUs, () -> sendOutsideCall(number, intervalUs));
         }
     }
 
-    /** From now on calls take a multiple of their usual time. */
+    /** Sets the factor by which calls take longer than usual; 1 for the usual time. */
     void setSlowdown(double multiple) {
         slowdown = multiple;
     }
@@ -86,7 +87,7 @@
     }
 
     private void checkLoad() {
-        double load = callsInInterval / (callsPerUs * LOAD_INTERVAL_US);
+        double load = callsInInterval / (capacityCallsPerUs * LOAD_CHECK_INTERVAL_US);
         callsInInterval = 0;
         if (load <= OVERLOAD_MULTIPLE || isStopped()) {
             overloadedSinceUs = NEVER;
@@ -95,7 +96,7 @@
         } else if (clock.nowUs() - overloadedSinceUs >= OVERLOAD_US) {
             stop();
         }
-        clock.after(LOAD_INTERVAL_US, this::checkLoad);
+        clock.after(LOAD_CHECK_INTERVAL_US, this::checkLoad);
     }
 
     private void stop() {
@@ -113,9 +114,10 @@
         }
     }
 
+    /** Executes or queues a call. The call fails if the origin is stopped or its queue is full. */
     void call(Callback callback) {
         callsInInterval++;
-        if (isStopped() || queue.size() > MAX_QUEUE_US * callsPerUs / slowdown) {
+        if (isStopped() || queue.size() > MAX_QUEUE_US * capacityCallsPerUs / slowdown) {
             fail(callback);
         } else if (busyWorkers < workers) {
             execute(callback);
@@ -125,17 +127,17 @@
     }
 
     private void fail(Callback callback) {
-        clock.after(FAILURE_US, () -> callback.completed(false));
+        clock.after(FAILURE_DELAY_US, () -> callback.completed(false));
     }
 
     private void execute(Callback callback) {
         busyWorkers++;
-        long startedIn = incarnation;
+        long startedIncarnation = incarnation;
         double queueFactor = 1 + QUEUE_SLOWDOWN * Math.min(1, queue.size() / (4.0 * workers));
-        // Half of the time is fixed, half varies.
-        double callUs = usualCallUs * slowdown * queueFactor * (0.5 + 0.5 * callTimes.sample());
+        // Half of the average service time is constant, the other half is exponentially distributed.
+        double callUs = averageCallUs * slowdown * queueFactor * (0.5 + 0.5 * callTimeFactors.sample());
         clock.after((long) callUs, () -> {
-            if (startedIn != incarnation) {
+            if (startedIncarnation != incarnation) {
                 callback.completed(false);
                 return;
             }
--- a/src/main/java/petrelplank/emulator/PoissonProcess.java
+++ b/src/main/java/petrelplank/emulator/PoissonProcess.java
@@ -3,43 +3,44 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Runs a task again and again, after exponentially distributed gaps, until an end. */
+/** Runs a task repeatedly until an end time, at exponentially distributed intervals. */
 final class PoissonProcess {
     private final EventScheduler clock;
-    private final ZigguratSampler.Exponential gaps;
-    private final long minimumGapUs;
+    private final ZigguratSampler.Exponential intervalsUs;
+    private final long minIntervalUs;
     private final long endUs;
     private final Runnable task;
 
     /**
-     * A process that has not started.
+     * Creates a process that has not started.
      *
-     * @param perSecond how often the task runs, on average
-     * @param minimumGapUs lower bound of the gaps after the first one
-     * @param endUs the task no longer runs from this time on
+     * @param perSecond average number of runs per second
+     * @param minIntervalUs lower bound of the intervals after the first one
+     * @param endUs time from which on the task no longer runs
      */
     PoissonProcess(
             EventScheduler clock,
             UniformRandomProvider random,
             double perSecond,
-            long minimumGapUs,
+            long minIntervalUs,
             long endUs,
             Runnable task) {
         this.clock = clock;
-        this.gaps = ZigguratSampler.Exponential.of(random, 1e6 / perSecond);
-        this.minimumGapUs = minimumGapUs;
+        this.intervalsUs = ZigguratSampler.Exponential.of(random, 1e6 / perSecond);
+        this.minIntervalUs = minIntervalUs;
         this.endUs = endUs;
         this.task = task;
     }
 
+    /** Starts the process; the task first runs after one interval. */
     void start() {
-        clock.after((long) gaps.sample(), this::run);
+        clock.after((long) intervalsUs.sample(), this::run);
     }
 
     private void run() {
         if (clock.nowUs() < endUs) {
             task.run();
-            clock.after(Math.max(minimumGapUs, (long) gaps.sample()), this::run);
+            clock.after(Math.max(minIntervalUs, (long) intervalsUs.sample()), this::run);
         }
     }
 }
--- a/src/main/java/petrelplank/emulator/Workload.java
+++ b/src/main/java/petrelplank/emulator/Workload.java
@@ -1,12 +1,12 @@
 package petrelplank.emulator;
 
 /**
- * What clients and publishers do in the ordinary course.
+ * The regular load from clients and publishers, without faults.
  *
- * @param requestsPerSecond requests of all zones together
- * @param objects how many objects there are
- * @param groups groups that the objects fall into
- * @param skew exponent of the Zipf law of popularity
- * @param purgesPerSecond single objects that are purged
+ * @param requestsPerSecond client requests per second, summed over all zones
+ * @param objects number of distinct objects that clients read
+ * @param groups number of purge groups to which the objects belong
+ * @param skew exponent of the Zipf distribution of the objects' popularity
+ * @param purgesPerSecond single objects purged per second
  */
 public record Workload(double requestsPerSecond, int objects, int groups, double skew, double purgesPerSecond) {}
