--- a/src/main/java/petrelplank/emulator/AttemptCounters.java
+++ b/src/main/java/petrelplank/emulator/AttemptCounters.java
@@ -5,36 +5,40 @@
 import org.HdrHistogram.Histogram;
 import petrelplank.routing.AttemptStatus;
 
-/** Counts the attempts at one server and their ends for {@link GroundTruth.Attempts}. */
+/** Counts the attempts sent to one server and their outcomes for {@link GroundTruth.Attempts}. */
 final class AttemptCounters {
     private static final int SIGNIFICANT_DIGITS = 3;
 
     private long sent;
     private long aborted;
-    private final Map<AttemptStatus, Long> ends = new EnumMap<>(AttemptStatus.class);
+    private final Map<AttemptStatus, Long> endsByStatus = new EnumMap<>(AttemptStatus.class);
     private final Histogram responseTimesUs = new Histogram(SIGNIFICANT_DIGITS);
 
+    /** Counts an attempt that was sent. */
     void sent() {
         sent++;
     }
 
+    /** Counts an attempt that its proxy aborted. */
     void aborted() {
         aborted++;
     }
 
+    /** Counts the outcome of an attempt and records its response time. */
     void ended(AttemptStatus status, long responseTimeUs) {
-        ends.merge(status, 1L, Long::sum);
+        endsByStatus.merge(status, 1L, Long::sum);
         responseTimesUs.recordValue(responseTimeUs);
     }
 
     private long count(AttemptStatus status) {
-        return ends.getOrDefault(status, 0L);
+        return endsByStatus.getOrDefault(status, 0L);
     }
 
     private double percentileMs(double percentile) {
         return responseTimesUs.getValueAtPercentile(percentile) / 1000.0;
     }
 
+    /** Returns the counts so far. */
     GroundTruth.Attempts totals() {
         return new GroundTruth.Attempts(
                 sent,
--- a/src/main/java/petrelplank/emulator/RequestCounters.java
+++ b/src/main/java/petrelplank/emulator/RequestCounters.java
@@ -5,43 +5,47 @@
 import petrelplank.proxy.ClientResponse;
 import petrelplank.routing.ServiceClass;
 
-/** Counts requests and their responses for {@link GroundTruth.Requests}. */
+/** Counts client requests and their responses for {@link GroundTruth.Requests}. */
 final class RequestCounters {
-    private long asked;
-    private final Map<ClientResponse.Kind, Long> responses = new EnumMap<>(ClientResponse.Kind.class);
+    private long requests;
+    private final Map<ClientResponse.Kind, Long> responsesByKind = new EnumMap<>(ClientResponse.Kind.class);
     private long inTime;
-    private double weightAsked;
-    private double weightEarned;
+    private double requestedWeight;
+    private double earnedWeight;
 
+    /** Counts a request. */
     void requested(ServiceClass serviceClass) {
-        asked++;
-        weightAsked += serviceClass.priorityWeight();
+        requests++;
+        requestedWeight += serviceClass.priorityWeight();
     }
 
     /**
      * Counts a response.
      *
-     * @param earned the priority weight that it earns
+     * @param kind outcome of the request
+     * @param isInTime whether the response met its latency objective and deadline
+     * @param responseWeight priority weight credited for the response
      */
-    void responded(ClientResponse.Kind kind, boolean isInTime, double earned) {
-        responses.merge(kind, 1L, Long::sum);
+    void responded(ClientResponse.Kind kind, boolean isInTime, double responseWeight) {
+        responsesByKind.merge(kind, 1L, Long::sum);
         inTime += isInTime ? 1 : 0;
-        weightEarned += earned;
+        earnedWeight += responseWeight;
     }
 
     private long count(ClientResponse.Kind kind) {
-        return responses.getOrDefault(kind, 0L);
+        return responsesByKind.getOrDefault(kind, 0L);
     }
 
+    /** Returns the counts so far. */
     GroundTruth.Requests totals() {
         return new GroundTruth.Requests(
-                asked,
+                requests,
                 count(ClientResponse.Kind.SERVED),
                 count(ClientResponse.Kind.NOT_MODIFIED),
                 count(ClientResponse.Kind.REJECTED),
                 count(ClientResponse.Kind.FAILED),
                 inTime,
-                weightAsked,
-                weightEarned);
+                requestedWeight,
+                earnedWeight);
     }
 }
