--- a/src/main/java/petrelplank/proxy/DiscoveryEvent.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEvent.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import petrelplank.routing.EndpointInfo;
 
-/** A numbered event of the discovery service. */
+/** An event from the discovery service. Events are numbered in the order in which they were issued. */
 public sealed interface DiscoveryEvent {
     /**
      * The event's number.
      *
-     * @return from 1
+     * @return the number, from 1
      */
     long index();
 
     /**
      * An entry of the endpoint list.
      *
-     * @param endpoint the endpoint as the router sees it
-     * @param address where it listens
+     * @param endpoint the endpoint, as passed to the router
+     * @param address the address that it listens on
      */
     record Entry(EndpointInfo endpoint, InetSocketAddress address) {}
 
@@ -25,30 +25,30 @@
      * The endpoint list changed.
      *
      * @param index the event's number
-     * @param complete the entries are the complete list
+     * @param complete whether the entries are the complete list, and not only the endpoints that changed
      * @param entries the entries
      */
     record Change(long index, boolean complete, List<Entry> entries) implements DiscoveryEvent {}
 
     /**
-     * An object, or a group of them, was purged.
+     * An object or a group of objects was purged.
      *
      * @param index the event's number
-     * @param object the object; null for the whole group
-     * @param group the group, where no object is named
-     * @param unixMs when
+     * @param object the id of the object; null if a whole group was purged
+     * @param group the group; ignored if an object is named
+     * @param unixMs when the purge was issued, Unix time in milliseconds
      */
     record Purge(long index, Long object, int group, long unixMs) implements DiscoveryEvent {}
 
     /**
-     * A heartbeat: nothing new happened.
+     * A heartbeat, sent when there is no new event.
      *
-     * @param index the number of the last event there is
+     * @param index the number of the latest event
      */
     record Heartbeat(long index) implements DiscoveryEvent {}
 
     /**
-     * An event of a kind that is not known here.
+     * An event of a kind that this version of the proxy does not know.
      *
      * @param index the event's number
      */
--- a/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
@@ -15,7 +15,7 @@
     private final Router router;
     private final UpstreamClient upstream;
     private final EventRecorder recorder;
-    /** Ids of the servers that the upstream connections know of. */
+    /** Ids of the endpoints that were passed to {@link UpstreamClient#endpointListed} and not removed since. */
     private final Set<String> listed = new HashSet<>();
 
     private long lastIndex;
@@ -27,7 +27,7 @@
         this.recorder = recorder;
     }
 
-    /** Applies an event, unless its number is known already. */
+    /** Applies an event; ignores it if its number is not above that of the last event. */
     void apply(DiscoveryEvent event) {
         if (event.index() <= lastIndex) {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The number of the last event; 0 before the first. */
+    /** The number of the last event that was applied; 0 before the first. */
     long lastIndex() {
         return lastIndex;
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Ids of the servers that a change removes by name or, where it is a complete list, by leaving them out. */
+    /** Ids of the endpoints that a change removes, either by their state or by their absence from a complete list. */
     private Set<String> removedBy(DiscoveryEvent.Change change) {
         Set<String> removed = change.complete() ? new HashSet<>(listed) : new HashSet<>();
         for (DiscoveryEvent.Entry entry : change.entries()) {
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -4,7 +4,10 @@
 import petrelplank.routing.Router;
 import petrelplank.routing.RouterSettings;
 
-/** The request pipeline with its router and its endpoint list, put together. Event thread only. */
+/**
+ * A proxy: creates the router and the stages of the request pipeline, and is the interface to them for other packages.
+ * Event thread only.
+ */
 public final class EdgeProxy {
     private final EventLoop loop;
     private final Router router;
@@ -17,14 +20,14 @@
     private final DiscoveryEventHandler discovery;
 
     /**
-     * A proxy without endpoints; {@link #onEvent} brings them.
+     * Creates a proxy without endpoints; {@link #onEvent} adds them.
      *
-     * @param loop the event thread
+     * @param loop the event loop
      * @param settings the settings
-     * @param seed for the router's random numbers
-     * @param maxOpen the most exchanges open at once
-     * @param sink takes the proxy's events; {@link EventSink#NONE} where records are off
-     * @param upstreamFactory makes the connections to the upstream servers
+     * @param seed seed of the router's random numbers
+     * @param maxOpen the maximum number of open exchanges
+     * @param sink receives the proxy's events; {@link EventSink#NONE} if records are off
+     * @param upstreamFactory creates the client for upstream servers
      */
     public EdgeProxy(
             EventLoop loop,
@@ -49,11 +52,12 @@
     }
 
     /**
-     * Handles a client's request; one whose client has gone meanwhile is dropped.
+     * Handles a client's request; drops it if the client has disconnected in the meantime.
      *
      * @param request the request
-     * @param channel gets the final response
-     * @param arrivedUs since when its last byte may have been there to be read
+     * @param channel receives the final response
+     * @param arrivedUs the earliest time at which the last byte of the request may have been readable, Unix time in
+     *     microseconds
      */
     public void handle(ClientRequest request, ResponseChannel channel, long arrivedUs) {
         if (channel.isOpen()) {
@@ -61,21 +65,21 @@
         }
     }
 
-    /** Routes nothing for now: the endpoint list may lack a drain or a purge. Requests wait for {@link #resume}. */
+    /** Stops routing, because the proxy may have missed a drain or a purge. Requests wait until {@link #resume}. */
     public void pause() {
         admission.pause();
     }
 
-    /** The endpoint list is as new as it can be: the requests that wait are routed, in the order of their arrival. */
+    /** Starts routing, once the endpoint list is up to date. Waiting requests are routed in the order of admission. */
     public void resume() {
         admission.resume();
     }
 
     /**
-     * A client no longer waits for its response.
+     * Handles a client that no longer waits for its response.
      *
      * @param id the request's id
-     * @param channel the channel of that request; another client's request of the same id is left alone
+     * @param channel the channel of that request; another client's request with the same id is not affected
      */
     public void clientDisconnected(String id, ResponseChannel channel) {
         Exchange exchange = openRequests.find(id);
@@ -86,9 +90,9 @@
     }
 
     /**
-     * An event came from the discovery service.
+     * Handles an event from the discovery service.
      *
-     * @param event the event; ignored where its number is known already
+     * @param event the event; ignored if its number is not above that of the last event
      */
     public void onEvent(DiscoveryEvent event) {
         discovery.apply(event);
@@ -97,28 +101,28 @@
     /**
      * The number of the last discovery event.
      *
-     * @return 0 before the first
+     * @return the number; 0 before the first event
      */
     public long lastEventIndex() {
         return discovery.lastIndex();
     }
 
     /**
-     * Starts to drain.
+     * Starts to drain the proxy.
      *
-     * @param atUs Unix time from which nothing more is admitted, and at which all that is then open fails
+     * @param atUs when requests start to be rejected and open requests fail, Unix time in microseconds
      */
     public void startDrain(long atUs) {
         recorder.drainStarted(atUs);
         admission.closeAt(atUs);
     }
 
-    /** From now on requests are rejected at once, and nothing is sent upstream any more. */
+    /** Fails all open requests and rejects further ones, so that nothing more is sent to upstream servers. */
     public void stopAdmitting() {
         admission.closeAt(loop.now());
     }
 
-    /** Records that the planned shutdown is complete: the last event. */
+    /** Records the end of a planned shutdown; no event may follow. */
     public void recordStopped() {
         recorder.proxyStopped();
     }
@@ -126,14 +130,14 @@
     /**
      * Whether any client still waits for its final response.
      *
-     * @return whether one does
+     * @return true if at least one does
      */
     public boolean hasPendingRequests() {
         return openRequests.hasPendingRequests();
     }
 
     /**
-     * The outcomes of requests so far, in one line.
+     * Counts of request outcomes since the start, as one line for the log.
      *
      * @return the counts
      */
@@ -142,7 +146,7 @@
     }
 
     /**
-     * The state and the faults of the connections to upstream servers, in one line.
+     * Counts of upstream connections and of their faults, as one line for the log.
      *
      * @return the counts
      */
--- a/src/main/java/petrelplank/proxy/EventLoop.java
+++ b/src/main/java/petrelplank/proxy/EventLoop.java
@@ -9,8 +9,9 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread that owns the router and all request state; other threads only post. Urgent tasks, the events of the
- * discovery service, run before all others that wait, so that a drain or a purge binds requests queued before it.
+ * Runs tasks and timers on the event thread, the single thread that owns the router and all request state; other
+ * threads only post tasks. Urgent tasks run before all queued ordinary tasks. Discovery events are urgent, so that a
+ * drain or a purge also applies to requests that were queued before it.
  */
 public final class EventLoop implements Runnable {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
@@ -18,12 +19,12 @@
     private static final long NS_PER_US = 1_000;
     private static final long MAX_PARK_US = 1_000_000;
 
-    /** A task to be run at a time. */
+    /** A task that is scheduled for a time. */
     public static final class Timer implements Comparable<Timer> {
         private final long atUs;
-        /** Timers of the same time fire in the order in which they were set. */
+        /** Timers that are due at the same time fire in the order in which they were scheduled. */
         private final long order;
-        /** Null once it is cancelled. */
+        /** Null after cancellation. */
         private Runnable task;
 
         private Timer(long atUs, long order, Runnable task) {
@@ -32,7 +33,7 @@
             this.task = task;
         }
 
-        /** It no longer fires; nothing happens where it has fired. */
+        /** Cancels the timer; has no effect if it has fired. */
         public void cancel() {
             task = null;
         }
@@ -57,20 +58,20 @@
     private long failures;
     private long maxTimerDelayUs;
     private volatile boolean stopped;
-    /** The event thread while it is parked, or is about to be; null otherwise. */
+    /** The event thread while it is parked or about to park; null otherwise. */
     private volatile Thread parked;
 
     /**
-     * A loop without tasks.
+     * Creates an event loop without tasks.
      *
-     * @param clock the Unix clock in microseconds
+     * @param clock returns Unix time in microseconds
      */
     public EventLoop(LongSupplier clock) {
         this.clock = clock;
     }
 
     /**
-     * The clock as the router sees it; it never runs backwards.
+     * The time for the router, which never runs backwards; event thread only.
      *
      * @return Unix time in microseconds
      */
@@ -80,7 +81,7 @@
     }
 
     /**
-     * The clock as it stands; from any thread.
+     * The unmodified clock, which may run backwards; any thread.
      *
      * @return Unix time in microseconds
      */
@@ -89,7 +90,7 @@
     }
 
     /**
-     * Queues a task; from any thread.
+     * Queues a task; any thread.
      *
      * @param task the task
      */
@@ -98,7 +99,7 @@
     }
 
     /**
-     * Queues a task before all ordinary ones; from any thread.
+     * Queues a task that runs before all ordinary tasks; any thread.
      *
      * @param task the task
      */
@@ -120,9 +121,9 @@
     }
 
     /**
-     * Sets a timer; from the event thread.
+     * Schedules a task; event thread only.
      *
-     * @param atUs when it is due, Unix time in microseconds
+     * @param atUs when the task is due, Unix time in microseconds
      * @param task the task
      * @return the timer
      */
@@ -132,7 +133,7 @@
         return timer;
     }
 
-    /** Ends {@link #run} after the current turn; from any thread. */
+    /** Makes {@link #run} return after the current turn; any thread. */
     public void stop() {
         stopped = true;
         post(() -> {});
@@ -146,7 +147,10 @@
         }
     }
 
-    /** Runs the tasks that are queued now, urgent ones first throughout, and then the timers that are due. */
+    /**
+     * Runs as many tasks as are queued at the start of the turn, each time an urgent one if there is any, and then the
+     * timers that are due.
+     */
     public void turn() {
         int queued = size();
         for (int i = 0; i < queued; i++) {
@@ -169,9 +173,9 @@
     }
 
     /**
-     * When the next timer is due; from the event thread.
+     * When the next timer is due; event thread only.
      *
-     * @return Unix time in microseconds; the largest number where none is set
+     * @return Unix time in microseconds; {@link Long#MAX_VALUE} if there is no timer
      */
     public long nextDueUs() {
         while (!timers.isEmpty() && timers.peek().isCancelled()) {
@@ -180,7 +184,7 @@
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().atUs;
     }
 
-    /** The longest delay of a timer since the last call; from the event thread. */
+    /** Returns the longest delay with which a timer has fired since the last call; event thread only. */
     long takeMaxTimerDelayUs() {
         long delayUs = maxTimerDelayUs;
         maxTimerDelayUs = 0;
@@ -188,9 +192,9 @@
     }
 
     /**
-     * How many tasks wait for their turn; from any thread.
+     * The number of queued tasks, urgent and ordinary; any thread.
      *
-     * @return tasks queued, without timers
+     * @return the number of tasks, not counting timers
      */
     public int size() {
         lock.lock();
@@ -210,20 +214,24 @@
         }
     }
 
-    /** Guards the process: a task that fails harms one request, which is still answered at its deadline. */
+    /**
+     * Logs an exception of a task, which would otherwise end the event thread. The failure affects one request, which
+     * still gets its final response at its deadline.
+     */
     private void runSafely(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
             if (failures++ % LOGGED_ONE_IN == 0) {
-                LOG.log(Level.SEVERE, "task failed, " + failures + " so far", e);
+                LOG.log(Level.SEVERE, "event loop task failed, " + failures + " failed tasks so far", e);
             }
         }
     }
 
     /**
-     * Guards a proxy that has less than a core: a condition's timed wait that runs out while it is signalled spins until
-     * the signalling thread goes on, which on one core may take the rest of its time slice; parking does not.
+     * Waits for a task or for the next timer. The thread is parked because a timed wait on a condition that times out
+     * while it is being signalled spins until the signalling thread continues. For a proxy with less than one CPU core
+     * that can take the rest of the time slice. Parking does not spin.
      */
     private void parkUntilNeeded() {
         parked = Thread.currentThread();
