--- a/src/main/java/petrelplank/proxy/AdmissionController.java
+++ b/src/main/java/petrelplank/proxy/AdmissionController.java
@@ -1,8 +1,8 @@
 package petrelplank.proxy;
 
 /**
- * Stage 2: opens exchanges, no more at once than memory allows, and guards each at its deadline. What is rejected here
- * has not been sent anywhere.
+ * Stage 2: admits requests and starts their deadline timers. The number of open exchanges is limited, because each one
+ * holds memory. A request that is rejected here has not been sent to any server.
  */
 final class AdmissionController {
     private static final long RETRY_AFTER_MS = 1_000;
@@ -55,17 +55,21 @@
         return openRequests.size() < maxOpen && !openRequests.contains(exchange.request.id()) && loop.now() < closeAtUs;
     }
 
-    /** Routes nothing until {@link #resume}; what is admitted waits, no longer than its deadline allows. */
+    /**
+     * Stops routing until {@link #resume}. Requests are still admitted; they wait to be routed, at most until their
+     * deadlines.
+     */
     void pause() {
         routingPaused = true;
     }
 
+    /** Starts routing again, beginning with the requests that wait, in the order of their admission. */
     void resume() {
         routingPaused = false;
         openRequests.takeUnrouted().forEach(routing::route);
     }
 
-    /** From a time on nothing is admitted, and whatever is still open then fails. */
+    /** Sets the time from which requests are rejected, and at which the exchanges that are still open fail. */
     void closeAt(long atUs) {
         closeAtUs = atUs;
         openRequests.forEach(exchange -> deadlineGuard.failAt(exchange, atUs));
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -8,7 +8,7 @@
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.ServiceClass;
 
-/** Stage 4: sends the attempts that the router orders, and ends those whose time is up. */
+/** Stage 4: sends the attempts that the router requests, and aborts them on timeout or when the router cancels them. */
 final class AttemptDispatcher {
     private static final int US_PER_MS = 1000;
 
@@ -16,7 +16,7 @@
     private final UpstreamClient upstream;
     private final ResponseForwarder forwarder;
     private final EventRecorder recorder;
-    /** Names of the classes whose requests can't be repeated freely. */
+    /** Names of the service classes whose requests are not idempotent, or only with an idempotency key. */
     private final Set<String> nonIdempotentClasses;
 
     AttemptDispatcher(
@@ -70,12 +70,15 @@
                 nonIdempotentClasses.contains(request.serviceClass()));
     }
 
-    /** Guards the purge rule: rounded down, and never to 0, which would stand for the class's own limit. */
+    /**
+     * Converts an age limit to milliseconds. It is rounded down, so that no copy from before a purge is accepted, but
+     * never to 0, which means the limit of the service class.
+     */
     static long maxAgeMs(long maxAgeUs) {
         return maxAgeUs <= 0 ? 0 : Math.max(1, maxAgeUs / US_PER_MS);
     }
 
-    /** Cancels an attempt by its number; nothing happens where it has ended or was never sent. */
+    /** Cancels the attempt with this number; does nothing if it has ended or was never sent. */
     void cancel(Exchange exchange, int number) {
         if (number >= 0 && number < exchange.attempts.size()) {
             abort(exchange.attempts.get(number), AttemptStatus.CANCELLED);
--- a/src/main/java/petrelplank/proxy/DeadlineGuard.java
+++ b/src/main/java/petrelplank/proxy/DeadlineGuard.java
@@ -3,10 +3,10 @@
 import java.util.logging.Logger;
 import petrelplank.routing.Router;
 
-/** Fails the exchanges that nothing else has completed by their deadline. */
+/** Fails the exchanges that have no final response by their deadline. */
 final class DeadlineGuard {
     private static final Logger LOG = Logger.getLogger(DeadlineGuard.class.getName());
-    /** The guard waits this long past the deadline, so that the router's own response comes first. */
+    /** The timer fires this long after the deadline, so that a final response from the router takes precedence. */
     private static final long GRACE_US = 10_000;
 
     private static final int LOGGED_ONE_IN = 25;
@@ -21,20 +21,24 @@
         this.completion = completion;
     }
 
-    /** Starts the exchange's deadline timer, which fires shortly after its deadline, or earlier at {@code closeAtUs}. */
+    /**
+     * Starts the deadline timer of an exchange. It fires shortly after the deadline, and no later than
+     * {@code closeAtUs}.
+     */
     void watch(Exchange exchange, long closeAtUs) {
         exchange.deadlineTimer =
                 loop.at(Math.min(exchange.deadlineUs + GRACE_US, closeAtUs), () -> deadlineExceeded(exchange));
     }
 
-    /** Sets one more timer for an exchange that is watched already. */
+    /** Starts a second timer for an exchange whose deadline timer is running, which may fail it earlier. */
     void failAt(Exchange exchange, long atUs) {
         loop.at(atUs, () -> deadlineExceeded(exchange));
     }
 
     /**
-     * Guards against a response that was never sent, for whatever reason. The router is notified first that the request
-     * is over: it cancels the attempts under way, and would otherwise retry after the final response.
+     * Fails an exchange that has no final response yet, whatever the cause. The router is notified first, in the same
+     * way as of a client's disconnect: it cancels the attempts in flight, and would otherwise retry after the final
+     * response.
      */
     private void deadlineExceeded(Exchange exchange) {
         if (exchange.isCompleted()) {
@@ -42,7 +46,8 @@
         }
         long count = completion.countDeadlineExceeded();
         if ((count - 1) % LOGGED_ONE_IN == 0) {
-            LOG.warning("no answer by the deadline, failed: " + exchange.request.id() + ", " + count + " so far");
+            LOG.warning("request " + exchange.request.id() + " failed: no final response by its deadline, " + count
+                    + " such requests so far");
         }
         try {
             router.clientDisconnected(loop.now(), exchange.request.id());
--- a/src/main/java/petrelplank/proxy/Exchange.java
+++ b/src/main/java/petrelplank/proxy/Exchange.java
@@ -4,23 +4,26 @@
 import java.util.List;
 import petrelplank.routing.CacheStatus;
 
-/** An admitted request with its attempts, until it is completed and its last attempt has ended. Event thread only. */
+/**
+ * An admitted request and its attempts. The exchange is finished once it is completed and its last attempt has ended.
+ * Event thread only.
+ */
 final class Exchange {
     final ClientRequest request;
-    /** The request's id as a number. */
+    /** The request's id, parsed from its hex digits. */
     final long requestId;
 
-    /** The object as a number. */
+    /** The object's id, parsed from its hex digits. */
     final long object;
 
     final ResponseChannel channel;
     final long arrivedUs;
     final long deadlineUs;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Completes the exchange at its deadline, if nothing else has. */
+    /** Fails the exchange if it has no final response by its deadline. */
     EventLoop.Timer deadlineTimer;
 
-    /** Cache status of the copy that was served. */
+    /** The cache status of the response that was served to the client. */
     CacheStatus servedFrom = CacheStatus.NONE;
 
     private boolean completed;
@@ -34,7 +37,7 @@
         this.deadlineUs = deadlineUs;
     }
 
-    /** No final response is owed any more: it is on its way, or the client has disconnected. */
+    /** Marks the exchange as completed: its final response is being sent, or the client has disconnected. */
     void complete() {
         completed = true;
         deadlineTimer.cancel();
@@ -44,7 +47,7 @@
         return completed;
     }
 
-    /** Whether it is completed and no attempt is under way. */
+    /** Whether the exchange is completed and no attempt is in flight. */
     boolean isFinished() {
         return completed && attempts.stream().allMatch(Attempt::hasEnded);
     }
--- a/src/main/java/petrelplank/proxy/OpenRequests.java
+++ b/src/main/java/petrelplank/proxy/OpenRequests.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * The table of open exchanges by request id, and those among them that still wait to be routed. An exchange stays
- * until it is completed and its last attempt has ended. Event thread only.
+ * The open exchanges by request id, and those among them whose routing is deferred. An exchange is open until it is
+ * completed and its last attempt has ended. Event thread only.
  */
 final class OpenRequests {
     private final Map<String, Exchange> byId = new HashMap<>();
@@ -20,7 +20,7 @@
         byId.put(exchange.request.id(), exchange);
     }
 
-    /** The open exchange of a request id; null where there is none. */
+    /** Returns the open exchange with a request id, or null if there is none. */
     Exchange find(String id) {
         return byId.get(id);
     }
@@ -42,19 +42,19 @@
         byId.values().forEach(action);
     }
 
-    /** Keeps an open exchange for {@link #takeUnrouted}, or until it is removed. */
+    /** Defers the routing of an open exchange until {@link #takeUnrouted}; dropped if the exchange finishes before. */
     void deferRouting(Exchange exchange) {
         unrouted.add(exchange);
     }
 
-    /** The exchanges whose routing was deferred, in the order of their admission; none is kept any more. */
+    /** Returns the exchanges whose routing is deferred, in the order of admission, and clears the list. */
     List<Exchange> takeUnrouted() {
         List<Exchange> deferred = new ArrayList<>(unrouted);
         unrouted.clear();
         return deferred;
     }
 
-    /** Removes an exchange that is completed and has no attempt under way; keeps any other. */
+    /** Removes an exchange if it is completed and has no attempt in flight. */
     void removeIfFinished(Exchange exchange) {
         if (exchange.isFinished()) {
             byId.remove(exchange.request.id(), exchange);
--- a/src/main/java/petrelplank/proxy/RequestCompletion.java
+++ b/src/main/java/petrelplank/proxy/RequestCompletion.java
@@ -1,6 +1,6 @@
 package petrelplank.proxy;
 
-/** Stage 6: gives each exchange its one final response, counts the outcomes, and forgets what is finished. */
+/** Stage 6: sends the final response of each exchange, counts the outcomes, and removes finished exchanges. */
 final class RequestCompletion {
     private final OpenRequests openRequests;
     private final EventRecorder recorder;
@@ -14,7 +14,7 @@
         this.recorder = recorder;
     }
 
-    /** Sends the final response; any after the first is ignored, since a second one would void the request. */
+    /** Sends the final response. Ignores all but the first, because a second response would invalidate the request. */
     void answer(Exchange exchange, ClientResponse response) {
         if (exchange.isCompleted()) {
             return;
@@ -26,7 +26,7 @@
         release(exchange);
     }
 
-    /** The client closed its connection or cancelled the request: no response is owed any more. */
+    /** Completes an exchange without a response, after the client closed its connection or cancelled the request. */
     void clientDisconnected(Exchange exchange) {
         exchange.complete();
         disconnected++;
@@ -34,7 +34,7 @@
         release(exchange);
     }
 
-    /** Forgets an exchange if it is finished. */
+    /** Removes an exchange from the open requests if it is finished. */
     void release(Exchange exchange) {
         openRequests.removeIfFinished(exchange);
     }
@@ -43,12 +43,12 @@
         rejectedBeforeRouting++;
     }
 
-    /** Counts an exchange that had no response by its deadline; returns how many there were so far. */
+    /** Counts an exchange without a response by its deadline, and returns the number of such exchanges so far. */
     long countDeadlineExceeded() {
         return ++deadlineExceeded;
     }
 
-    /** One line of counts. */
+    /** Counts of outcomes since the start, as one line for the log. */
     String counts() {
         StringBuilder line = new StringBuilder();
         for (ClientResponse.Kind kind : ClientResponse.Kind.values()) {
--- a/src/main/java/petrelplank/proxy/RequestValidator.java
+++ b/src/main/java/petrelplank/proxy/RequestValidator.java
@@ -8,13 +8,13 @@
 import petrelplank.routing.ServiceClass;
 
 /**
- * Stage 1: makes an exchange of a client's request. A request with fields that can't be passed on upstream is answered
- * here, since a malformed command would void others on its connection too.
+ * Stage 1: checks a client's request and creates its exchange. A request with fields that cannot be passed on upstream
+ * is rejected here, because a malformed command would also invalidate other requests on its upstream connection.
  */
 final class RequestValidator {
-    /** Subtracted from the time that a client waits, so that a response at the deadline still reaches it. */
+    /** Subtracted from the client's timeout, so that a response sent at the deadline still reaches the client. */
     private static final long RESPONSE_MARGIN_US = 25_000;
-    /** The margin is at most this part of the time that a client waits. */
+    /** The margin is at most the client's timeout divided by this. */
     private static final int MARGIN_DIVISOR = 4;
 
     private static final int MAX_TOKEN_LENGTH = 128;
@@ -25,9 +25,9 @@
 
     private final AdmissionController admission;
     private final EventRecorder recorder;
-    /** The longest that a client waits, by class name. */
+    /** The longest time that a client waits, by service class name. */
     private final Map<String, Long> deadlineUsByClass;
-    /** Names of the classes whose requests carry an idempotency key, by which the origin drops duplicates. */
+    /** Names of the service classes whose requests need an idempotency key, by which the origin drops duplicates. */
     private final Set<String> keyedClasses;
 
     RequestValidator(AdmissionController admission, RouterSettings settings, EventRecorder recorder) {
@@ -41,14 +41,14 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Handles a request that was complete at {@code arrivedUs}. */
+    /** Admits a valid request that was complete at {@code arrivedUs}; answers an invalid one as a bad request. */
     void handle(ClientRequest request, ResponseChannel channel, long arrivedUs) {
         if (!isValid(request)) {
             recorder.requestRejected(request, ClientResponse.Kind.BAD_REQUEST);
             channel.answer(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
             return;
         }
-        // Guards against a time-out longer than any client's, which would hold its place and memory for as long.
+        // Without the limit of its class, a request with a huge timeout could hold its slot and memory for that long.
         long waitUs = Math.min(request.timeoutUs(), deadlineUsByClass.get(request.serviceClass()));
         long marginUs = Math.min(RESPONSE_MARGIN_US, waitUs / MARGIN_DIVISOR);
         admission.admit(new Exchange(request, channel, arrivedUs, arrivedUs + waitUs - marginUs));
@@ -78,7 +78,7 @@
                 && text.chars().allMatch(c -> c < ASCII_DELETE && Character.digit(c, HEX_RADIX) >= 0);
     }
 
-    /** Whether a text may stand as one word in a command line or in a list of fields. */
+    /** Whether a text can be sent as a single word of an upstream command, or as a value in its list of fields. */
     private static boolean isToken(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_TOKEN_LENGTH
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -4,7 +4,7 @@
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.Router;
 
-/** Stage 5: forwards the first usable response to the client, and notifies the router of each attempt's end. */
+/** Stage 5: forwards the first usable response to the client, and reports the outcome of each attempt to the router. */
 public final class ResponseForwarder {
     private static final double BYTES_PER_KB = 1024.0;
 
@@ -21,10 +21,10 @@
     }
 
     /**
-     * An attempt ended; any end after its first is ignored. Event thread only.
+     * Handles the end of an attempt; ignores attempts that have already ended. Event thread only.
      *
-     * @param attempt which
-     * @param received the response, or how it ended without one
+     * @param attempt the attempt
+     * @param received the response, or a substitute with the status of an attempt that ended without one
      */
     public void attemptEnded(Attempt attempt, UpstreamResponse received) {
         if (attempt.hasEnded()) {
@@ -37,7 +37,7 @@
         boolean serves = response.status() == AttemptStatus.OK && !exchange.isCompleted();
         long now = loop.now();
         try {
-            // Before the response goes out: a hedged request that still waits to be sent must not follow it.
+            // The router is notified first, so that no pending hedged attempt is sent after the response.
             router.attemptEnded(now, outcome(attempt, response, now, exchange.isCompleted() || serves));
         } finally {
             if (serves) {
@@ -48,7 +48,10 @@
         }
     }
 
-    /** Guards the client against "not modified" that is about another copy than its own, or about none. */
+    /**
+     * Replaces a "not modified" response by an error unless it names the copy that the client has: the client would
+     * otherwise use the wrong copy, or have none.
+     */
     private static UpstreamResponse verified(ClientRequest request, UpstreamResponse response) {
         boolean namesClientsCopy = response.tag() != null && response.tag().equals(request.tag());
         return response.notModified() && !namesClientsCopy
--- a/src/main/java/petrelplank/proxy/RouterHost.java
+++ b/src/main/java/petrelplank/proxy/RouterHost.java
@@ -8,12 +8,12 @@
 import petrelplank.routing.TerminationReason;
 
 /**
- * Owns the router and carries its decisions out: attempts, final responses, timers. Event thread only.
+ * Owns the router and executes its actions: attempts, final responses and timers. Event thread only.
  *
- * <p>The router orders attempts, and the ends of these attempts come back to the router: this class closes that circle.
- * It hands itself to the router as its {@link Router.Actions} and then builds, on the finished router, the stages that
- * carry the orders out. That is safe because a router calls no action while it is constructed, but for
- * {@link #watchEndpoints}, which does nothing here.
+ * <p>The router and the stages that execute its actions depend on each other, because the outcomes of attempts are
+ * reported back to the router. This class resolves the cycle: it passes itself to the router as its
+ * {@link Router.Actions}, and then creates the stages with the constructed router. This is safe because a router calls
+ * no action from its constructor except {@link #watchEndpoints}, which does nothing here.
  */
 final class RouterHost implements Router.Actions {
     private static final Logger LOG = Logger.getLogger(RouterHost.class.getName());
@@ -95,25 +95,28 @@
 
     @Override
     public void healthCheck(String server) {
-        LOG.warning("the router asked for a health check, which the proxy does not send");
+        LOG.warning("ignored a health check requested by the router: the proxy sends no health checks");
     }
 
     @Override
     public void gossip(int gateway, byte[] data) {
-        LOG.warning("the router has gossip for another proxy, which this proxy does not send");
+        LOG.warning("ignored a gossip message of the router: the proxy sends no gossip to other proxies");
     }
 
-    /** Guards the event thread: as in the simulator, a timer never fires in the turn that set it. */
+    /**
+     * Sets a timer that is due in the future even if the router asks for an earlier time. As in the simulator, a timer
+     * never fires in the turn that set it; otherwise a router that sets overdue timers would block the event thread.
+     */
     @Override
     public void setTimer(long token, long atUs) {
         loop.at(Math.max(atUs, loop.now() + MIN_TIMER_US), () -> router.timerFired(loop.now(), token));
     }
 
-    /** The proxy follows the discovery service from its start. */
+    /** Does nothing: the proxy follows the discovery service from the start. */
     @Override
     public void watchEndpoints() {}
 
-    /** The first event holds the complete endpoint list, and none after it is left out. */
+    /** Does nothing: the first discovery event has the complete endpoint list, and no later event is skipped. */
     @Override
     public void fetchEndpoints() {}
 
--- a/src/main/java/petrelplank/proxy/RouterWarmup.java
+++ b/src/main/java/petrelplank/proxy/RouterWarmup.java
@@ -13,17 +13,17 @@
 import petrelplank.routing.ServiceClass;
 
 /**
- * Lets a router of its own decide on synthetic requests, none of which is sent anywhere, so that the routing code is
- * compiled when the first clients come. It shares nothing with the router in service.
+ * Routes synthetic requests with a separate router, so that the JIT compiler has compiled the routing code before the
+ * first clients connect. Nothing is sent to any server, and no state is shared with the router in service.
  */
 public final class RouterWarmup {
     private static final long SEED = 1;
-    /** Simulated time between a request and the end of its attempt. */
+    /** Simulated time from a request to the end of its attempt. */
     private static final long STEP_US = 2_000;
 
     private static final int OBJECTS = 64;
     private static final int GROUPS = 16;
-    /** One attempt in so many is a miss that the cache fills. */
+    /** One in this many attempts is a miss that the cache fills; the others are hits. */
     private static final int FILLED_ONE_IN = 4;
 
     private final RouterSettings settings;
@@ -39,11 +39,11 @@
     }
 
     /**
-     * Routes some requests.
+     * Routes synthetic requests.
      *
      * @param settings the settings in service
-     * @param endpoints the endpoints of the first list
-     * @param requests how many
+     * @param endpoints the endpoints of the first complete list
+     * @param requests the number of requests
      */
     public static void run(RouterSettings settings, List<EndpointInfo> endpoints, int requests) {
         RouterWarmup warmup = new RouterWarmup(settings);
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Keeps the last attempt that was ordered, and carries nothing out. */
+    /** Keeps the plan of the last attempt that the router requested, and executes no action. */
     private static final class LastPlan implements Router.Actions {
         private AttemptPlan plan;
 
--- a/src/main/java/petrelplank/proxy/RoutingStage.java
+++ b/src/main/java/petrelplank/proxy/RoutingStage.java
@@ -7,14 +7,14 @@
 import petrelplank.routing.RoutingRequest;
 import petrelplank.routing.ServiceClass;
 
-/** Stage 3: hands a request to the router, which responds through its actions before this returns. */
+/** Stage 3: passes requests to the router. The router calls its actions for a request before {@link #route} returns. */
 final class RoutingStage {
-    /** Clients do not mark their retries. */
+    /** Requests of clients do not say whether they are retries. */
     private static final boolean MARKED_AS_RETRY = false;
 
     private final EventLoop loop;
     private final Router router;
-    /** Names of the classes that run at the origin. */
+    /** Names of the service classes for writes, which run at the origin. */
     private final Set<String> writeClasses;
 
     RoutingStage(EventLoop loop, RouterSettings settings, Router router) {
