--- a/src/main/java/petrelplank/proxy/Attempt.java
+++ b/src/main/java/petrelplank/proxy/Attempt.java
@@ -1,18 +1,18 @@
 package petrelplank.proxy;
 
-/** One attempt of an exchange: a request to one upstream server, with a time limit of its own. */
+/** One attempt of an exchange: a request to one upstream server, with its own timeout. */
 public final class Attempt {
     private static final int US_PER_MS = 1000;
 
     final Exchange exchange;
-    /** From 0, in the order sent. */
+    /** The position among the attempts of the exchange in the order sent, from 0. */
     final int number;
 
     private final String server;
     private final UpstreamRequest request;
     private final long sentUs;
     private final long timeoutAtUs;
-    /** Ends it when its time is up; null in tests that send it to no server. */
+    /** Ends the attempt at its timeout; null in tests that do not send the attempt. */
     private EventLoop.Timer timeout;
 
     private boolean ended;
@@ -26,12 +26,12 @@
         this.timeoutAtUs = timeoutAtUs;
     }
 
-    /** Names the timer that is cancelled when the attempt ends. */
+    /** Sets the timeout timer, which is cancelled when the attempt ends. */
     void startTimeout(EventLoop.Timer timer) {
         timeout = timer;
     }
 
-    /** It has ended, however; its time-out no longer fires. */
+    /** Marks the attempt as ended, with or without a response, and cancels its timeout. */
     void end() {
         ended = true;
         if (timeout != null) {
@@ -44,7 +44,7 @@
     }
 
     /**
-     * The server that is asked.
+     * The server that the attempt is sent to.
      *
      * @return the server's id
      */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * What the server is asked.
+     * The request that is sent to the server.
      *
      * @return the request
      */
@@ -62,16 +62,17 @@
     }
 
     /**
-     * Whether the client still waits for its response, of which the event thread may not know yet. Any thread.
+     * Whether the client still waits for its response. May be called from any thread, and may return false before the
+     * event thread has processed the client's disconnect.
      *
-     * @return false once the client has closed its connection or cancelled the request, or was answered
+     * @return false once the client has closed its connection, cancelled the request or received its response
      */
     public boolean isAwaited() {
         return exchange.channel.isOpen();
     }
 
     /**
-     * When the router ordered it.
+     * When the router requested the attempt.
      *
      * @return Unix time in microseconds
      */
@@ -80,9 +81,9 @@
     }
 
     /**
-     * How long the proxy still waits for it.
+     * The time left until the attempt's timeout.
      *
-     * @param nowUs the clock
+     * @param nowUs the current time, Unix time in microseconds
      * @return milliseconds, rounded up, at least 1
      */
     public long remainingMs(long nowUs) {
--- a/src/main/java/petrelplank/proxy/ClientResponse.java
+++ b/src/main/java/petrelplank/proxy/ClientResponse.java
@@ -4,23 +4,23 @@
  * The final response to a client.
  *
  * @param kind the outcome
- * @param body the bytes of the part; empty where there are none
- * @param retryAfterMs for rejected requests: when the client should come back; 0 for no advice
+ * @param body the bytes of the part; empty if the response has no body
+ * @param retryAfterMs for rejected requests, how long the client should wait before it retries; 0 to send no advice
  */
 public record ClientResponse(Kind kind, byte[] body, long retryAfterMs) {
     private static final byte[] NO_BODY = new byte[0];
 
     /** The outcome of a request. */
     public enum Kind {
-        /** The bytes of the part. */
+        /** The response has the bytes of the part. */
         SERVED("served"),
-        /** The client's own copy is current. */
+        /** The copy that the client has is current. */
         NOT_MODIFIED("still"),
-        /** Nothing was executed; a retry is harmless. */
+        /** The request was not executed; a retry is safe. */
         REJECTED("refused"),
-        /** Not served; it may have been executed. */
+        /** The request was not served, but may have been executed. */
         FAILED("failed"),
-        /** The request is malformed; nothing was executed, and a retry won't help. */
+        /** The request is malformed. It was not executed, and a retry would get the same response. */
         BAD_REQUEST("bad_request");
 
         private final String label;
@@ -30,9 +30,9 @@
         }
 
         /**
-         * The name in counts.
+         * The name of the outcome in logged counts.
          *
-         * @return a word in lower case
+         * @return the name, in lower case
          */
         public String label() {
             return label;
@@ -44,7 +44,7 @@
     }
 
     /**
-     * A response without a body.
+     * Creates a response without a body.
      *
      * @param kind the outcome
      * @return the response
@@ -54,9 +54,9 @@
     }
 
     /**
-     * The response to a request that is rejected.
+     * Creates the response to a rejected request.
      *
-     * @param retryAfterMs when the client should come back; 0 for no advice
+     * @param retryAfterMs how long the client should wait before it retries; 0 to send no advice
      * @return the response
      */
     public static ClientResponse rejected(long retryAfterMs) {
--- a/src/main/java/petrelplank/proxy/EventRecorder.java
+++ b/src/main/java/petrelplank/proxy/EventRecorder.java
@@ -5,57 +5,60 @@
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.TerminationReason;
 
-/** Records what the stages do. Event thread only. */
+/** Records the events of the request pipeline. Event thread only. */
 interface EventRecorder {
     /**
-     * The recorder for a sink.
+     * Creates the recorder for a sink.
      *
-     * @param loop the event thread
-     * @param settings the settings, recorded at once
-     * @param sink takes the events; with {@link EventSink#NONE} no event is even made
-     * @return a recorder
+     * @param loop the event loop
+     * @param settings the settings, which are recorded immediately
+     * @param sink receives the events; no event objects are created for {@link EventSink#NONE}
+     * @return the recorder
      */
     static EventRecorder to(EventLoop loop, RouterSettings settings, EventSink sink) {
-        Objects.requireNonNull(sink, "sink: missing; EventSink.NONE where records are off");
+        Objects.requireNonNull(sink, "sink is null; pass EventSink.NONE to turn records off");
         return sink == EventSink.NONE ? new NoOpEventRecorder() : new SinkEventRecorder(loop, settings, sink);
     }
 
-    /** A request was admitted. */
+    /** Records that a request was admitted. */
     void requestAdmitted(Exchange exchange);
 
-    /** A request was answered before the router saw it. */
+    /** Records that a request was rejected before it was routed: it is malformed or was not admitted. */
     void requestRejected(ClientRequest request, ClientResponse.Kind kind);
 
-    /** An attempt was handed to the upstream connections. */
+    /** Records that an attempt is handed to the upstream client. */
     void attemptSent(Attempt attempt);
 
-    /** An attempt ended, so long after it was sent. */
+    /** Records that an attempt ended; the latency is the time since it was sent. */
     void attemptEnded(Attempt attempt, UpstreamResponse response, long latencyUs);
 
-    /** The reason for which the router rejects or fails the request that it answers next. */
+    /**
+     * Sets the reason why the router rejects or fails a request. It is recorded with the final response to that
+     * request, which has to follow before that to any other request.
+     */
     void requestTerminated(String request, TerminationReason reason);
 
-    /** The final response goes to the client. */
+    /** Records the final response to a client. */
     void requestCompleted(Exchange exchange, ClientResponse response);
 
-    /** The client disconnected before its response. */
+    /** Records that a client disconnected before its final response. */
     void clientDisconnected(Exchange exchange);
 
-    /** An event of the discovery service that was not known yet. */
+    /** Records a new event from the discovery service. */
     void discoveryEvent(DiscoveryEvent event);
 
-    /** The router ejected an endpoint until its next health-check attempt, or keeps it ejected after a failed one. */
+    /** Records that the router ejects an endpoint until a health-check attempt, or still does after a failed one. */
     void endpointEjected(String server, boolean healthCheckFailed, long pauseUs);
 
-    /** An ejected endpoint is used again. */
+    /** Records that an ejected endpoint is used again. */
     void endpointRecovered(String server);
 
-    /** Records the proxy's own load, now and once a second from now on. */
+    /** Records the proxy's own load, now and then once a second. */
     void heartbeat(OpenRequests openRequests);
 
-    /** The proxy drains, and answers all that is open by a time. */
+    /** Records that the proxy drains, and the time by which every open request gets its final response. */
     void drainStarted(long answerAllUs);
 
-    /** The proxy stopped as planned: the last event. */
+    /** Records the end of a planned shutdown, as the last event. */
     void proxyStopped();
 }
--- a/src/main/java/petrelplank/proxy/NoOpEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/NoOpEventRecorder.java
@@ -2,7 +2,7 @@
 
 import petrelplank.routing.TerminationReason;
 
-/** The recorder of a proxy whose records are off. */
+/** Records nothing; used when records are off. */
 final class NoOpEventRecorder implements EventRecorder {
     @Override
     public void requestAdmitted(Exchange exchange) {}
--- a/src/main/java/petrelplank/proxy/ResponseChannel.java
+++ b/src/main/java/petrelplank/proxy/ResponseChannel.java
@@ -1,19 +1,19 @@
 package petrelplank.proxy;
 
-/** The way back to the client that sent a request: takes its one final response. */
+/** Sends the final response of one request to its client. */
 public interface ResponseChannel {
     /**
-     * Sends the final response, without waiting; nothing is sent where the client has disconnected meanwhile.
+     * Sends the final response without blocking; does nothing if the client has disconnected.
      *
      * @param response the response
      */
     void answer(ClientResponse response);
 
     /**
-     * Whether the client still waits for its response. The I/O thread knows of a close or a cancellation before the
-     * event thread does. Any thread.
+     * Whether the client still waits for its response. May be called from any thread, and may return false before the
+     * event thread has processed the client's disconnect, because the I/O thread detects it first.
      *
-     * @return false once the client has closed its connection or cancelled the request, or was answered
+     * @return false once the client has closed its connection, cancelled the request or received its response
      */
     default boolean isOpen() {
         return true;
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -15,7 +15,7 @@
 import petrelplank.routing.ServiceClass;
 import petrelplank.routing.TerminationReason;
 
-/** Makes events of what the stages do, and hands them to a sink. Event thread only. */
+/** Creates events and passes them to a sink. Event thread only. */
 final class SinkEventRecorder implements EventRecorder {
     private static final long HEARTBEAT_US = 1_000_000;
     private static final int NO_GROUP = -1;
@@ -161,7 +161,10 @@
                 * (servedFrom == CacheStatus.STALE ? type.staleWeightFactor() : 1);
     }
 
-    /** A response within this earns the full weight: the class's latency objective, and more for its transfer time. */
+    /**
+     * The latency within which a response earns its full weight: the latency objective of the service class, extended
+     * for the transfer time of the response and limited by the deadline.
+     */
     private double latencyObjectiveUs(ServiceClass type, int bytes) {
         double transferUs = flowKbPerSecond > 0 ? bytes / 1024.0 / flowKbPerSecond * 1e6 : 0;
         return Math.min(type.deadlineUs(), type.latencyObjectiveUs() + type.objectiveSizeFactor() * transferUs);
--- a/src/main/java/petrelplank/proxy/UpstreamClient.java
+++ b/src/main/java/petrelplank/proxy/UpstreamClient.java
@@ -2,54 +2,54 @@
 
 import java.net.InetSocketAddress;
 
-/** The connections to caches, parents and the origin, as the proxy uses them. Event thread only. */
+/** Sends attempts to caches, parents and the origin. Event thread only. */
 public interface UpstreamClient {
-    /** Makes the connections of one proxy. */
+    /** Creates the upstream client of a proxy. */
     interface Factory {
         /**
-         * Makes the connections; none is opened yet.
+         * Creates an upstream client without open connections.
          *
-         * @param loop the event thread
-         * @param forwarder is told of the ends of attempts
-         * @return the connections
+         * @param loop the event loop
+         * @param forwarder is notified when an attempt ends
+         * @return the client
          */
         UpstreamClient create(EventLoop loop, ResponseForwarder forwarder);
     }
 
     /**
-     * Sends an attempt; its end is reported by {@link ResponseForwarder#attemptEnded}, never before this returns.
+     * Sends an attempt. Its end is reported to {@link ResponseForwarder#attemptEnded}, never before this returns.
      *
      * @param attempt the attempt
      */
     void send(Attempt attempt);
 
     /**
-     * Aborts an attempt; nothing more is reported of it.
+     * Aborts an attempt; its end is not reported.
      *
      * @param attempt the attempt
      */
     void abort(Attempt attempt);
 
     /**
-     * A server is on the endpoint list.
+     * Adds an endpoint, or updates the address and the start time of a known one.
      *
-     * @param id its id
-     * @param address where it listens
-     * @param startedUs when it last started; 0 for long ago
+     * @param id the endpoint's id
+     * @param address the address that it listens on
+     * @param startedUs when it last started, Unix time in microseconds; 0 if it started long ago
      */
     void endpointListed(String id, InetSocketAddress address, long startedUs);
 
     /**
-     * A server was removed for good.
+     * Removes an endpoint for good.
      *
-     * @param id its id
+     * @param id the endpoint's id
      */
     void endpointRemoved(String id);
 
     /**
-     * Connections and their faults so far, in one line for the log.
+     * Counts of connections and of their faults, as one line for the log.
      *
-     * @return the counts; empty where none are kept
+     * @return the counts; empty if the client keeps none
      */
     default String counts() {
         return "";
--- a/src/main/java/petrelplank/proxy/UpstreamResponse.java
+++ b/src/main/java/petrelplank/proxy/UpstreamResponse.java
@@ -4,17 +4,17 @@
 import petrelplank.routing.CacheStatus;
 
 /**
- * How an attempt ended: a server's response, or the failure to get one.
+ * The result of an attempt: a server's response, or the failure to get one.
  *
  * @param id the request's id
  * @param status how the attempt ended
- * @param notModified the client's own copy is current, and no bytes follow
- * @param tag the entity tag of the copy; null where none was sent
- * @param cacheStatus hit, fill or stale copy, where the server told
- * @param sourceWaitUs how long the server waited for the source
- * @param bornMs Unix millisecond at which the origin sent this copy out; 0 where unknown
- * @param load the load report, in the order of the settings; null where there is none
- * @param body the bytes
+ * @param notModified whether the copy that the client has is current, so that the response has no body
+ * @param tag the entity tag of the copy; null if the server sent none
+ * @param cacheStatus where the copy came from or why a fill failed, as far as the server reported it
+ * @param sourceWaitUs how long the server waited for the fill source, in microseconds
+ * @param bornMs when the origin sent this copy, Unix time in milliseconds; 0 if unknown
+ * @param load the values of the server's load report, in the order of the settings; null if there is none
+ * @param body the body; empty if there is none
  */
 public record UpstreamResponse(
         String id,
@@ -29,11 +29,11 @@
     private static final byte[] NO_BODY = new byte[0];
 
     /**
-     * The end of an attempt without a response.
+     * Creates the result of an attempt that ended without a response.
      *
      * @param id the request's id
      * @param status how the attempt ended
-     * @return the response that stands for it
+     * @return the result
      */
     public static UpstreamResponse ended(String id, AttemptStatus status) {
         return new UpstreamResponse(id, status, false, null, CacheStatus.NONE, 0, 0, null, NO_BODY);
