--- a/src/test/java/petrelplank/cli/RecordedEventOrder.java
+++ b/src/test/java/petrelplank/cli/RecordedEventOrder.java
@@ -9,8 +9,9 @@
 import petrelplank.record.Event;
 
 /**
- * What holds for the events of every proxy: the first one is its start, a request ends once at most and only after it
- * was admitted, an attempt is sent once and only for an admitted request, and only an attempt that was sent ends.
+ * Checks invariants of the events that a proxy records: the first event is its start; a request ends at most once, and
+ * only after it was admitted; an attempt is sent only for an admitted request, and is not sent again while it is in
+ * flight; only an attempt that was sent ends.
  */
 final class RecordedEventOrder {
     private final Set<Long> admittedRequests = new HashSet<>();
@@ -19,7 +20,7 @@
 
     private RecordedEventOrder() {}
 
-    /** Asserts it of all events of one proxy. */
+    /** Checks all events of one proxy, in the order recorded. */
     static void check(List<Event> events) {
         assertInstanceOf(Event.ProxyStarted.class, events.get(0));
         RecordedEventOrder order = new RecordedEventOrder();
--- a/src/test/java/petrelplank/cli/RequestHeaders.java
+++ b/src/test/java/petrelplank/cli/RequestHeaders.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The headers of a request for one and the same object, as pairs of name and value. */
+/** Headers of test requests, all for the same object, as alternating names and values. */
 final class RequestHeaders {
     static final int LONG_TIMEOUT_MS = 60_000;
     private static final String OBJECT = "7f3a9c21e0b4d655";
@@ -12,16 +12,17 @@
     private RequestHeaders() {}
 
     /**
-     * The headers of a request with a time-out that no test waits for.
+     * The headers of a request with a timeout that is longer than any test waits.
      *
      * @param requestId the request's id
-     * @param more further headers
-     * @return all of them
+     * @param more additional names and values
+     * @return alternating names and values
      */
     static String[] of(String requestId, String... more) {
         return withTimeout(requestId, LONG_TIMEOUT_MS, more);
     }
 
+    /** The headers of a request with the given timeout. */
     static String[] withTimeout(String requestId, int timeoutMs, String... more) {
         List<String> headers = new ArrayList<>(List.of(
                 "X-Request-Id",
--- a/src/test/java/petrelplank/proxy/AttemptDispatcherTest.java
+++ b/src/test/java/petrelplank/proxy/AttemptDispatcherTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptDispatcherTest {
-    /** Rounded to 0, a purge's age limit would stand for the class's own limit. */
+    /** An age limit that follows from a purge would be lost if it were rounded to 0, the limit of the service class. */
     @Test
     void ageLimitIsRoundedDownButNeverToZero() {
         assertEquals(0, AttemptDispatcher.maxAgeMs(0));
--- a/src/test/java/petrelplank/proxy/Attempts.java
+++ b/src/test/java/petrelplank/proxy/Attempts.java
@@ -1,15 +1,15 @@
 package petrelplank.proxy;
 
-/** Attempts without a pipeline, for tests of upstream connections. */
+/** Creates attempts that belong to no request pipeline, for tests. */
 public final class Attempts {
     private Attempts() {}
 
-    /** An attempt at server s-1 to read an object, for a request id; its client waits. */
+    /** An attempt to read an object from server s-1, whose client still waits for the response. */
     public static Attempt of(String request, int number) {
         return of(request, number, answer -> {});
     }
 
-    /** The same, for a request that is answered on a channel. */
+    /** An attempt to read an object from server s-1, for a request with the given response channel. */
     public static Attempt of(String request, int number, ResponseChannel channel) {
         ClientRequest clientRequest = new ClientRequest(
                 request, 1_000_000, "media", "7f3a9c21e0b4d655", 0, 0, 0, null, null, null, new byte[0]);
--- a/src/test/java/petrelplank/proxy/EventLoopTest.java
+++ b/src/test/java/petrelplank/proxy/EventLoopTest.java
@@ -13,7 +13,7 @@
     private final EventLoop loop = new EventLoop(() -> clock);
     private final List<String> ran = new ArrayList<>();
 
-    /** A drain or a purge binds requests that were queued before it. */
+    /** A drain or a purge has to apply to requests that were queued before it. */
     @Test
     void urgentTasksRunBeforeThoseThatWait() {
         loop.post(() -> {
@@ -45,14 +45,14 @@
         clock -= 500;
         assertEquals(before, loop.now());
         loop.post(() -> {
-            throw new IllegalStateException("on purpose, for the test");
+            throw new IllegalStateException("thrown by the test");
         });
         loop.post(() -> ran.add("next"));
         loop.turn();
         assertEquals(List.of("next"), ran);
     }
 
-    /** No post may be missed, at whichever moment before the loop parks it comes. */
+    /** A task may be posted at any moment while the loop prepares to park; none may be missed. */
     @Test
     @Timeout(60)
     void everyPostRunsThoughTheLoopIsAboutToPark() throws InterruptedException {
--- a/src/test/java/petrelplank/proxy/OpenRequestsTest.java
+++ b/src/test/java/petrelplank/proxy/OpenRequestsTest.java
@@ -35,7 +35,7 @@
         assertThat(openRequests.size()).isZero();
     }
 
-    /** A client that disconnects while routing is paused frees its place, and its request is never routed. */
+    /** A request whose client disconnects while routing is paused is removed, and must not be routed later. */
     @Test
     void deferredExchangesKeepTheirOrderWithoutThoseThatAreFinished() {
         Exchange first = open("cccccccccccccccc");
--- a/src/test/java/petrelplank/proxy/RequestCompletionTest.java
+++ b/src/test/java/petrelplank/proxy/RequestCompletionTest.java
@@ -20,7 +20,7 @@
         return exchange;
     }
 
-    /** A second response would void the request, and a response after the client's disconnect reaches nobody. */
+    /** A second response would invalidate the request; after a disconnect there is no client to respond to. */
     @Test
     void onlyTheFirstResponseIsSentAndCounted() {
         Exchange answered = open("aaaaaaaaaaaaaaaa");
