--- a/src/main/java/petrelplank/proxy/EventLoop.java
+++ b/src/main/java/petrelplank/proxy/EventLoop.java
@@ -15,21 +15,21 @@
  */
 public final class EventLoop implements Runnable {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
-    private static final int LOGGED_ONE_IN = 25;
+    private static final int LOG_ONE_IN = 25;
     private static final long NS_PER_US = 1_000;
     private static final long MAX_PARK_US = 1_000_000;
 
     /** A task that is scheduled for a time. */
     public static final class Timer implements Comparable<Timer> {
-        private final long atUs;
+        private final long dueUs;
         /** Timers that are due at the same time fire in the order in which they were scheduled. */
-        private final long order;
+        private final long sequence;
         /** Null after cancellation. */
         private Runnable task;
 
-        private Timer(long atUs, long order, Runnable task) {
-            this.atUs = atUs;
-            this.order = order;
+        private Timer(long dueUs, long sequence, Runnable task) {
+            this.dueUs = dueUs;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -44,22 +44,22 @@
 
         @Override
         public int compareTo(Timer other) {
-            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
+            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final LongSupplier clock;
     private final ReentrantLock lock = new ReentrantLock();
-    private final ArrayDeque<Runnable> urgent = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> ordinary = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> urgentTasks = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> ordinaryTasks = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private long timerOrder;
+    private long nextTimerSequence;
     private long lastNowUs = Long.MIN_VALUE;
-    private long failures;
+    private long failedTasks;
     private long maxTimerDelayUs;
     private volatile boolean stopped;
     /** The event thread while it is parked or about to park; null otherwise. */
-    private volatile Thread parked;
+    private volatile Thread parkedThread;
 
     /**
      * Creates an event loop without tasks.
@@ -95,16 +95,16 @@
      * @param task the task
      */
     public void post(Runnable task) {
-        enqueue(ordinary, task);
+        enqueue(ordinaryTasks, task);
     }
 
     /**
-     * Queues a task that runs before all ordinary tasks; any thread.
+     * Queues a task to run before all queued ordinary tasks; any thread.
      *
      * @param task the task
      */
     public void postUrgent(Runnable task) {
-        enqueue(urgent, task);
+        enqueue(urgentTasks, task);
     }
 
     private void enqueue(ArrayDeque<Runnable> queue, Runnable task) {
@@ -114,9 +114,9 @@
         } finally {
             lock.unlock();
         }
-        Thread waiting = parked;
-        if (waiting != null) {
-            LockSupport.unpark(waiting);
+        Thread threadToWake = parkedThread;
+        if (threadToWake != null) {
+            LockSupport.unpark(threadToWake);
         }
     }
 
@@ -128,7 +128,7 @@
      * @return the timer
      */
     public Timer at(long atUs, Runnable task) {
-        Timer timer = new Timer(atUs, timerOrder++, task);
+        Timer timer = new Timer(atUs, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
@@ -143,7 +143,7 @@
     public void run() {
         while (!stopped) {
             turn();
-            parkUntilNeeded();
+            parkUntilWork();
         }
     }
 
@@ -152,9 +152,9 @@
      * timers that are due.
      */
     public void turn() {
-        int queued = size();
-        for (int i = 0; i < queued; i++) {
-            Runnable task = next();
+        int queuedTasks = size();
+        for (int i = 0; i < queuedTasks; i++) {
+            Runnable task = pollTask();
             if (task != null) {
                 runSafely(task);
             }
@@ -162,11 +162,11 @@
         fireTimers(now());
     }
 
-    private void fireTimers(long now) {
-        while (!timers.isEmpty() && (timers.peek().isCancelled() || timers.peek().atUs <= now)) {
+    private void fireTimers(long nowUs) {
+        while (!timers.isEmpty() && (timers.peek().isCancelled() || timers.peek().dueUs <= nowUs)) {
             Timer timer = timers.poll();
             if (!timer.isCancelled()) {
-                maxTimerDelayUs = Math.max(maxTimerDelayUs, now - timer.atUs);
+                maxTimerDelayUs = Math.max(maxTimerDelayUs, nowUs - timer.dueUs);
                 runSafely(timer.task);
             }
         }
@@ -181,7 +181,7 @@
         while (!timers.isEmpty() && timers.peek().isCancelled()) {
             timers.poll();
         }
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().atUs;
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueUs;
     }
 
     /** Returns the longest delay with which a timer has fired since the last call; event thread only. */
@@ -199,16 +199,16 @@
     public int size() {
         lock.lock();
         try {
-            return urgent.size() + ordinary.size();
+            return urgentTasks.size() + ordinaryTasks.size();
         } finally {
             lock.unlock();
         }
     }
 
-    private Runnable next() {
+    private Runnable pollTask() {
         lock.lock();
         try {
-            return urgent.isEmpty() ? ordinary.poll() : urgent.poll();
+            return urgentTasks.isEmpty() ? ordinaryTasks.poll() : urgentTasks.poll();
         } finally {
             lock.unlock();
         }
@@ -222,8 +222,8 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            if (failures++ % LOGGED_ONE_IN == 0) {
-                LOG.log(Level.SEVERE, "event loop task failed, " + failures + " failed tasks so far", e);
+            if (failedTasks++ % LOG_ONE_IN == 0) {
+                LOG.log(Level.SEVERE, "event loop task failed, " + failedTasks + " failed tasks so far", e);
             }
         }
     }
@@ -233,15 +233,15 @@
      * while it is being signalled spins until the signalling thread continues. For a proxy with less than one CPU core
      * that can take the rest of the time slice. Parking does not spin.
      */
-    private void parkUntilNeeded() {
-        parked = Thread.currentThread();
+    private void parkUntilWork() {
+        parkedThread = Thread.currentThread();
         if (size() == 0) {
-            long waitUs = timers.isEmpty() ? MAX_PARK_US : Math.min(MAX_PARK_US, timers.peek().atUs - now());
+            long waitUs = timers.isEmpty() ? MAX_PARK_US : Math.min(MAX_PARK_US, timers.peek().dueUs - now());
             if (waitUs > 0) {
                 LockSupport.parkNanos(this, waitUs * NS_PER_US);
             }
         }
-        parked = null;
+        parkedThread = null;
         if (Thread.interrupted()) {
             stopped = true;
         }
--- a/src/test/java/petrelplank/proxy/EventLoopTest.java
+++ b/src/test/java/petrelplank/proxy/EventLoopTest.java
@@ -9,64 +9,64 @@
 import org.junit.jupiter.api.Timeout;
 
 class EventLoopTest {
-    private long clock = 1_000_000;
-    private final EventLoop loop = new EventLoop(() -> clock);
-    private final List<String> ran = new ArrayList<>();
+    private long clockUs = 1_000_000;
+    private final EventLoop loop = new EventLoop(() -> clockUs);
+    private final List<String> executed = new ArrayList<>();
 
     /** A drain or a purge has to apply to requests that were queued before it. */
     @Test
-    void urgentTasksRunBeforeThoseThatWait() {
+    void urgentTasksRunBeforeQueuedOrdinaryTasks() {
         loop.post(() -> {
-            ran.add("first");
-            loop.postUrgent(() -> ran.add("urgent later"));
+            executed.add("first");
+            loop.postUrgent(() -> executed.add("urgent later"));
         });
-        loop.post(() -> ran.add("second"));
-        loop.postUrgent(() -> ran.add("urgent"));
+        loop.post(() -> executed.add("second"));
+        loop.postUrgent(() -> executed.add("urgent"));
         loop.turn();
         loop.turn();
-        assertEquals(List.of("urgent", "first", "urgent later", "second"), ran);
+        assertEquals(List.of("urgent", "first", "urgent later", "second"), executed);
     }
 
     @Test
-    void timersFireInOrderOnceDueUnlessCancelled() {
-        loop.at(clock + 20, () -> ran.add("later"));
-        loop.at(clock + 10, () -> ran.add("sooner"));
-        loop.at(clock + 10, () -> ran.add("cancelled")).cancel();
+    void dueTimersFireInOrderUnlessCancelled() {
+        loop.at(clockUs + 20, () -> executed.add("later"));
+        loop.at(clockUs + 10, () -> executed.add("sooner"));
+        loop.at(clockUs + 10, () -> executed.add("cancelled")).cancel();
         loop.turn();
-        assertEquals(List.of(), ran);
-        clock += 20;
+        assertEquals(List.of(), executed);
+        clockUs += 20;
         loop.turn();
-        assertEquals(List.of("sooner", "later"), ran);
+        assertEquals(List.of("sooner", "later"), executed);
     }
 
     @Test
-    void clockThatRunsBackwardsStandsStillAndAFailedTaskIsSurvived() {
+    void nowNeverRunsBackwardsAndTheLoopSurvivesAFailedTask() {
         long before = loop.now();
-        clock -= 500;
+        clockUs -= 500;
         assertEquals(before, loop.now());
         loop.post(() -> {
             throw new IllegalStateException("thrown by the test");
         });
-        loop.post(() -> ran.add("next"));
+        loop.post(() -> executed.add("next"));
         loop.turn();
-        assertEquals(List.of("next"), ran);
+        assertEquals(List.of("next"), executed);
     }
 
     /** A task may be posted at any moment while the loop prepares to park; none may be missed. */
     @Test
     @Timeout(60)
-    void everyPostRunsThoughTheLoopIsAboutToPark() throws InterruptedException {
-        EventLoop real = new EventLoop(() -> System.nanoTime() / 1000);
-        Thread events = new Thread(real, "events");
-        events.start();
+    void everyPostedTaskRunsEvenIfTheLoopIsAboutToPark() throws InterruptedException {
+        EventLoop realTimeLoop = new EventLoop(() -> System.nanoTime() / 1000);
+        Thread eventThread = new Thread(realTimeLoop, "events");
+        eventThread.start();
         int rounds = 20_000;
         for (int i = 0; i < rounds; i++) {
             CountDownLatch done = new CountDownLatch(2);
-            real.post(() -> real.at(real.now() + 20, done::countDown));
-            real.postUrgent(done::countDown);
+            realTimeLoop.post(() -> realTimeLoop.at(realTimeLoop.now() + 20, done::countDown));
+            realTimeLoop.postUrgent(done::countDown);
             done.await();
         }
-        real.stop();
-        events.join();
+        realTimeLoop.stop();
+        eventThread.join();
     }
 }
