--- a/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
@@ -16,7 +16,7 @@
     private final UpstreamClient upstream;
     private final EventRecorder recorder;
     /** Ids of the endpoints that were passed to {@link UpstreamClient#endpointListed} and not removed since. */
-    private final Set<String> listed = new HashSet<>();
+    private final Set<String> listedIds = new HashSet<>();
 
     private long lastIndex;
 
@@ -35,9 +35,9 @@
         lastIndex = event.index();
         recorder.discoveryEvent(event);
         if (event instanceof DiscoveryEvent.Purge purge) {
-            purge(purge);
+            applyPurge(purge);
         } else if (event instanceof DiscoveryEvent.Change change) {
-            updateEndpoints(change);
+            applyChange(change);
         }
     }
 
@@ -46,35 +46,35 @@
         return lastIndex;
     }
 
-    private void purge(DiscoveryEvent.Purge purge) {
-        long now = loop.now();
-        long ageUs = Math.max(0, now - purge.unixMs() * US_PER_MS);
+    private void applyPurge(DiscoveryEvent.Purge purge) {
+        long nowUs = loop.now();
+        long ageUs = Math.max(0, nowUs - purge.unixMs() * US_PER_MS);
         if (purge.object() != null) {
-            router.objectPurged(now, purge.object(), ageUs);
+            router.objectPurged(nowUs, purge.object(), ageUs);
         } else {
-            router.groupPurged(now, purge.group(), ageUs);
+            router.groupPurged(nowUs, purge.group(), ageUs);
         }
     }
 
-    private void updateEndpoints(DiscoveryEvent.Change change) {
+    private void applyChange(DiscoveryEvent.Change change) {
         List<EndpointInfo> endpoints =
                 change.entries().stream().map(DiscoveryEvent.Entry::endpoint).toList();
         router.endpointsChanged(loop.now(), change.complete(), endpoints);
-        Set<String> removed = removedBy(change);
+        Set<String> removed = removedIds(change);
         removed.forEach(upstream::endpointRemoved);
-        listed.removeAll(removed);
+        listedIds.removeAll(removed);
         for (DiscoveryEvent.Entry entry : change.entries()) {
             EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() != EndpointState.REMOVED) {
-                listed.add(endpoint.id());
+                listedIds.add(endpoint.id());
                 upstream.endpointListed(endpoint.id(), entry.address(), endpoint.startedUs());
             }
         }
     }
 
     /** Ids of the endpoints that a change removes, either by their state or by their absence from a complete list. */
-    private Set<String> removedBy(DiscoveryEvent.Change change) {
-        Set<String> removed = change.complete() ? new HashSet<>(listed) : new HashSet<>();
+    private Set<String> removedIds(DiscoveryEvent.Change change) {
+        Set<String> removed = change.complete() ? new HashSet<>(listedIds) : new HashSet<>();
         for (DiscoveryEvent.Entry entry : change.entries()) {
             EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() == EndpointState.REMOVED) {
--- a/src/main/java/petrelplank/proxy/RequestValidator.java
+++ b/src/main/java/petrelplank/proxy/RequestValidator.java
@@ -28,15 +28,15 @@
     /** The longest time that a client waits, by service class name. */
     private final Map<String, Long> deadlineUsByClass;
     /** Names of the service classes whose requests need an idempotency key, by which the origin drops duplicates. */
-    private final Set<String> keyedClasses;
+    private final Set<String> idempotencyKeyClasses;
 
     RequestValidator(AdmissionController admission, RouterSettings settings, EventRecorder recorder) {
         this.admission = admission;
         this.recorder = recorder;
         this.deadlineUsByClass =
                 settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, ServiceClass::deadlineUs));
-        this.keyedClasses = settings.classes().stream()
-                .filter(type -> type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY)
+        this.idempotencyKeyClasses = settings.classes().stream()
+                .filter(serviceClass -> serviceClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
     }
@@ -49,9 +49,9 @@
             return;
         }
         // Without the limit of its class, a request with a huge timeout could hold its slot and memory for that long.
-        long waitUs = Math.min(request.timeoutUs(), deadlineUsByClass.get(request.serviceClass()));
-        long marginUs = Math.min(RESPONSE_MARGIN_US, waitUs / MARGIN_DIVISOR);
-        admission.admit(new Exchange(request, channel, arrivedUs, arrivedUs + waitUs - marginUs));
+        long timeoutUs = Math.min(request.timeoutUs(), deadlineUsByClass.get(request.serviceClass()));
+        long marginUs = Math.min(RESPONSE_MARGIN_US, timeoutUs / MARGIN_DIVISOR);
+        admission.admit(new Exchange(request, channel, arrivedUs, arrivedUs + timeoutUs - marginUs));
     }
 
     private boolean isValid(ClientRequest request) {
@@ -66,7 +66,7 @@
     }
 
     private boolean hasValidKey(ClientRequest request) {
-        return request.key() == null ? !keyedClasses.contains(request.serviceClass()) : isToken(request.key());
+        return request.key() == null ? !idempotencyKeyClasses.contains(request.serviceClass()) : isToken(request.key());
     }
 
     private static boolean isGroup(int group) {
@@ -75,13 +75,16 @@
 
     private static boolean isHexId(String text) {
         return text.length() == HEX_DIGITS
-                && text.chars().allMatch(c -> c < ASCII_DELETE && Character.digit(c, HEX_RADIX) >= 0);
+                && text.chars()
+                        .allMatch(character -> character < ASCII_DELETE && Character.digit(character, HEX_RADIX) >= 0);
     }
 
     /** Whether a text can be sent as a single word of an upstream command, or as a value in its list of fields. */
     private static boolean isToken(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_TOKEN_LENGTH
-                && text.chars().allMatch(c -> c > ' ' && c < ASCII_DELETE && c != ',' && c != '=');
+                && text.chars()
+                        .allMatch(character ->
+                                character > ' ' && character < ASCII_DELETE && character != ',' && character != '=');
     }
 }
--- a/src/main/java/petrelplank/proxy/RouterWarmup.java
+++ b/src/main/java/petrelplank/proxy/RouterWarmup.java
@@ -19,23 +19,23 @@
 public final class RouterWarmup {
     private static final long SEED = 1;
     /** Simulated time from a request to the end of its attempt. */
-    private static final long STEP_US = 2_000;
+    private static final long ATTEMPT_LATENCY_US = 2_000;
 
-    private static final int OBJECTS = 64;
-    private static final int GROUPS = 16;
+    private static final int OBJECT_COUNT = 64;
+    private static final int GROUP_COUNT = 16;
     /** One in this many attempts is a miss that the cache fills; the others are hits. */
-    private static final int FILLED_ONE_IN = 4;
+    private static final int FILL_ONE_IN = 4;
 
     private final RouterSettings settings;
     private final LastPlan lastPlan = new LastPlan();
     private final Router router;
-    private final double[] load;
-    private long nowUs = STEP_US;
+    private final double[] loadReport;
+    private long nowUs = ATTEMPT_LATENCY_US;
 
     private RouterWarmup(RouterSettings settings) {
         this.settings = settings;
         this.router = new RequestRouter(settings, SEED, lastPlan);
-        this.load = new double[settings.reportFields().size()];
+        this.loadReport = new double[settings.reportFields().size()];
     }
 
     /**
@@ -43,38 +43,47 @@
      *
      * @param settings the settings in service
      * @param endpoints the endpoints of the first complete list
-     * @param requests the number of requests
+     * @param requestCount the number of requests
      */
-    public static void run(RouterSettings settings, List<EndpointInfo> endpoints, int requests) {
+    public static void run(RouterSettings settings, List<EndpointInfo> endpoints, int requestCount) {
         RouterWarmup warmup = new RouterWarmup(settings);
         warmup.router.endpointsChanged(warmup.nowUs, true, endpoints);
-        for (int i = 0; i < requests; i++) {
+        for (int i = 0; i < requestCount; i++) {
             warmup.route(i);
         }
     }
 
-    private void route(int number) {
+    private void route(int requestNumber) {
         List<ServiceClass> classes = settings.classes();
-        ServiceClass type = classes.get(number % classes.size());
+        ServiceClass serviceClass = classes.get(requestNumber % classes.size());
         RoutingRequest request = new RoutingRequest(
-                Integer.toString(number),
-                number % OBJECTS,
+                Integer.toString(requestNumber),
+                requestNumber % OBJECT_COUNT,
                 0,
-                number % GROUPS,
-                type.name(),
-                nowUs + type.deadlineUs(),
+                requestNumber % GROUP_COUNT,
+                serviceClass.name(),
+                nowUs + serviceClass.deadlineUs(),
                 0,
-                type.write(),
+                serviceClass.write(),
                 false,
                 null);
         lastPlan.plan = null;
         router.requestReceived(nowUs, request);
-        nowUs += STEP_US;
+        nowUs += ATTEMPT_LATENCY_US;
         if (lastPlan.plan != null) {
-            CacheStatus cacheStatus = number % FILLED_ONE_IN == 0 ? CacheStatus.FILLED : CacheStatus.HIT;
+            CacheStatus cacheStatus = requestNumber % FILL_ONE_IN == 0 ? CacheStatus.FILLED : CacheStatus.HIT;
             router.attemptEnded(
                     nowUs,
-                    new AttemptOutcome(request.id(), 0, AttemptStatus.OK, STEP_US, true, cacheStatus, 0, load, 0));
+                    new AttemptOutcome(
+                            request.id(),
+                            0,
+                            AttemptStatus.OK,
+                            ATTEMPT_LATENCY_US,
+                            true,
+                            cacheStatus,
+                            0,
+                            loadReport,
+                            0));
         }
     }
 
@@ -83,24 +92,24 @@
         private AttemptPlan plan;
 
         @Override
-        public void send(String request, AttemptPlan ordered) {
-            plan = ordered;
+        public void send(String requestId, AttemptPlan requestedPlan) {
+            plan = requestedPlan;
         }
 
         @Override
-        public void reject(String request, long retryAfterUs) {}
+        public void reject(String requestId, long retryAfterUs) {}
 
         @Override
-        public void fail(String request) {}
+        public void fail(String requestId) {}
 
         @Override
-        public void cancel(String request, int attempt) {}
+        public void cancel(String requestId, int attemptNumber) {}
 
         @Override
         public void healthCheck(String server) {}
 
         @Override
-        public void gossip(int gateway, byte[] data) {}
+        public void gossip(int proxyNumber, byte[] payload) {}
 
         @Override
         public void setTimer(long token, long atUs) {}
