--- a/src/test/java/petrelplank/cli/RecordedEventOrder.java
+++ b/src/test/java/petrelplank/cli/RecordedEventOrder.java
@@ -24,17 +24,17 @@
     static void check(List<Event> events) {
         assertInstanceOf(Event.ProxyStarted.class, events.get(0));
         RecordedEventOrder order = new RecordedEventOrder();
-        events.forEach(order::check);
+        events.forEach(order::checkEvent);
     }
 
-    private void check(Event event) {
+    private void checkEvent(Event event) {
         if (event instanceof Event.RequestAdmitted admitted) {
             assertTrue(admittedRequests.add(admitted.request()), admitted::toString);
         } else if (event instanceof Event.AttemptSent sent) {
             assertTrue(admittedRequests.contains(sent.request()), sent::toString);
-            assertTrue(openAttempts.add(attemptId(sent.request(), sent.attempt())), sent::toString);
+            assertTrue(openAttempts.add(attemptKey(sent.request(), sent.attempt())), sent::toString);
         } else if (event instanceof Event.AttemptEnded ended) {
-            assertTrue(openAttempts.remove(attemptId(ended.request(), ended.attempt())), ended::toString);
+            assertTrue(openAttempts.remove(attemptKey(ended.request(), ended.attempt())), ended::toString);
         } else if (event instanceof Event.RequestCompleted completed) {
             checkEndOfRequest(completed.request(), completed);
         } else if (event instanceof Event.ClientDisconnected disconnected) {
@@ -47,7 +47,7 @@
         assertTrue(endedRequests.add(request), event::toString);
     }
 
-    private static String attemptId(long request, int attempt) {
+    private static String attemptKey(long request, int attempt) {
         return request + " " + attempt;
     }
 }
--- a/src/test/java/petrelplank/proxy/Attempts.java
+++ b/src/test/java/petrelplank/proxy/Attempts.java
@@ -6,7 +6,7 @@
 
     /** An attempt to read an object from server s-1, whose client still waits for the response. */
     public static Attempt of(String request, int number) {
-        return of(request, number, answer -> {});
+        return of(request, number, response -> {});
     }
 
     /** An attempt to read an object from server s-1, for a request with the given response channel. */
