--- a/src/main/java/petrelplank/proxy/AdmissionController.java
+++ b/src/main/java/petrelplank/proxy/AdmissionController.java
@@ -8,25 +8,25 @@
     private static final long RETRY_AFTER_MS = 1_000;
 
     private final EventLoop loop;
-    private final int maxOpen;
+    private final int maxOpenRequests;
     private final OpenRequests openRequests;
     private final RoutingStage routing;
     private final DeadlineGuard deadlineGuard;
     private final RequestCompletion completion;
     private final EventRecorder recorder;
-    private long closeAtUs = Long.MAX_VALUE;
+    private long shutdownAtUs = Long.MAX_VALUE;
     private boolean routingPaused;
 
     AdmissionController(
             EventLoop loop,
-            int maxOpen,
+            int maxOpenRequests,
             OpenRequests openRequests,
             RoutingStage routing,
             DeadlineGuard deadlineGuard,
             RequestCompletion completion,
             EventRecorder recorder) {
         this.loop = loop;
-        this.maxOpen = maxOpen;
+        this.maxOpenRequests = maxOpenRequests;
         this.openRequests = openRequests;
         this.routing = routing;
         this.deadlineGuard = deadlineGuard;
@@ -35,14 +35,14 @@
     }
 
     void admit(Exchange exchange) {
-        if (!hasRoom(exchange)) {
+        if (!canAdmit(exchange)) {
             completion.countRejectedBeforeRouting();
             recorder.requestRejected(exchange.request, ClientResponse.Kind.REJECTED);
             exchange.channel.answer(ClientResponse.rejected(RETRY_AFTER_MS));
             return;
         }
         openRequests.add(exchange);
-        deadlineGuard.watch(exchange, closeAtUs);
+        deadlineGuard.startTimer(exchange, shutdownAtUs);
         recorder.requestAdmitted(exchange);
         if (routingPaused) {
             openRequests.deferRouting(exchange);
@@ -51,27 +51,29 @@
         }
     }
 
-    private boolean hasRoom(Exchange exchange) {
-        return openRequests.size() < maxOpen && !openRequests.contains(exchange.request.id()) && loop.now() < closeAtUs;
+    private boolean canAdmit(Exchange exchange) {
+        return openRequests.size() < maxOpenRequests
+                && !openRequests.contains(exchange.request.id())
+                && loop.now() < shutdownAtUs;
     }
 
     /**
-     * Stops routing until {@link #resume}. Requests are still admitted; they wait to be routed, at most until their
-     * deadlines.
+     * Stops routing until {@link #resumeRouting}. Requests are still admitted and wait to be routed, until their
+     * deadlines at most.
      */
-    void pause() {
+    void pauseRouting() {
         routingPaused = true;
     }
 
     /** Starts routing again, beginning with the requests that wait, in the order of their admission. */
-    void resume() {
+    void resumeRouting() {
         routingPaused = false;
-        openRequests.takeUnrouted().forEach(routing::route);
+        openRequests.takeDeferred().forEach(routing::route);
     }
 
     /** Sets the time from which requests are rejected, and at which the exchanges that are still open fail. */
-    void closeAt(long atUs) {
-        closeAtUs = atUs;
+    void shutDownAt(long atUs) {
+        shutdownAtUs = atUs;
         openRequests.forEach(exchange -> deadlineGuard.failAt(exchange, atUs));
     }
 }
--- a/src/main/java/petrelplank/proxy/Attempt.java
+++ b/src/main/java/petrelplank/proxy/Attempt.java
@@ -13,7 +13,7 @@
     private final long sentUs;
     private final long timeoutAtUs;
     /** Ends the attempt at its timeout; null in tests that do not send the attempt. */
-    private EventLoop.Timer timeout;
+    private EventLoop.Timer timeoutTimer;
 
     private boolean ended;
 
@@ -27,15 +27,15 @@
     }
 
     /** Sets the timeout timer, which is cancelled when the attempt ends. */
-    void startTimeout(EventLoop.Timer timer) {
-        timeout = timer;
+    void setTimeoutTimer(EventLoop.Timer timer) {
+        timeoutTimer = timer;
     }
 
     /** Marks the attempt as ended, with or without a response, and cancels its timeout. */
-    void end() {
+    void markEnded() {
         ended = true;
-        if (timeout != null) {
-            timeout.cancel();
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel();
         }
     }
 
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -30,35 +30,35 @@
         this.forwarder = forwarder;
         this.recorder = recorder;
         this.nonIdempotentClasses = settings.classes().stream()
-                .filter(type -> type.idempotency() != Idempotency.IDEMPOTENT)
+                .filter(serviceClass -> serviceClass.idempotency() != Idempotency.IDEMPOTENT)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
     }
 
     void send(Exchange exchange, AttemptPlan plan) {
-        long now = loop.now();
-        long timeoutAtUs = now + plan.timeoutUs();
+        long nowUs = loop.now();
+        long timeoutAtUs = nowUs + plan.timeoutUs();
         Attempt attempt = new Attempt(
                 exchange,
                 exchange.attempts.size(),
                 plan.server(),
                 upstreamRequest(exchange.request, plan),
-                now,
+                nowUs,
                 timeoutAtUs);
         exchange.attempts.add(attempt);
-        attempt.startTimeout(loop.at(timeoutAtUs, () -> abort(attempt, AttemptStatus.TIMEOUT)));
+        attempt.setTimeoutTimer(loop.at(timeoutAtUs, () -> abort(attempt, AttemptStatus.TIMEOUT)));
         recorder.attemptSent(attempt);
         upstream.send(attempt);
     }
 
     private UpstreamRequest upstreamRequest(ClientRequest request, AttemptPlan plan) {
-        boolean fills = !plan.source().equals(plan.server());
+        boolean hasFillSource = !plan.source().equals(plan.server());
         return new UpstreamRequest(
                 request.id(),
                 request.serviceClass(),
                 request.object(),
                 request.part(),
-                fills ? plan.source() : null,
+                hasFillSource ? plan.source() : null,
                 plan.rank(),
                 maxAgeMs(plan.maxAgeUs()),
                 plan.coalesce(),
@@ -90,7 +90,7 @@
             return;
         }
         upstream.abort(attempt);
-        UpstreamResponse end = UpstreamResponse.ended(attempt.request().id(), status);
-        loop.post(() -> forwarder.attemptEnded(attempt, end));
+        UpstreamResponse result = UpstreamResponse.ended(attempt.request().id(), status);
+        loop.post(() -> forwarder.attemptEnded(attempt, result));
     }
 }
--- a/src/main/java/petrelplank/proxy/DeadlineGuard.java
+++ b/src/main/java/petrelplank/proxy/DeadlineGuard.java
@@ -9,7 +9,7 @@
     /** The timer fires this long after the deadline, so that a final response from the router takes precedence. */
     private static final long GRACE_US = 10_000;
 
-    private static final int LOGGED_ONE_IN = 25;
+    private static final int LOG_ONE_IN = 25;
 
     private final EventLoop loop;
     private final Router router;
@@ -23,11 +23,11 @@
 
     /**
      * Starts the deadline timer of an exchange. It fires shortly after the deadline, and no later than
-     * {@code closeAtUs}.
+     * {@code shutdownAtUs}.
      */
-    void watch(Exchange exchange, long closeAtUs) {
+    void startTimer(Exchange exchange, long shutdownAtUs) {
         exchange.deadlineTimer =
-                loop.at(Math.min(exchange.deadlineUs + GRACE_US, closeAtUs), () -> deadlineExceeded(exchange));
+                loop.at(Math.min(exchange.deadlineUs + GRACE_US, shutdownAtUs), () -> deadlineExceeded(exchange));
     }
 
     /** Starts a second timer for an exchange whose deadline timer is running, which may fail it earlier. */
@@ -44,15 +44,15 @@
         if (exchange.isCompleted()) {
             return;
         }
-        long count = completion.countDeadlineExceeded();
-        if ((count - 1) % LOGGED_ONE_IN == 0) {
+        long count = completion.countMissedDeadline();
+        if ((count - 1) % LOG_ONE_IN == 0) {
             LOG.warning("request " + exchange.request.id() + " failed: no final response by its deadline, " + count
                     + " such requests so far");
         }
         try {
             router.clientDisconnected(loop.now(), exchange.request.id());
         } finally {
-            completion.answer(exchange, ClientResponse.of(ClientResponse.Kind.FAILED));
+            completion.sendResponse(exchange, ClientResponse.of(ClientResponse.Kind.FAILED));
         }
     }
 }
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -17,7 +17,7 @@
     private final RequestCompletion completion;
     private final AdmissionController admission;
     private final RequestValidator validator;
-    private final DiscoveryEventHandler discovery;
+    private final DiscoveryEventHandler discoveryHandler;
 
     /**
      * Creates a proxy without endpoints; {@link #onEvent} adds them.
@@ -25,7 +25,7 @@
      * @param loop the event loop
      * @param settings the settings
      * @param seed seed of the router's random numbers
-     * @param maxOpen the maximum number of open exchanges
+     * @param maxOpenRequests the maximum number of open exchanges
      * @param sink receives the proxy's events; {@link EventSink#NONE} if records are off
      * @param upstreamFactory creates the client for upstream servers
      */
@@ -33,21 +33,21 @@
             EventLoop loop,
             RouterSettings settings,
             long seed,
-            int maxOpen,
+            int maxOpenRequests,
             EventSink sink,
             UpstreamClient.Factory upstreamFactory) {
         this.loop = loop;
-        this.recorder = EventRecorder.to(loop, settings, sink);
+        this.recorder = EventRecorder.forSink(loop, settings, sink);
         this.completion = new RequestCompletion(openRequests, recorder);
         RouterHost host = new RouterHost(loop, settings, seed, openRequests, completion, recorder, upstreamFactory);
         this.router = host.router();
         this.upstream = host.upstream();
         RoutingStage routing = new RoutingStage(loop, settings, router);
         DeadlineGuard deadlineGuard = new DeadlineGuard(loop, router, completion);
-        this.admission =
-                new AdmissionController(loop, maxOpen, openRequests, routing, deadlineGuard, completion, recorder);
+        this.admission = new AdmissionController(
+                loop, maxOpenRequests, openRequests, routing, deadlineGuard, completion, recorder);
         this.validator = new RequestValidator(admission, settings, recorder);
-        this.discovery = new DiscoveryEventHandler(loop, router, upstream, recorder);
+        this.discoveryHandler = new DiscoveryEventHandler(loop, router, upstream, recorder);
         loop.post(() -> recorder.heartbeat(openRequests));
     }
 
@@ -67,12 +67,12 @@
 
     /** Stops routing, because the proxy may have missed a drain or a purge. Requests wait until {@link #resume}. */
     public void pause() {
-        admission.pause();
+        admission.pauseRouting();
     }
 
     /** Starts routing, once the endpoint list is up to date. Waiting requests are routed in the order of admission. */
     public void resume() {
-        admission.resume();
+        admission.resumeRouting();
     }
 
     /**
@@ -95,7 +95,7 @@
      * @param event the event; ignored if its number is not above that of the last event
      */
     public void onEvent(DiscoveryEvent event) {
-        discovery.apply(event);
+        discoveryHandler.apply(event);
     }
 
     /**
@@ -104,22 +104,22 @@
      * @return the number; 0 before the first event
      */
     public long lastEventIndex() {
-        return discovery.lastIndex();
+        return discoveryHandler.lastIndex();
     }
 
     /**
      * Starts to drain the proxy.
      *
-     * @param atUs when requests start to be rejected and open requests fail, Unix time in microseconds
+     * @param shutdownAtUs when requests start to be rejected and open requests fail, Unix time in microseconds
      */
-    public void startDrain(long atUs) {
-        recorder.drainStarted(atUs);
-        admission.closeAt(atUs);
+    public void startDrain(long shutdownAtUs) {
+        recorder.drainStarted(shutdownAtUs);
+        admission.shutDownAt(shutdownAtUs);
     }
 
     /** Fails all open requests and rejects further ones, so that nothing more is sent to upstream servers. */
     public void stopAdmitting() {
-        admission.closeAt(loop.now());
+        admission.shutDownAt(loop.now());
     }
 
     /** Records the end of a planned shutdown; no event may follow. */
--- a/src/main/java/petrelplank/proxy/EventRecorder.java
+++ b/src/main/java/petrelplank/proxy/EventRecorder.java
@@ -15,7 +15,7 @@
      * @param sink receives the events; no event objects are created for {@link EventSink#NONE}
      * @return the recorder
      */
-    static EventRecorder to(EventLoop loop, RouterSettings settings, EventSink sink) {
+    static EventRecorder forSink(EventLoop loop, RouterSettings settings, EventSink sink) {
         Objects.requireNonNull(sink, "sink is null; pass EventSink.NONE to turn records off");
         return sink == EventSink.NONE ? new NoOpEventRecorder() : new SinkEventRecorder(loop, settings, sink);
     }
@@ -36,7 +36,7 @@
      * Sets the reason why the router rejects or fails a request. It is recorded with the final response to that
      * request, which has to follow before that to any other request.
      */
-    void requestTerminated(String request, TerminationReason reason);
+    void requestTerminated(String requestId, TerminationReason reason);
 
     /** Records the final response to a client. */
     void requestCompleted(Exchange exchange, ClientResponse response);
@@ -57,7 +57,7 @@
     void heartbeat(OpenRequests openRequests);
 
     /** Records that the proxy drains, and the time by which every open request gets its final response. */
-    void drainStarted(long answerAllUs);
+    void drainStarted(long completionDeadlineUs);
 
     /** Records the end of a planned shutdown, as the last event. */
     void proxyStopped();
--- a/src/main/java/petrelplank/proxy/Exchange.java
+++ b/src/main/java/petrelplank/proxy/Exchange.java
@@ -14,7 +14,7 @@
     final long requestId;
 
     /** The object's id, parsed from its hex digits. */
-    final long object;
+    final long objectId;
 
     final ResponseChannel channel;
     final long arrivedUs;
@@ -24,21 +24,21 @@
     EventLoop.Timer deadlineTimer;
 
     /** The cache status of the response that was served to the client. */
-    CacheStatus servedFrom = CacheStatus.NONE;
+    CacheStatus servedCacheStatus = CacheStatus.NONE;
 
     private boolean completed;
 
     Exchange(ClientRequest request, ResponseChannel channel, long arrivedUs, long deadlineUs) {
         this.request = request;
         this.requestId = Long.parseUnsignedLong(request.id(), 16);
-        this.object = Long.parseUnsignedLong(request.object(), 16);
+        this.objectId = Long.parseUnsignedLong(request.object(), 16);
         this.channel = channel;
         this.arrivedUs = arrivedUs;
         this.deadlineUs = deadlineUs;
     }
 
     /** Marks the exchange as completed: its final response is being sent, or the client has disconnected. */
-    void complete() {
+    void markCompleted() {
         completed = true;
         deadlineTimer.cancel();
     }
--- a/src/main/java/petrelplank/proxy/NoOpEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/NoOpEventRecorder.java
@@ -17,7 +17,7 @@
     public void attemptEnded(Attempt attempt, UpstreamResponse response, long latencyUs) {}
 
     @Override
-    public void requestTerminated(String request, TerminationReason reason) {}
+    public void requestTerminated(String requestId, TerminationReason reason) {}
 
     @Override
     public void requestCompleted(Exchange exchange, ClientResponse response) {}
@@ -38,7 +38,7 @@
     public void heartbeat(OpenRequests openRequests) {}
 
     @Override
-    public void drainStarted(long answerAllUs) {}
+    public void drainStarted(long completionDeadlineUs) {}
 
     @Override
     public void proxyStopped() {}
--- a/src/main/java/petrelplank/proxy/OpenRequests.java
+++ b/src/main/java/petrelplank/proxy/OpenRequests.java
@@ -14,7 +14,7 @@
  */
 final class OpenRequests {
     private final Map<String, Exchange> byId = new HashMap<>();
-    private final Set<Exchange> unrouted = new LinkedHashSet<>();
+    private final Set<Exchange> deferred = new LinkedHashSet<>();
 
     void add(Exchange exchange) {
         byId.put(exchange.request.id(), exchange);
@@ -42,23 +42,23 @@
         byId.values().forEach(action);
     }
 
-    /** Defers the routing of an open exchange until {@link #takeUnrouted}; dropped if the exchange finishes before. */
+    /** Defers the routing of an open exchange until {@link #takeDeferred}; dropped if the exchange finishes before. */
     void deferRouting(Exchange exchange) {
-        unrouted.add(exchange);
+        deferred.add(exchange);
     }
 
     /** Returns the exchanges whose routing is deferred, in the order of admission, and clears the list. */
-    List<Exchange> takeUnrouted() {
-        List<Exchange> deferred = new ArrayList<>(unrouted);
-        unrouted.clear();
-        return deferred;
+    List<Exchange> takeDeferred() {
+        List<Exchange> exchanges = new ArrayList<>(deferred);
+        deferred.clear();
+        return exchanges;
     }
 
     /** Removes an exchange if it is completed and has no attempt in flight. */
     void removeIfFinished(Exchange exchange) {
         if (exchange.isFinished()) {
             byId.remove(exchange.request.id(), exchange);
-            unrouted.remove(exchange);
+            deferred.remove(exchange);
         }
     }
 }
--- a/src/main/java/petrelplank/proxy/RequestCompletion.java
+++ b/src/main/java/petrelplank/proxy/RequestCompletion.java
@@ -4,10 +4,10 @@
 final class RequestCompletion {
     private final OpenRequests openRequests;
     private final EventRecorder recorder;
-    private final long[] answeredByKind = new long[ClientResponse.Kind.values().length];
+    private final long[] responsesByKind = new long[ClientResponse.Kind.values().length];
     private long rejectedBeforeRouting;
-    private long disconnected;
-    private long deadlineExceeded;
+    private long disconnectedClients;
+    private long missedDeadlines;
 
     RequestCompletion(OpenRequests openRequests, EventRecorder recorder) {
         this.openRequests = openRequests;
@@ -15,27 +15,27 @@
     }
 
     /** Sends the final response. Ignores all but the first, because a second response would invalidate the request. */
-    void answer(Exchange exchange, ClientResponse response) {
+    void sendResponse(Exchange exchange, ClientResponse response) {
         if (exchange.isCompleted()) {
             return;
         }
-        exchange.complete();
-        answeredByKind[response.kind().ordinal()]++;
+        exchange.markCompleted();
+        responsesByKind[response.kind().ordinal()]++;
         recorder.requestCompleted(exchange, response);
         exchange.channel.answer(response);
-        release(exchange);
+        removeIfFinished(exchange);
     }
 
     /** Completes an exchange without a response, after the client closed its connection or cancelled the request. */
     void clientDisconnected(Exchange exchange) {
-        exchange.complete();
-        disconnected++;
+        exchange.markCompleted();
+        disconnectedClients++;
         recorder.clientDisconnected(exchange);
-        release(exchange);
+        removeIfFinished(exchange);
     }
 
     /** Removes an exchange from the open requests if it is finished. */
-    void release(Exchange exchange) {
+    void removeIfFinished(Exchange exchange) {
         openRequests.removeIfFinished(exchange);
     }
 
@@ -44,8 +44,8 @@
     }
 
     /** Counts an exchange without a response by its deadline, and returns the number of such exchanges so far. */
-    long countDeadlineExceeded() {
-        return ++deadlineExceeded;
+    long countMissedDeadline() {
+        return ++missedDeadlines;
     }
 
     /** Counts of outcomes since the start, as one line for the log. */
@@ -54,10 +54,10 @@
         for (ClientResponse.Kind kind : ClientResponse.Kind.values()) {
             line.append(kind.label())
                     .append(' ')
-                    .append(answeredByKind[kind.ordinal()])
+                    .append(responsesByKind[kind.ordinal()])
                     .append(", ");
         }
-        return line + "rejected before routing " + rejectedBeforeRouting + ", clients disconnected " + disconnected
-                + ", deadline exceeded " + deadlineExceeded;
+        return line + "rejected before routing " + rejectedBeforeRouting + ", clients disconnected "
+                + disconnectedClients + ", deadline exceeded " + missedDeadlines;
     }
 }
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -30,21 +30,21 @@
         if (attempt.hasEnded()) {
             return;
         }
-        attempt.end();
+        attempt.markEnded();
         Exchange exchange = attempt.exchange;
-        UpstreamResponse response = verified(exchange.request, received);
+        UpstreamResponse response = checkNotModified(exchange.request, received);
         recorder.attemptEnded(attempt, response, loop.now() - attempt.sentUs());
-        boolean serves = response.status() == AttemptStatus.OK && !exchange.isCompleted();
-        long now = loop.now();
+        boolean isFinalResponse = response.status() == AttemptStatus.OK && !exchange.isCompleted();
+        long nowUs = loop.now();
         try {
             // The router is notified first, so that no pending hedged attempt is sent after the response.
-            router.attemptEnded(now, outcome(attempt, response, now, exchange.isCompleted() || serves));
+            router.attemptEnded(nowUs, outcome(attempt, response, nowUs, exchange.isCompleted() || isFinalResponse));
         } finally {
-            if (serves) {
-                exchange.servedFrom = response.cacheStatus();
-                completion.answer(exchange, clientResponse(response));
+            if (isFinalResponse) {
+                exchange.servedCacheStatus = response.cacheStatus();
+                completion.sendResponse(exchange, clientResponse(response));
             }
-            completion.release(exchange);
+            completion.removeIfFinished(exchange);
         }
     }
 
@@ -52,19 +52,19 @@
      * Replaces a "not modified" response by an error unless it names the copy that the client has: the client would
      * otherwise use the wrong copy, or have none.
      */
-    private static UpstreamResponse verified(ClientRequest request, UpstreamResponse response) {
-        boolean namesClientsCopy = response.tag() != null && response.tag().equals(request.tag());
-        return response.notModified() && !namesClientsCopy
+    private static UpstreamResponse checkNotModified(ClientRequest request, UpstreamResponse response) {
+        boolean matchesClientCopy = response.tag() != null && response.tag().equals(request.tag());
+        return response.notModified() && !matchesClientCopy
                 ? UpstreamResponse.ended(response.id(), AttemptStatus.ERROR)
                 : response;
     }
 
-    private static AttemptOutcome outcome(Attempt attempt, UpstreamResponse response, long now, boolean completed) {
+    private static AttemptOutcome outcome(Attempt attempt, UpstreamResponse response, long nowUs, boolean completed) {
         return new AttemptOutcome(
                 attempt.exchange.request.id(),
                 attempt.number,
                 response.status(),
-                now - attempt.sentUs(),
+                nowUs - attempt.sentUs(),
                 completed,
                 response.cacheStatus(),
                 response.sourceWaitUs(),
--- a/src/main/java/petrelplank/proxy/RouterHost.java
+++ b/src/main/java/petrelplank/proxy/RouterHost.java
@@ -17,7 +17,7 @@
  */
 final class RouterHost implements Router.Actions {
     private static final Logger LOG = Logger.getLogger(RouterHost.class.getName());
-    private static final long MIN_TIMER_US = 1000;
+    private static final long MIN_TIMER_DELAY_US = 1000;
     private static final int US_PER_MS = 1000;
 
     private final EventLoop loop;
@@ -55,24 +55,24 @@
     }
 
     @Override
-    public void send(String request, AttemptPlan plan) {
-        dispatcher.send(openRequests.find(request), plan);
+    public void send(String requestId, AttemptPlan plan) {
+        dispatcher.send(openRequests.find(requestId), plan);
     }
 
     @Override
-    public void reject(String request, long retryAfterUs) {
+    public void reject(String requestId, long retryAfterUs) {
         long retryAfterMs = (retryAfterUs + US_PER_MS - 1) / US_PER_MS;
-        completion.answer(openRequests.find(request), ClientResponse.rejected(retryAfterMs));
+        completion.sendResponse(openRequests.find(requestId), ClientResponse.rejected(retryAfterMs));
     }
 
     @Override
-    public void fail(String request) {
-        completion.answer(openRequests.find(request), ClientResponse.of(ClientResponse.Kind.FAILED));
+    public void fail(String requestId) {
+        completion.sendResponse(openRequests.find(requestId), ClientResponse.of(ClientResponse.Kind.FAILED));
     }
 
     @Override
-    public void terminated(String request, TerminationReason reason) {
-        recorder.requestTerminated(request, reason);
+    public void terminated(String requestId, TerminationReason reason) {
+        recorder.requestTerminated(requestId, reason);
     }
 
     @Override
@@ -86,10 +86,10 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        Exchange exchange = openRequests.find(request);
+    public void cancel(String requestId, int attemptNumber) {
+        Exchange exchange = openRequests.find(requestId);
         if (exchange != null) {
-            dispatcher.cancel(exchange, attempt);
+            dispatcher.cancel(exchange, attemptNumber);
         }
     }
 
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void gossip(int gateway, byte[] data) {
+    public void gossip(int proxyNumber, byte[] payload) {
         LOG.warning("ignored a gossip message of the router: the proxy sends no gossip to other proxies");
     }
 
@@ -109,7 +109,7 @@
      */
     @Override
     public void setTimer(long token, long atUs) {
-        loop.at(Math.max(atUs, loop.now() + MIN_TIMER_US), () -> router.timerFired(loop.now(), token));
+        loop.at(Math.max(atUs, loop.now() + MIN_TIMER_DELAY_US), () -> router.timerFired(loop.now(), token));
     }
 
     /** Does nothing: the proxy follows the discovery service from the start. */
--- a/src/main/java/petrelplank/proxy/RoutingStage.java
+++ b/src/main/java/petrelplank/proxy/RoutingStage.java
@@ -32,7 +32,7 @@
                 loop.now(),
                 new RoutingRequest(
                         request.id(),
-                        exchange.object,
+                        exchange.objectId,
                         request.part(),
                         request.group(),
                         request.serviceClass(),
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -17,20 +17,21 @@
 
 /** Creates events and passes them to a sink. Event thread only. */
 final class SinkEventRecorder implements EventRecorder {
-    private static final long HEARTBEAT_US = 1_000_000;
+    private static final long HEARTBEAT_INTERVAL_US = 1_000_000;
     private static final int NO_GROUP = -1;
 
     private final EventLoop loop;
     private final EventSink sink;
-    private final Map<String, ServiceClass> classes;
+    private final Map<String, ServiceClass> classesByName;
     private final double flowKbPerSecond;
-    private String terminatedRequest;
+    private String terminatedRequestId;
     private TerminationReason terminationReason;
 
     SinkEventRecorder(EventLoop loop, RouterSettings settings, EventSink sink) {
         this.loop = loop;
         this.sink = sink;
-        this.classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
+        this.classesByName =
+                settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
         this.flowKbPerSecond = settings.flowKbPerSecond();
         record(proxyStarted(settings));
     }
@@ -40,12 +41,12 @@
                 settings.zone(),
                 settings.zones(),
                 settings.classes().stream()
-                        .map(type -> new ServiceClassInfo(
-                                type.name(),
-                                type.priorityWeight(),
-                                type.deadlineUs(),
-                                type.idempotency(),
-                                type.write()))
+                        .map(serviceClass -> new ServiceClassInfo(
+                                serviceClass.name(),
+                                serviceClass.priorityWeight(),
+                                serviceClass.deadlineUs(),
+                                serviceClass.idempotency(),
+                                serviceClass.write()))
                         .toList(),
                 settings.parentKind(),
                 settings.originKind(),
@@ -62,16 +63,17 @@
     @Override
     public void requestAdmitted(Exchange exchange) {
         ClientRequest request = exchange.request;
-        record(new Event.RequestAdmitted(exchange.requestId, request.serviceClass(), exchange.object, request.group()));
+        record(new Event.RequestAdmitted(
+                exchange.requestId, request.serviceClass(), exchange.objectId, request.group()));
     }
 
     @Override
     public void requestRejected(ClientRequest request, ClientResponse.Kind kind) {
-        String knownClass = classes.containsKey(request.serviceClass()) ? request.serviceClass() : "";
-        record(new Event.RequestRejected(request.id(), knownClass, recorded(kind)));
+        String knownClass = classesByName.containsKey(request.serviceClass()) ? request.serviceClass() : "";
+        record(new Event.RequestRejected(request.id(), knownClass, recordedKind(kind)));
     }
 
-    private static ResponseKind recorded(ClientResponse.Kind kind) {
+    private static ResponseKind recordedKind(ClientResponse.Kind kind) {
         return switch (kind) {
             case SERVED -> ResponseKind.SERVED;
             case NOT_MODIFIED -> ResponseKind.NOT_MODIFIED;
@@ -91,7 +93,7 @@
                 request.serviceClass(),
                 attempt.server(),
                 request.source(),
-                exchange.object,
+                exchange.objectId,
                 exchange.request.group()));
     }
 
@@ -105,7 +107,7 @@
                 request.serviceClass(),
                 attempt.server(),
                 request.source(),
-                exchange.object,
+                exchange.objectId,
                 exchange.request.group(),
                 response.status(),
                 response.cacheStatus(),
@@ -113,10 +115,10 @@
                 response.sourceWaitUs(),
                 response.bornMs(),
                 response.body().length,
-                boxed(response.load())));
+                loadValues(response.load())));
     }
 
-    private static List<Double> boxed(double[] load) {
+    private static List<Double> loadValues(double[] load) {
         if (load == null) {
             return List.of();
         }
@@ -128,46 +130,48 @@
     }
 
     @Override
-    public void requestTerminated(String request, TerminationReason reason) {
-        terminatedRequest = request;
+    public void requestTerminated(String requestId, TerminationReason reason) {
+        terminatedRequestId = requestId;
         terminationReason = reason;
     }
 
     @Override
     public void requestCompleted(Exchange exchange, ClientResponse response) {
         ClientRequest request = exchange.request;
-        ServiceClass type = classes.get(request.serviceClass());
+        ServiceClass serviceClass = classesByName.get(request.serviceClass());
         int bytes = response.body().length;
         long latencyUs = loop.now() - exchange.arrivedUs;
         boolean served =
                 response.kind() == ClientResponse.Kind.SERVED || response.kind() == ClientResponse.Kind.NOT_MODIFIED;
-        boolean inTime = served && latencyUs <= latencyObjectiveUs(type, bytes);
-        boolean terminatedByRouter = !served && request.id().equals(terminatedRequest);
+        boolean withinObjective = served && latencyUs <= latencyObjectiveUs(serviceClass, bytes);
+        boolean terminatedByRouter = !served && request.id().equals(terminatedRequestId);
         record(new Event.RequestCompleted(
                 exchange.requestId,
                 request.serviceClass(),
-                recorded(response.kind()),
+                recordedKind(response.kind()),
                 latencyUs,
                 bytes,
-                served ? earnedWeight(type, inTime, exchange.servedFrom) : 0,
-                inTime,
+                served ? earnedWeight(serviceClass, withinObjective, exchange.servedCacheStatus) : 0,
+                withinObjective,
                 response.retryAfterMs(),
                 terminatedByRouter ? terminationReason : null));
     }
 
-    private static double earnedWeight(ServiceClass type, boolean inTime, CacheStatus servedFrom) {
-        return type.priorityWeight()
-                * (inTime ? 1 : type.lateWeightFactor())
-                * (servedFrom == CacheStatus.STALE ? type.staleWeightFactor() : 1);
+    private static double earnedWeight(ServiceClass serviceClass, boolean withinObjective, CacheStatus cacheStatus) {
+        return serviceClass.priorityWeight()
+                * (withinObjective ? 1 : serviceClass.lateWeightFactor())
+                * (cacheStatus == CacheStatus.STALE ? serviceClass.staleWeightFactor() : 1);
     }
 
     /**
      * The latency within which a response earns its full weight: the latency objective of the service class, extended
      * for the transfer time of the response and limited by the deadline.
      */
-    private double latencyObjectiveUs(ServiceClass type, int bytes) {
+    private double latencyObjectiveUs(ServiceClass serviceClass, int bytes) {
         double transferUs = flowKbPerSecond > 0 ? bytes / 1024.0 / flowKbPerSecond * 1e6 : 0;
-        return Math.min(type.deadlineUs(), type.latencyObjectiveUs() + type.objectiveSizeFactor() * transferUs);
+        return Math.min(
+                serviceClass.deadlineUs(),
+                serviceClass.latencyObjectiveUs() + serviceClass.objectiveSizeFactor() * transferUs);
     }
 
     @Override
@@ -186,12 +190,12 @@
                     change.index(),
                     change.complete(),
                     change.entries().stream()
-                            .map(entry -> listed(entry.endpoint()))
+                            .map(entry -> listedEndpoint(entry.endpoint()))
                             .toList()));
         }
     }
 
-    private static ListedEndpoint listed(EndpointInfo endpoint) {
+    private static ListedEndpoint listedEndpoint(EndpointInfo endpoint) {
         return new ListedEndpoint(
                 endpoint.id(),
                 endpoint.zone(),
@@ -214,12 +218,12 @@
     @Override
     public void heartbeat(OpenRequests openRequests) {
         record(new Event.Heartbeat(openRequests.size(), loop.size(), sink.heapBytes(), loop.takeMaxTimerDelayUs()));
-        loop.at(loop.now() + HEARTBEAT_US, () -> heartbeat(openRequests));
+        loop.at(loop.now() + HEARTBEAT_INTERVAL_US, () -> heartbeat(openRequests));
     }
 
     @Override
-    public void drainStarted(long answerAllUs) {
-        record(new Event.DrainStarted(answerAllUs));
+    public void drainStarted(long completionDeadlineUs) {
+        record(new Event.DrainStarted(completionDeadlineUs));
     }
 
     @Override
--- a/src/test/java/petrelplank/proxy/OpenRequestsTest.java
+++ b/src/test/java/petrelplank/proxy/OpenRequestsTest.java
@@ -8,7 +8,7 @@
     private final EventLoop loop = new EventLoop(() -> 0);
     private final OpenRequests openRequests = new OpenRequests();
 
-    private Exchange open(String id) {
+    private Exchange addExchange(String id) {
         Exchange exchange = Attempts.of(id, 0).exchange;
         exchange.deadlineTimer = loop.at(1_000_000, () -> {});
         openRequests.add(exchange);
@@ -17,20 +17,20 @@
 
     @Test
     void exchangeStaysUntilItIsCompletedAndItsLastAttemptHasEnded() {
-        Exchange exchange = open("aaaaaaaaaaaaaaaa");
+        Exchange exchange = addExchange("aaaaaaaaaaaaaaaa");
         Attempt first = Attempts.of("aaaaaaaaaaaaaaaa", 0);
         Attempt second = Attempts.of("aaaaaaaaaaaaaaaa", 1);
         exchange.attempts.add(first);
         exchange.attempts.add(second);
-        first.end();
+        first.markEnded();
         openRequests.removeIfFinished(exchange);
         assertThat(openRequests.find("aaaaaaaaaaaaaaaa")).isSameAs(exchange);
         assertThat(openRequests.hasPendingRequests()).isTrue();
-        exchange.complete();
+        exchange.markCompleted();
         openRequests.removeIfFinished(exchange);
         assertThat(openRequests.contains("aaaaaaaaaaaaaaaa")).isTrue();
         assertThat(openRequests.hasPendingRequests()).isFalse();
-        second.end();
+        second.markEnded();
         openRequests.removeIfFinished(exchange);
         assertThat(openRequests.size()).isZero();
     }
@@ -38,16 +38,16 @@
     /** A request whose client disconnects while routing is paused is removed, and must not be routed later. */
     @Test
     void deferredExchangesKeepTheirOrderWithoutThoseThatAreFinished() {
-        Exchange first = open("cccccccccccccccc");
-        Exchange second = open("aaaaaaaaaaaaaaaa");
-        Exchange third = open("bbbbbbbbbbbbbbbb");
+        Exchange first = addExchange("cccccccccccccccc");
+        Exchange second = addExchange("aaaaaaaaaaaaaaaa");
+        Exchange third = addExchange("bbbbbbbbbbbbbbbb");
         openRequests.deferRouting(first);
         openRequests.deferRouting(second);
         openRequests.deferRouting(third);
-        second.complete();
+        second.markCompleted();
         openRequests.removeIfFinished(second);
-        assertThat(openRequests.takeUnrouted()).containsExactly(first, third);
-        assertThat(openRequests.takeUnrouted()).isEmpty();
+        assertThat(openRequests.takeDeferred()).containsExactly(first, third);
+        assertThat(openRequests.takeDeferred()).isEmpty();
         assertThat(openRequests.size()).isEqualTo(2);
     }
 }
--- a/src/test/java/petrelplank/proxy/RequestCompletionTest.java
+++ b/src/test/java/petrelplank/proxy/RequestCompletionTest.java
@@ -10,12 +10,12 @@
     private final EventLoop loop = new EventLoop(() -> 0);
     private final OpenRequests openRequests = new OpenRequests();
     private final RequestCompletion completion = new RequestCompletion(openRequests, new NoOpEventRecorder());
-    private final List<ClientResponse.Kind> sent = new ArrayList<>();
-    private final List<String> fired = new ArrayList<>();
+    private final List<ClientResponse.Kind> sentKinds = new ArrayList<>();
+    private final List<String> firedTimers = new ArrayList<>();
 
-    private Exchange open(String id) {
-        Exchange exchange = Attempts.of(id, 0, response -> sent.add(response.kind())).exchange;
-        exchange.deadlineTimer = loop.at(0, () -> fired.add(id));
+    private Exchange addExchange(String id) {
+        Exchange exchange = Attempts.of(id, 0, response -> sentKinds.add(response.kind())).exchange;
+        exchange.deadlineTimer = loop.at(0, () -> firedTimers.add(id));
         openRequests.add(exchange);
         return exchange;
     }
@@ -23,13 +23,13 @@
     /** A second response would invalidate the request; after a disconnect there is no client to respond to. */
     @Test
     void onlyTheFirstResponseIsSentAndCounted() {
-        Exchange answered = open("aaaaaaaaaaaaaaaa");
-        completion.answer(answered, ClientResponse.of(ClientResponse.Kind.NOT_MODIFIED));
-        completion.answer(answered, ClientResponse.of(ClientResponse.Kind.FAILED));
-        Exchange disconnected = open("bbbbbbbbbbbbbbbb");
+        Exchange answered = addExchange("aaaaaaaaaaaaaaaa");
+        completion.sendResponse(answered, ClientResponse.of(ClientResponse.Kind.NOT_MODIFIED));
+        completion.sendResponse(answered, ClientResponse.of(ClientResponse.Kind.FAILED));
+        Exchange disconnected = addExchange("bbbbbbbbbbbbbbbb");
         completion.clientDisconnected(disconnected);
-        completion.answer(disconnected, ClientResponse.of(ClientResponse.Kind.FAILED));
-        assertThat(sent).containsExactly(ClientResponse.Kind.NOT_MODIFIED);
+        completion.sendResponse(disconnected, ClientResponse.of(ClientResponse.Kind.FAILED));
+        assertThat(sentKinds).containsExactly(ClientResponse.Kind.NOT_MODIFIED);
         assertThat(openRequests.size()).isZero();
         assertThat(completion.counts())
                 .isEqualTo("served 0, still 1, refused 0, failed 0, bad_request 0, rejected before routing 0, "
@@ -38,10 +38,10 @@
 
     @Test
     void completionCancelsTheDeadlineTimer() {
-        completion.answer(open("aaaaaaaaaaaaaaaa"), ClientResponse.rejected(0));
-        completion.clientDisconnected(open("bbbbbbbbbbbbbbbb"));
-        open("cccccccccccccccc");
+        completion.sendResponse(addExchange("aaaaaaaaaaaaaaaa"), ClientResponse.rejected(0));
+        completion.clientDisconnected(addExchange("bbbbbbbbbbbbbbbb"));
+        addExchange("cccccccccccccccc");
         loop.turn();
-        assertThat(fired).containsExactly("cccccccccccccccc");
+        assertThat(firedTimers).containsExactly("cccccccccccccccc");
     }
 }
