--- a/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
@@ -15,8 +15,8 @@
     private final Router router;
     private final UpstreamClient upstream;
     private final EventRecorder recorder;
-    /** Ids of the servers that the upstream connections know of. */
-    private final Set<String> listed = new HashSet<>();
+    /** Ids of the endpoints that were passed to {@link UpstreamClient#endpointListed} and not removed since. */
+    private final Set<String> listedIds = new HashSet<>();
 
     private long lastIndex;
 
@@ -27,7 +27,7 @@
         this.recorder = recorder;
     }
 
-    /** Applies an event, unless its number is known already. */
+    /** Applies an event; ignores it if its number is not above that of the last event. */
     void apply(DiscoveryEvent event) {
         if (event.index() <= lastIndex) {
             return;
@@ -35,46 +35,46 @@
         lastIndex = event.index();
         recorder.discoveryEvent(event);
         if (event instanceof DiscoveryEvent.Purge purge) {
-            purge(purge);
+            applyPurge(purge);
         } else if (event instanceof DiscoveryEvent.Change change) {
-            updateEndpoints(change);
+            applyChange(change);
         }
     }
 
-    /** The number of the last event; 0 before the first. */
+    /** The number of the last event that was applied; 0 before the first. */
     long lastIndex() {
         return lastIndex;
     }
 
-    private void purge(DiscoveryEvent.Purge purge) {
-        long now = loop.now();
-        long ageUs = Math.max(0, now - purge.unixMs() * US_PER_MS);
+    private void applyPurge(DiscoveryEvent.Purge purge) {
+        long nowUs = loop.now();
+        long ageUs = Math.max(0, nowUs - purge.unixMs() * US_PER_MS);
         if (purge.object() != null) {
-            router.objectPurged(now, purge.object(), ageUs);
+            router.objectPurged(nowUs, purge.object(), ageUs);
         } else {
-            router.groupPurged(now, purge.group(), ageUs);
+            router.groupPurged(nowUs, purge.group(), ageUs);
         }
     }
 
-    private void updateEndpoints(DiscoveryEvent.Change change) {
+    private void applyChange(DiscoveryEvent.Change change) {
         List<EndpointInfo> endpoints =
                 change.entries().stream().map(DiscoveryEvent.Entry::endpoint).toList();
         router.endpointsChanged(loop.now(), change.complete(), endpoints);
-        Set<String> removed = removedBy(change);
+        Set<String> removed = removedIds(change);
         removed.forEach(upstream::endpointRemoved);
-        listed.removeAll(removed);
+        listedIds.removeAll(removed);
         for (DiscoveryEvent.Entry entry : change.entries()) {
             EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() != EndpointState.REMOVED) {
-                listed.add(endpoint.id());
+                listedIds.add(endpoint.id());
                 upstream.endpointListed(endpoint.id(), entry.address(), endpoint.startedUs());
             }
         }
     }
 
-    /** Ids of the servers that a change removes by name or, where it is a complete list, by leaving them out. */
-    private Set<String> removedBy(DiscoveryEvent.Change change) {
-        Set<String> removed = change.complete() ? new HashSet<>(listed) : new HashSet<>();
+    /** Ids of the endpoints that a change removes, either by their state or by their absence from a complete list. */
+    private Set<String> removedIds(DiscoveryEvent.Change change) {
+        Set<String> removed = change.complete() ? new HashSet<>(listedIds) : new HashSet<>();
         for (DiscoveryEvent.Entry entry : change.entries()) {
             EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() == EndpointState.REMOVED) {
--- a/src/main/java/petrelplank/proxy/RequestCompletion.java
+++ b/src/main/java/petrelplank/proxy/RequestCompletion.java
@@ -1,41 +1,41 @@
 package petrelplank.proxy;
 
-/** Stage 6: gives each exchange its one final response, counts the outcomes, and forgets what is finished. */
+/** Stage 6: sends the final response of each exchange, counts the outcomes, and removes finished exchanges. */
 final class RequestCompletion {
     private final OpenRequests openRequests;
     private final EventRecorder recorder;
-    private final long[] answeredByKind = new long[ClientResponse.Kind.values().length];
+    private final long[] responsesByKind = new long[ClientResponse.Kind.values().length];
     private long rejectedBeforeRouting;
-    private long disconnected;
-    private long deadlineExceeded;
+    private long disconnectedClients;
+    private long missedDeadlines;
 
     RequestCompletion(OpenRequests openRequests, EventRecorder recorder) {
         this.openRequests = openRequests;
         this.recorder = recorder;
     }
 
-    /** Sends the final response; any after the first is ignored, since a second one would void the request. */
-    void answer(Exchange exchange, ClientResponse response) {
+    /** Sends the final response. Ignores all but the first, because a second response would invalidate the request. */
+    void sendResponse(Exchange exchange, ClientResponse response) {
         if (exchange.isCompleted()) {
             return;
         }
-        exchange.complete();
-        answeredByKind[response.kind().ordinal()]++;
+        exchange.markCompleted();
+        responsesByKind[response.kind().ordinal()]++;
         recorder.requestCompleted(exchange, response);
         exchange.channel.answer(response);
-        release(exchange);
+        removeIfFinished(exchange);
     }
 
-    /** The client closed its connection or cancelled the request: no response is owed any more. */
+    /** Completes an exchange without a response, after the client closed its connection or cancelled the request. */
     void clientDisconnected(Exchange exchange) {
-        exchange.complete();
-        disconnected++;
+        exchange.markCompleted();
+        disconnectedClients++;
         recorder.clientDisconnected(exchange);
-        release(exchange);
+        removeIfFinished(exchange);
     }
 
-    /** Forgets an exchange if it is finished. */
-    void release(Exchange exchange) {
+    /** Removes an exchange from the open requests if it is finished. */
+    void removeIfFinished(Exchange exchange) {
         openRequests.removeIfFinished(exchange);
     }
 
@@ -43,21 +43,21 @@
         rejectedBeforeRouting++;
     }
 
-    /** Counts an exchange that had no response by its deadline; returns how many there were so far. */
-    long countDeadlineExceeded() {
-        return ++deadlineExceeded;
+    /** Counts an exchange without a response by its deadline, and returns the number of such exchanges so far. */
+    long countMissedDeadline() {
+        return ++missedDeadlines;
     }
 
-    /** One line of counts. */
+    /** Counts of outcomes since the start, as one line for the log. */
     String counts() {
         StringBuilder line = new StringBuilder();
         for (ClientResponse.Kind kind : ClientResponse.Kind.values()) {
             line.append(kind.label())
                     .append(' ')
-                    .append(answeredByKind[kind.ordinal()])
+                    .append(responsesByKind[kind.ordinal()])
                     .append(", ");
         }
-        return line + "rejected before routing " + rejectedBeforeRouting + ", clients disconnected " + disconnected
-                + ", deadline exceeded " + deadlineExceeded;
+        return line + "rejected before routing " + rejectedBeforeRouting + ", clients disconnected "
+                + disconnectedClients + ", deadline exceeded " + missedDeadlines;
     }
 }
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -4,7 +4,7 @@
 import petrelplank.routing.AttemptStatus;
 import petrelplank.routing.Router;
 
-/** Stage 5: forwards the first usable response to the client, and notifies the router of each attempt's end. */
+/** Stage 5: forwards the first usable response to the client, and reports the outcome of each attempt to the router. */
 public final class ResponseForwarder {
     private static final double BYTES_PER_KB = 1024.0;
 
@@ -21,47 +21,50 @@
     }
 
     /**
-     * An attempt ended; any end after its first is ignored. Event thread only.
+     * Handles the end of an attempt; ignores attempts that have already ended. Event thread only.
      *
-     * @param attempt which
-     * @param received the response, or how it ended without one
+     * @param attempt the attempt
+     * @param received the response, or a substitute with the status of an attempt that ended without one
      */
     public void attemptEnded(Attempt attempt, UpstreamResponse received) {
         if (attempt.hasEnded()) {
             return;
         }
-        attempt.end();
+        attempt.markEnded();
         Exchange exchange = attempt.exchange;
-        UpstreamResponse response = verified(exchange.request, received);
+        UpstreamResponse response = checkNotModified(exchange.request, received);
         recorder.attemptEnded(attempt, response, loop.now() - attempt.sentUs());
-        boolean serves = response.status() == AttemptStatus.OK && !exchange.isCompleted();
-        long now = loop.now();
+        boolean isFinalResponse = response.status() == AttemptStatus.OK && !exchange.isCompleted();
+        long nowUs = loop.now();
         try {
-            // Before the response goes out: a hedged request that still waits to be sent must not follow it.
-            router.attemptEnded(now, outcome(attempt, response, now, exchange.isCompleted() || serves));
+            // The router is notified first, so that no pending hedged attempt is sent after the response.
+            router.attemptEnded(nowUs, outcome(attempt, response, nowUs, exchange.isCompleted() || isFinalResponse));
         } finally {
-            if (serves) {
-                exchange.servedFrom = response.cacheStatus();
-                completion.answer(exchange, clientResponse(response));
+            if (isFinalResponse) {
+                exchange.servedCacheStatus = response.cacheStatus();
+                completion.sendResponse(exchange, clientResponse(response));
             }
-            completion.release(exchange);
+            completion.removeIfFinished(exchange);
         }
     }
 
-    /** Guards the client against "not modified" that is about another copy than its own, or about none. */
-    private static UpstreamResponse verified(ClientRequest request, UpstreamResponse response) {
-        boolean namesClientsCopy = response.tag() != null && response.tag().equals(request.tag());
-        return response.notModified() && !namesClientsCopy
+    /**
+     * Replaces a "not modified" response by an error unless it names the copy that the client has: the client would
+     * otherwise use the wrong copy, or have none.
+     */
+    private static UpstreamResponse checkNotModified(ClientRequest request, UpstreamResponse response) {
+        boolean matchesClientCopy = response.tag() != null && response.tag().equals(request.tag());
+        return response.notModified() && !matchesClientCopy
                 ? UpstreamResponse.ended(response.id(), AttemptStatus.ERROR)
                 : response;
     }
 
-    private static AttemptOutcome outcome(Attempt attempt, UpstreamResponse response, long now, boolean completed) {
+    private static AttemptOutcome outcome(Attempt attempt, UpstreamResponse response, long nowUs, boolean completed) {
         return new AttemptOutcome(
                 attempt.exchange.request.id(),
                 attempt.number,
                 response.status(),
-                now - attempt.sentUs(),
+                nowUs - attempt.sentUs(),
                 completed,
                 response.cacheStatus(),
                 response.sourceWaitUs(),
