--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -74,7 +74,7 @@
                 configuration.maxStreamsPerConnection(),
                 Math.max(MIN_CONNECT_TIMEOUT_US, settings.connectTimeoutUs()),
                 configuration.idleTimeoutUs(),
-                ConnectionLimits.maxPerServer(settings.zoneGatewayCount()),
+                ConnectionLimits.maxPerServer(settings.zoneProxyCount()),
                 settings.permissions().hedging());
         return new EdgeProxy(
                 loop,
@@ -91,7 +91,7 @@
         List<EndpointInfo> endpoints = new ArrayList<>();
         for (JsonFields fields : known) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(fields);
-            proxy.onEvent(event);
+            proxy.onDiscoveryEvent(event);
             if (event instanceof DiscoveryEvent.Change change && change.complete()) {
                 change.entries().forEach(entry -> endpoints.add(entry.endpoint()));
             }
@@ -101,7 +101,7 @@
 
     /** Listens, and follows the discovery service; ready some time after the event thread runs. */
     void open(InetSocketAddress address) throws IOException {
-        proxy.pause();
+        proxy.pauseRouting();
         clients.listen(address);
         loop.post(discovery::start);
         loop.post(readiness::resumeOnceDiscoveryHeard);
@@ -118,8 +118,8 @@
         List<DiscoveryEvent> events =
                 known.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
-            events.forEach(proxy::onEvent);
-            LOG.info("SIGHUP: following the discovery service at " + address + " from " + proxy.lastEventIndex());
+            events.forEach(proxy::onDiscoveryEvent);
+            LOG.info("SIGHUP: following the discovery service at " + address + " from " + proxy.lastDiscoveryIndex());
             discovery.follow(address);
         });
     }
--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -51,14 +51,14 @@
      * {@code known} was written.
      */
     void resumeOnceDiscoveryHeard() {
-        resumeOnceDiscoveryHeard(loop.now() + MAX_WAIT_US);
+        resumeOnceDiscoveryHeard(loop.nowUs() + MAX_WAIT_US);
     }
 
     private void resumeOnceDiscoveryHeard(long latestUs) {
-        if (discovery.hasReceivedEvents() || loop.now() >= latestUs) {
-            proxy.resume();
+        if (discovery.hasReceivedEvents() || loop.nowUs() >= latestUs) {
+            proxy.resumeRouting();
         } else {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> resumeOnceDiscoveryHeard(latestUs));
+            loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> resumeOnceDiscoveryHeard(latestUs));
         }
     }
 
@@ -67,20 +67,20 @@
      * once the heartbeat of the discovery service shows that no event is missing, or when waiting longer is useless.
      */
     void readyOnceCaughtUp() {
-        readyOnceCaughtUp(loop.now() + MAX_WAIT_US);
+        readyOnceCaughtUp(loop.nowUs() + MAX_WAIT_US);
     }
 
     private void readyOnceCaughtUp(long latestUs) {
         if (state == State.DRAINING) {
             return;
         }
-        if (!discovery.caughtUp() && loop.now() < latestUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> readyOnceCaughtUp(latestUs));
+        if (!discovery.caughtUp() && loop.nowUs() < latestUs) {
+            loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> readyOnceCaughtUp(latestUs));
             return;
         }
         state = State.READY;
         clients.ready(true);
-        String line = "serving at " + acceptor.getLocalAddress() + ", endpoint list at " + proxy.lastEventIndex();
+        String line = "serving at " + acceptor.getLocalAddress() + ", endpoint list at " + proxy.lastDiscoveryIndex();
         if (discovery.caughtUp()) {
             LOG.info(line);
         } else {
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -68,17 +68,17 @@
      * @return the longest that the shutdown takes, in milliseconds
      */
     long start(Runnable onStopped) {
-        long startedUs = loop.clock();
+        long startedUs = loop.clockUs();
         long answeredByUs = startedUs + answerAllUs;
         long flushedByUs = answeredByUs + FLUSH_US;
         long acceptUntilUs = startedUs + Math.min(ACCEPT_REQUESTS_US, answerAllUs);
         loop.postUrgent(() -> {
-            LOG.info("SIGTERM: draining; so far " + proxy.counts() + "; " + clients.counts() + "; "
+            LOG.info("SIGTERM: draining; so far " + proxy.requestCounts() + "; " + clients.counts() + "; "
                     + proxy.upstreamCounts());
             readiness.drainStarted();
             proxy.startDrain(answeredByUs);
-            loop.at(startedUs + ACCEPT_CONNECTIONS_US, clients::stopListening);
-            loop.at(
+            loop.schedule(startedUs + ACCEPT_CONNECTIONS_US, clients::stopListening);
+            loop.schedule(
                     acceptUntilUs,
                     () -> closeOnceAnswered(
                             flushedByUs, transport.processor().selections() + TURNS_UNTIL_READ, onStopped));
@@ -91,20 +91,20 @@
         boolean unread = transport.processor().selections() < readAtTurn;
         boolean unanswered =
                 unread || proxy.hasPendingRequests() || transport.acceptor().getScheduledWriteBytes() > 0;
-        if (unanswered && loop.now() < latestUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeOnceAnswered(latestUs, readAtTurn, onStopped));
+        if (unanswered && loop.nowUs() < latestUs) {
+            loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> closeOnceAnswered(latestUs, readAtTurn, onStopped));
             return;
         }
-        LOG.info("stopped: " + proxy.counts());
+        LOG.info("stopped: " + proxy.requestCounts());
         // Whatever is read from here on is rejected, and not sent upstream: nobody would wait for its response.
-        proxy.stopAdmitting();
-        closeClients(loop.now() + FLUSH_US, onStopped);
+        proxy.shutDownNow();
+        closeClients(loop.nowUs() + FLUSH_US, onStopped);
     }
 
     /** Closes connections one by one where nothing lies unread, so that no response is lost to a reset. */
     private void closeClients(long latestUs, Runnable onStopped) {
-        if (clients.closeUnused() > 0 && loop.now() < latestUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeClients(latestUs, onStopped));
+        if (clients.closeUnused() > 0 && loop.nowUs() < latestUs) {
+            loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> closeClients(latestUs, onStopped));
             return;
         }
         // Nothing is left to be answered, and nothing more is admitted: closing the records may block, for a while.
--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -75,7 +75,7 @@
         disconnect();
         DiscoveryConnection connection = new DiscoveryConnection();
         current = connection;
-        connection.received(loop.now());
+        connection.received(loop.nowUs());
         ConnectFuture connecting = connector.connect(address, (session, future) -> connection.attachTo(session));
         connection.connecting(connecting);
         connecting.addListener(future -> loop.postUrgent(() -> connectEnded(connection, connecting)));
@@ -124,14 +124,14 @@
     }
 
     private void scheduleSilenceCheck(DiscoveryConnection connection) {
-        loop.at(loop.now() + SILENCE_CHECK_INTERVAL_US, () -> checkSilence(connection));
+        loop.schedule(loop.nowUs() + SILENCE_CHECK_INTERVAL_US, () -> checkSilence(connection));
     }
 
     private void checkSilence(DiscoveryConnection connection) {
         if (connection != current) {
             return;
         }
-        if (loop.now() - connection.lastReceivedUs() > SILENCE_TIMEOUT_US) {
+        if (loop.nowUs() - connection.lastReceivedUs() > SILENCE_TIMEOUT_US) {
             reconnect(connection, "silent");
         } else {
             scheduleSilenceCheck(connection);
@@ -145,8 +145,8 @@
             future.getSession().closeNow();
         } else {
             IoSession session = future.getSession();
-            connection.connected(session, loop.now());
-            byte[] request = ("follow " + proxy.lastEventIndex() + "\n").getBytes(StandardCharsets.US_ASCII);
+            connection.connected(session, loop.nowUs());
+            byte[] request = ("follow " + proxy.lastDiscoveryIndex() + "\n").getBytes(StandardCharsets.US_ASCII);
             session.write(IoBuffer.wrap(request));
         }
     }
@@ -159,22 +159,22 @@
         failures++;
         consecutiveFailures++;
         if (consecutiveFailures % LOG_ONE_IN == 1) {
-            LOG.warning("discovery service " + reason + ", reconnecting after event " + proxy.lastEventIndex()
+            LOG.warning("discovery service " + reason + ", reconnecting after event " + proxy.lastDiscoveryIndex()
                     + ", failures so far: " + failures);
         }
-        long delayUs = backoff.nextDelayUs(loop.now());
-        reconnectTimer = loop.at(loop.now() + delayUs, this::start);
+        long delayUs = backoff.nextDelayUs(loop.nowUs());
+        reconnectTimer = loop.schedule(loop.nowUs() + delayUs, this::start);
     }
 
     private void received(DiscoveryConnection connection, DiscoveryEvent event) {
         if (connection != current) {
             return;
         }
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         connection.received(nowUs);
         consecutiveFailures = 0;
         backoff.lineReceived(nowUs, connection.connectedUs());
-        long lastIndex = proxy.lastEventIndex();
+        long lastIndex = proxy.lastDiscoveryIndex();
         if (revealsGap(event, lastIndex)) {
             gapRequestedAfter = lastIndex;
             reconnect(connection, "left out events between " + lastIndex + " and " + event.index());
@@ -208,6 +208,6 @@
         if (syncState == SyncState.NOTHING_RECEIVED) {
             syncState = SyncState.RECEIVING;
         }
-        proxy.onEvent(event);
+        proxy.onDiscoveryEvent(event);
     }
 }
--- a/src/main/java/petrelplank/emulator/Catalogue.java
+++ b/src/main/java/petrelplank/emulator/Catalogue.java
@@ -69,7 +69,7 @@
         }
         int rank = ranks.sample();
         // An object's class never changes: it follows from a hash of its rank.
-        boolean media = Hash.unit(Hash.mix(rank)) < MEDIA_SHARE;
+        boolean media = Hash.toUnitInterval(Hash.mix(rank)) < MEDIA_SHARE;
         return new Item(media ? TrafficClasses.MEDIA : TrafficClasses.PAGES, Hash.mix(rank * 31L + 7));
     }
 
--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -82,18 +82,18 @@
     }
 
     long lastEventIndex() {
-        return proxy.lastEventIndex();
+        return proxy.lastDiscoveryIndex();
     }
 
     void onDiscoveryEvent(DiscoveryEvent event) {
         if (alive) {
-            loop.postUrgent(() -> proxy.onEvent(event));
+            loop.postUrgent(() -> proxy.onDiscoveryEvent(event));
             runLoop();
         }
     }
 
     void handle(ClientRequest request, ResponseChannel channel) {
-        loop.post(() -> proxy.handle(request, channel, loop.clock()));
+        loop.post(() -> proxy.handle(request, channel, loop.clockUs()));
         runLoop();
     }
 
@@ -124,9 +124,9 @@
     /** Runs all tasks of the event loop that are queued or due, and schedules the next turn. */
     private void runLoop() {
         do {
-            loop.turn();
-        } while (loop.size() > 0);
-        long nextDueUs = loop.nextDueUs();
+            loop.runOnce();
+        } while (loop.queuedTaskCount() > 0);
+        long nextDueUs = loop.nextTimerDueUs();
         if (nextDueUs != Long.MAX_VALUE && nextDueUs - identity.clockOffsetUs() < nextTurnUs) {
             scheduleTurn(nextDueUs - identity.clockOffsetUs());
         }
--- a/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
+++ b/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
@@ -120,8 +120,8 @@
     void attemptSent(EmulatedProxy proxy, Attempt attempt) {
         attemptCounters(attempt.server()).sent();
         lateSends += notifications.isLateFor(proxy, attempt.server()) ? 1 : 0;
-        String source = attempt.request().source();
-        lateSends += source != null && notifications.isLateFor(proxy, source) ? 1 : 0;
+        String fillSource = attempt.request().fillSource();
+        lateSends += fillSource != null && notifications.isLateFor(proxy, fillSource) ? 1 : 0;
     }
 
     void attemptAborted(String server) {
@@ -130,10 +130,11 @@
 
     void attemptEnded(EmulatedProxy proxy, Attempt attempt, UpstreamResponse response, long tookUs) {
         boolean successful = response.status() == AttemptStatus.OK;
-        if (successful && response.bornMs() > 0) {
+        if (successful && response.originSentMs() > 0) {
             long object = Long.parseUnsignedLong(attempt.request().object(), 16);
             long sentUs = proxy.clockUs() - tookUs;
-            boolean purged = notifications.isPurged(proxy, object, catalogue.group(object), response.bornMs(), sentUs);
+            boolean purged =
+                    notifications.isPurged(proxy, object, catalogue.group(object), response.originSentMs(), sentUs);
             stalePurgedCopies += purged ? 1 : 0;
         }
         attemptCounters(attempt.server()).ended(response.status(), tookUs);
--- a/src/main/java/petrelplank/emulator/Network.java
+++ b/src/main/java/petrelplank/emulator/Network.java
@@ -61,7 +61,7 @@
             if (node == null) {
                 callOrigin(request, onReply);
             } else {
-                FillSource source = attempted.source() == null ? null : fillSource(attempted.source(), node);
+                FillSource source = attempted.fillSource() == null ? null : fillSource(attempted.fillSource(), node);
                 node.serve(request, source, attempted.coalesce(), attempted.onlyIfCached(), onReply);
             }
         });
--- a/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionActivity.java
@@ -36,17 +36,17 @@
     ConnectionActivity(EventLoop loop, BoundedAcceptor acceptor) {
         this.loop = loop;
         this.acceptor = acceptor;
-        this.lastUsedUs = loop.clock();
+        this.lastUsedUs = loop.clockUs();
         this.acceptedAtTurn = acceptor.turns();
     }
 
     void onRequestReceived() {
         receivedRequest = true;
-        lastUsedUs = loop.clock();
+        lastUsedUs = loop.clockUs();
     }
 
     void onResponseSent() {
-        lastUsedUs = loop.clock();
+        lastUsedUs = loop.clockUs();
     }
 
     /** Called after each read; {@code insideRequest} says whether the input so far ends inside a request or record. */
@@ -54,7 +54,7 @@
         if (!insideRequest) {
             partialRequestSinceUs = NO_PARTIAL_REQUEST;
         } else if (partialRequestSinceUs == NO_PARTIAL_REQUEST) {
-            partialRequestSinceUs = loop.clock();
+            partialRequestSinceUs = loop.clockUs();
         }
     }
 
--- a/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
+++ b/src/main/java/petrelplank/fastcgi/ConnectionReaper.java
@@ -39,7 +39,7 @@
      * event thread.
      */
     void sweep() {
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         for (FastCgiConnection connection : connections) {
             if (connection.hasLingerTimedOut(nowUs)) {
                 connection.closeNow();
@@ -47,7 +47,7 @@
                 connection.closeIfIdle(IdleConnectionCloser.Reason.IDLE);
             }
         }
-        loop.at(nowUs + SWEEP_INTERVAL_US, this::sweep);
+        loop.schedule(nowUs + SWEEP_INTERVAL_US, this::sweep);
     }
 
     /**
@@ -56,7 +56,7 @@
      * accept queue of the kernel until a response has been sent. Called by the accepting thread.
      */
     void evictIdleConnections() {
-        long nowUs = loop.clock();
+        long nowUs = loop.clockUs();
         while (budget.available() + context.status().pendingCloses() <= acceptor.reserve()) {
             FastCgiConnection candidate = findLeastRecentlyUsed(nowUs);
             if (candidate == null) {
--- a/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiConnection.java
@@ -81,7 +81,7 @@
     void closeAfterResponses() {
         context.acceptor().shutdownOutput(session, () -> {
             if (isUnused()) {
-                outputShutdownUs = loop.clock();
+                outputShutdownUs = loop.clockUs();
             }
             return outputShutdownUs > 0;
         });
@@ -121,7 +121,7 @@
         openRequests.add(id, channel);
         activity.onRequestReceived();
         if (params.getOrDefault(RequestDecoder.SCRIPT_NAME, "").equals(HEALTH_SCRIPT_NAME)) {
-            channel.answer(
+            channel.sendResponse(
                     context.status().isReady()
                             ? ClientResponse.of(ClientResponse.Kind.SERVED)
                             : ClientResponse.rejected(0));
@@ -135,7 +135,7 @@
         try {
             request = context.decoder().decode(params, body);
         } catch (InvalidRequestException e) {
-            channel.answer(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
+            channel.sendResponse(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
             return;
         }
         long arrivedUs = context.acceptor().unreadSinceUs();
--- a/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiResponseChannel.java
@@ -39,7 +39,7 @@
 
     /** A response may race with an abort by the client: whichever removes the request from the open ones first wins. */
     @Override
-    public void answer(ClientResponse response) {
+    public void sendResponse(ClientResponse response) {
         openRequests.beginResponse();
         boolean wasOpen = openRequests.remove(id, this);
         if (wasOpen) {
--- a/src/main/java/petrelplank/proxy/AdmissionController.java
+++ b/src/main/java/petrelplank/proxy/AdmissionController.java
@@ -38,7 +38,7 @@
         if (!canAdmit(exchange)) {
             completion.countRejectedBeforeRouting();
             recorder.requestRejected(exchange.request, ClientResponse.Kind.REJECTED);
-            exchange.channel.answer(ClientResponse.rejected(RETRY_AFTER_MS));
+            exchange.channel.sendResponse(ClientResponse.rejected(RETRY_AFTER_MS));
             return;
         }
         openRequests.add(exchange);
@@ -54,7 +54,7 @@
     private boolean canAdmit(Exchange exchange) {
         return openRequests.size() < maxOpenRequests
                 && !openRequests.contains(exchange.request.id())
-                && loop.now() < shutdownAtUs;
+                && loop.nowUs() < shutdownAtUs;
     }
 
     /**
--- a/src/main/java/petrelplank/proxy/Attempt.java
+++ b/src/main/java/petrelplank/proxy/Attempt.java
@@ -67,7 +67,7 @@
      *
      * @return false once the client has closed its connection, cancelled the request or received its response
      */
-    public boolean isAwaited() {
+    public boolean isClientWaiting() {
         return exchange.channel.isOpen();
     }
 
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -36,7 +36,7 @@
     }
 
     void send(Exchange exchange, AttemptPlan plan) {
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         long timeoutAtUs = nowUs + plan.timeoutUs();
         Attempt attempt = new Attempt(
                 exchange,
@@ -46,7 +46,7 @@
                 nowUs,
                 timeoutAtUs);
         exchange.attempts.add(attempt);
-        attempt.setTimeoutTimer(loop.at(timeoutAtUs, () -> abort(attempt, AttemptStatus.TIMEOUT)));
+        attempt.setTimeoutTimer(loop.schedule(timeoutAtUs, () -> abort(attempt, AttemptStatus.TIMEOUT)));
         recorder.attemptSent(attempt);
         upstream.send(attempt);
     }
@@ -64,8 +64,8 @@
                 plan.coalesce(),
                 plan.onlyIfCached(),
                 plan.staleWhileRevalidate(),
-                request.tag(),
-                request.key(),
+                request.clientTag(),
+                request.idempotencyKey(),
                 request.body(),
                 nonIdempotentClasses.contains(request.serviceClass()));
     }
--- a/src/main/java/petrelplank/proxy/ClientRequest.java
+++ b/src/main/java/petrelplank/proxy/ClientRequest.java
@@ -10,8 +10,8 @@
  * @param part the number of the requested part of the object
  * @param group the group of objects that this one belongs to; a purge can name a whole group
  * @param sizeKb size of the part in KB as transferred on a connection; 0 if unknown
- * @param tag the entity tag of the copy that the client has; null if it has none
- * @param key the client's idempotency key, sent unchanged with every attempt; null if the client sent none
+ * @param clientTag the entity tag of the copy that the client has; null if it has none
+ * @param idempotencyKey the client's idempotency key, sent unchanged with every attempt; null if the client sent none
  * @param tenant the tenant whose quota the request counts against; null if the client named none
  * @param body the body of a write; empty for reads
  */
@@ -23,7 +23,7 @@
         long part,
         int group,
         double sizeKb,
-        String tag,
-        String key,
+        String clientTag,
+        String idempotencyKey,
         String tenant,
         byte[] body) {}
--- a/src/main/java/petrelplank/proxy/DeadlineGuard.java
+++ b/src/main/java/petrelplank/proxy/DeadlineGuard.java
@@ -27,12 +27,12 @@
      */
     void startTimer(Exchange exchange, long shutdownAtUs) {
         exchange.deadlineTimer =
-                loop.at(Math.min(exchange.deadlineUs + GRACE_US, shutdownAtUs), () -> deadlineExceeded(exchange));
+                loop.schedule(Math.min(exchange.deadlineUs + GRACE_US, shutdownAtUs), () -> deadlineExceeded(exchange));
     }
 
     /** Starts a second timer for an exchange whose deadline timer is running, which may fail it earlier. */
     void failAt(Exchange exchange, long atUs) {
-        loop.at(atUs, () -> deadlineExceeded(exchange));
+        loop.schedule(atUs, () -> deadlineExceeded(exchange));
     }
 
     /**
@@ -50,7 +50,7 @@
                     + " such requests so far");
         }
         try {
-            router.clientDisconnected(loop.now(), exchange.request.id());
+            router.clientDisconnected(loop.nowUs(), exchange.request.id());
         } finally {
             completion.sendResponse(exchange, ClientResponse.of(ClientResponse.Kind.FAILED));
         }
--- a/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
@@ -47,7 +47,7 @@
     }
 
     private void applyPurge(DiscoveryEvent.Purge purge) {
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         long ageUs = Math.max(0, nowUs - purge.unixMs() * US_PER_MS);
         if (purge.object() != null) {
             router.objectPurged(nowUs, purge.object(), ageUs);
@@ -59,7 +59,7 @@
     private void applyChange(DiscoveryEvent.Change change) {
         List<EndpointInfo> endpoints =
                 change.entries().stream().map(DiscoveryEvent.Entry::endpoint).toList();
-        router.endpointsChanged(loop.now(), change.complete(), endpoints);
+        router.endpointsChanged(loop.nowUs(), change.complete(), endpoints);
         Set<String> removed = removedIds(change);
         removed.forEach(upstream::endpointRemoved);
         listedIds.removeAll(removed);
--- a/src/main/java/petrelplank/proxy/EdgeProxy.java
+++ b/src/main/java/petrelplank/proxy/EdgeProxy.java
@@ -20,7 +20,7 @@
     private final DiscoveryEventHandler discoveryHandler;
 
     /**
-     * Creates a proxy without endpoints; {@link #onEvent} adds them.
+     * Creates a proxy without endpoints; {@link #onDiscoveryEvent} adds them.
      *
      * @param loop the event loop
      * @param settings the settings
@@ -65,13 +65,13 @@
         }
     }
 
-    /** Stops routing, because the proxy may have missed a drain or a purge. Requests wait until {@link #resume}. */
-    public void pause() {
+    /** Stops routing, because the proxy may have missed a drain or a purge. Requests wait until {@link #resumeRouting}. */
+    public void pauseRouting() {
         admission.pauseRouting();
     }
 
     /** Starts routing, once the endpoint list is up to date. Waiting requests are routed in the order of admission. */
-    public void resume() {
+    public void resumeRouting() {
         admission.resumeRouting();
     }
 
@@ -85,7 +85,7 @@
         Exchange exchange = openRequests.find(id);
         if (exchange != null && exchange.channel == channel && !exchange.isCompleted()) {
             completion.clientDisconnected(exchange);
-            router.clientDisconnected(loop.now(), id);
+            router.clientDisconnected(loop.nowUs(), id);
         }
     }
 
@@ -94,7 +94,7 @@
      *
      * @param event the event; ignored if its number is not above that of the last event
      */
-    public void onEvent(DiscoveryEvent event) {
+    public void onDiscoveryEvent(DiscoveryEvent event) {
         discoveryHandler.apply(event);
     }
 
@@ -103,7 +103,7 @@
      *
      * @return the number; 0 before the first event
      */
-    public long lastEventIndex() {
+    public long lastDiscoveryIndex() {
         return discoveryHandler.lastIndex();
     }
 
@@ -118,8 +118,8 @@
     }
 
     /** Fails all open requests and rejects further ones, so that nothing more is sent to upstream servers. */
-    public void stopAdmitting() {
-        admission.shutDownAt(loop.now());
+    public void shutDownNow() {
+        admission.shutDownAt(loop.nowUs());
     }
 
     /** Records the end of a planned shutdown; no event may follow. */
@@ -141,7 +141,7 @@
      *
      * @return the counts
      */
-    public String counts() {
+    public String requestCounts() {
         return completion.counts();
     }
 
--- a/src/main/java/petrelplank/proxy/EventLoop.java
+++ b/src/main/java/petrelplank/proxy/EventLoop.java
@@ -75,7 +75,7 @@
      *
      * @return Unix time in microseconds
      */
-    public long now() {
+    public long nowUs() {
         lastNowUs = Math.max(lastNowUs, clock.getAsLong());
         return lastNowUs;
     }
@@ -85,7 +85,7 @@
      *
      * @return Unix time in microseconds
      */
-    public long clock() {
+    public long clockUs() {
         return clock.getAsLong();
     }
 
@@ -127,7 +127,7 @@
      * @param task the task
      * @return the timer
      */
-    public Timer at(long atUs, Runnable task) {
+    public Timer schedule(long atUs, Runnable task) {
         Timer timer = new Timer(atUs, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
@@ -142,7 +142,7 @@
     @Override
     public void run() {
         while (!stopped) {
-            turn();
+            runOnce();
             parkUntilWork();
         }
     }
@@ -151,15 +151,15 @@
      * Runs as many tasks as are queued at the start of the turn, each time an urgent one if there is any, and then the
      * timers that are due.
      */
-    public void turn() {
-        int queuedTasks = size();
+    public void runOnce() {
+        int queuedTasks = queuedTaskCount();
         for (int i = 0; i < queuedTasks; i++) {
             Runnable task = pollTask();
             if (task != null) {
                 runSafely(task);
             }
         }
-        fireTimers(now());
+        fireTimers(nowUs());
     }
 
     private void fireTimers(long nowUs) {
@@ -177,7 +177,7 @@
      *
      * @return Unix time in microseconds; {@link Long#MAX_VALUE} if there is no timer
      */
-    public long nextDueUs() {
+    public long nextTimerDueUs() {
         while (!timers.isEmpty() && timers.peek().isCancelled()) {
             timers.poll();
         }
@@ -196,7 +196,7 @@
      *
      * @return the number of tasks, not counting timers
      */
-    public int size() {
+    public int queuedTaskCount() {
         lock.lock();
         try {
             return urgentTasks.size() + ordinaryTasks.size();
@@ -235,8 +235,8 @@
      */
     private void parkUntilWork() {
         parkedThread = Thread.currentThread();
-        if (size() == 0) {
-            long waitUs = timers.isEmpty() ? MAX_PARK_US : Math.min(MAX_PARK_US, timers.peek().dueUs - now());
+        if (queuedTaskCount() == 0) {
+            long waitUs = timers.isEmpty() ? MAX_PARK_US : Math.min(MAX_PARK_US, timers.peek().dueUs - nowUs());
             if (waitUs > 0) {
                 LockSupport.parkNanos(this, waitUs * NS_PER_US);
             }
--- a/src/main/java/petrelplank/proxy/RequestCompletion.java
+++ b/src/main/java/petrelplank/proxy/RequestCompletion.java
@@ -22,7 +22,7 @@
         exchange.markCompleted();
         responsesByKind[response.kind().ordinal()]++;
         recorder.requestCompleted(exchange, response);
-        exchange.channel.answer(response);
+        exchange.channel.sendResponse(response);
         removeIfFinished(exchange);
     }
 
--- a/src/main/java/petrelplank/proxy/RequestValidator.java
+++ b/src/main/java/petrelplank/proxy/RequestValidator.java
@@ -45,7 +45,7 @@
     void handle(ClientRequest request, ResponseChannel channel, long arrivedUs) {
         if (!isValid(request)) {
             recorder.requestRejected(request, ClientResponse.Kind.BAD_REQUEST);
-            channel.answer(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
+            channel.sendResponse(ClientResponse.of(ClientResponse.Kind.BAD_REQUEST));
             return;
         }
         // Without the limit of its class, a request with a huge timeout could hold its slot and memory for that long.
@@ -61,12 +61,14 @@
                 && deadlineUsByClass.containsKey(request.serviceClass())
                 && request.part() >= 0
                 && isGroup(request.group())
-                && (request.tag() == null || isToken(request.tag()))
+                && (request.clientTag() == null || isToken(request.clientTag()))
                 && hasValidKey(request);
     }
 
     private boolean hasValidKey(ClientRequest request) {
-        return request.key() == null ? !idempotencyKeyClasses.contains(request.serviceClass()) : isToken(request.key());
+        return request.idempotencyKey() == null
+                ? !idempotencyKeyClasses.contains(request.serviceClass())
+                : isToken(request.idempotencyKey());
     }
 
     private static boolean isGroup(int group) {
--- a/src/main/java/petrelplank/proxy/ResponseChannel.java
+++ b/src/main/java/petrelplank/proxy/ResponseChannel.java
@@ -7,7 +7,7 @@
      *
      * @param response the response
      */
-    void answer(ClientResponse response);
+    void sendResponse(ClientResponse response);
 
     /**
      * Whether the client still waits for its response. May be called from any thread, and may return false before the
--- a/src/main/java/petrelplank/proxy/ResponseForwarder.java
+++ b/src/main/java/petrelplank/proxy/ResponseForwarder.java
@@ -33,9 +33,9 @@
         attempt.markEnded();
         Exchange exchange = attempt.exchange;
         UpstreamResponse response = checkNotModified(exchange.request, received);
-        recorder.attemptEnded(attempt, response, loop.now() - attempt.sentUs());
+        recorder.attemptEnded(attempt, response, loop.nowUs() - attempt.sentUs());
         boolean isFinalResponse = response.status() == AttemptStatus.OK && !exchange.isCompleted();
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         try {
             // The router is notified first, so that no pending hedged attempt is sent after the response.
             router.attemptEnded(nowUs, outcome(attempt, response, nowUs, exchange.isCompleted() || isFinalResponse));
@@ -53,7 +53,8 @@
      * otherwise use the wrong copy, or have none.
      */
     private static UpstreamResponse checkNotModified(ClientRequest request, UpstreamResponse response) {
-        boolean matchesClientCopy = response.tag() != null && response.tag().equals(request.tag());
+        boolean matchesClientCopy =
+                response.entityTag() != null && response.entityTag().equals(request.clientTag());
         return response.notModified() && !matchesClientCopy
                 ? UpstreamResponse.ended(response.id(), AttemptStatus.ERROR)
                 : response;
--- a/src/main/java/petrelplank/proxy/RouterHost.java
+++ b/src/main/java/petrelplank/proxy/RouterHost.java
@@ -109,7 +109,7 @@
      */
     @Override
     public void setTimer(long token, long atUs) {
-        loop.at(Math.max(atUs, loop.now() + MIN_TIMER_DELAY_US), () -> router.timerFired(loop.now(), token));
+        loop.schedule(Math.max(atUs, loop.nowUs() + MIN_TIMER_DELAY_US), () -> router.timerFired(loop.nowUs(), token));
     }
 
     /** Does nothing: the proxy follows the discovery service from the start. */
--- a/src/main/java/petrelplank/proxy/RoutingStage.java
+++ b/src/main/java/petrelplank/proxy/RoutingStage.java
@@ -29,7 +29,7 @@
     void route(Exchange exchange) {
         ClientRequest request = exchange.request;
         router.requestReceived(
-                loop.now(),
+                loop.nowUs(),
                 new RoutingRequest(
                         request.id(),
                         exchange.objectId,
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -23,7 +23,7 @@
     private final EventLoop loop;
     private final EventSink sink;
     private final Map<String, ServiceClass> classesByName;
-    private final double flowKbPerSecond;
+    private final double maxResponseKbPerSecond;
     private String terminatedRequestId;
     private TerminationReason terminationReason;
 
@@ -32,7 +32,7 @@
         this.sink = sink;
         this.classesByName =
                 settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity()));
-        this.flowKbPerSecond = settings.flowKbPerSecond();
+        this.maxResponseKbPerSecond = settings.maxResponseKbPerSecond();
         record(proxyStarted(settings));
     }
 
@@ -57,7 +57,7 @@
     }
 
     private void record(Event event) {
-        sink.record(loop.now(), event);
+        sink.record(loop.nowUs(), event);
     }
 
     @Override
@@ -92,7 +92,7 @@
                 attempt.number,
                 request.serviceClass(),
                 attempt.server(),
-                request.source(),
+                request.fillSource(),
                 exchange.objectId,
                 exchange.request.group()));
     }
@@ -106,14 +106,14 @@
                 attempt.number,
                 request.serviceClass(),
                 attempt.server(),
-                request.source(),
+                request.fillSource(),
                 exchange.objectId,
                 exchange.request.group(),
                 response.status(),
                 response.cacheStatus(),
                 latencyUs,
                 response.sourceWaitUs(),
-                response.bornMs(),
+                response.originSentMs(),
                 response.body().length,
                 loadValues(response.load())));
     }
@@ -140,7 +140,7 @@
         ClientRequest request = exchange.request;
         ServiceClass serviceClass = classesByName.get(request.serviceClass());
         int bytes = response.body().length;
-        long latencyUs = loop.now() - exchange.arrivedUs;
+        long latencyUs = loop.nowUs() - exchange.arrivedUs;
         boolean served =
                 response.kind() == ClientResponse.Kind.SERVED || response.kind() == ClientResponse.Kind.NOT_MODIFIED;
         boolean withinObjective = served && latencyUs <= latencyObjectiveUs(serviceClass, bytes);
@@ -168,7 +168,7 @@
      * for the transfer time of the response and limited by the deadline.
      */
     private double latencyObjectiveUs(ServiceClass serviceClass, int bytes) {
-        double transferUs = flowKbPerSecond > 0 ? bytes / 1024.0 / flowKbPerSecond * 1e6 : 0;
+        double transferUs = maxResponseKbPerSecond > 0 ? bytes / 1024.0 / maxResponseKbPerSecond * 1e6 : 0;
         return Math.min(
                 serviceClass.deadlineUs(),
                 serviceClass.latencyObjectiveUs() + serviceClass.objectiveSizeFactor() * transferUs);
@@ -217,8 +217,9 @@
 
     @Override
     public void heartbeat(OpenRequests openRequests) {
-        record(new Event.Heartbeat(openRequests.size(), loop.size(), sink.heapBytes(), loop.takeMaxTimerDelayUs()));
-        loop.at(loop.now() + HEARTBEAT_INTERVAL_US, () -> heartbeat(openRequests));
+        record(new Event.Heartbeat(
+                openRequests.size(), loop.queuedTaskCount(), sink.heapBytes(), loop.takeMaxTimerDelayUs()));
+        loop.schedule(loop.nowUs() + HEARTBEAT_INTERVAL_US, () -> heartbeat(openRequests));
     }
 
     @Override
--- a/src/main/java/petrelplank/proxy/UpstreamRequest.java
+++ b/src/main/java/petrelplank/proxy/UpstreamRequest.java
@@ -7,14 +7,14 @@
  * @param serviceClass the name of the service class
  * @param object the id of the object, 16 hex digits
  * @param part the number of the requested part of the object
- * @param source the id of the server that a miss is filled from; null for no fill
+ * @param fillSource the id of the server that a miss is filled from; null for no fill
  * @param rank the rank at which the cache keeps the copy; 0 to cache nothing
  * @param maxAgeMs the maximum age of a copy that may be served; 0 for the freshness lifetime of the service class
  * @param coalesce whether to wait for a fill of the same object that is in progress
  * @param onlyIfCached whether the source may respond only with a copy that it has cached
  * @param staleWhileRevalidate whether to serve a copy that is about to expire and revalidate it in the background
- * @param tag the entity tag of the copy that the client has; null if it has none
- * @param key the client's idempotency key, the same for all attempts; null if the client sent none
+ * @param clientTag the entity tag of the copy that the client has; null if it has none
+ * @param idempotencyKey the client's idempotency key, the same for all attempts; null if the client sent none
  * @param body the body of the client's request
  * @param dedicatedConnection whether it is sent alone on a connection, because it is not freely repeatable
  */
@@ -23,13 +23,13 @@
         String serviceClass,
         String object,
         long part,
-        String source,
+        String fillSource,
         int rank,
         long maxAgeMs,
         boolean coalesce,
         boolean onlyIfCached,
         boolean staleWhileRevalidate,
-        String tag,
-        String key,
+        String clientTag,
+        String idempotencyKey,
         byte[] body,
         boolean dedicatedConnection) {}
--- a/src/main/java/petrelplank/proxy/UpstreamResponse.java
+++ b/src/main/java/petrelplank/proxy/UpstreamResponse.java
@@ -9,10 +9,10 @@
  * @param id the request's id
  * @param status how the attempt ended
  * @param notModified whether the copy that the client has is current, so that the response has no body
- * @param tag the entity tag of the copy; null if the server sent none
+ * @param entityTag the entity tag of the copy; null if the server sent none
  * @param cacheStatus where the copy came from or why a fill failed, as far as the server reported it
  * @param sourceWaitUs how long the server waited for the fill source, in microseconds
- * @param bornMs when the origin sent this copy, Unix time in milliseconds; 0 if unknown
+ * @param originSentMs when the origin sent this copy, Unix time in milliseconds; 0 if unknown
  * @param load the values of the server's load report, in the order of the settings; null if there is none
  * @param body the body; empty if there is none
  */
@@ -20,10 +20,10 @@
         String id,
         AttemptStatus status,
         boolean notModified,
-        String tag,
+        String entityTag,
         CacheStatus cacheStatus,
         long sourceWaitUs,
-        long bornMs,
+        long originSentMs,
         double[] load,
         byte[] body) {
     private static final byte[] NO_BODY = new byte[0];
--- a/src/main/java/petrelplank/routing/AttemptPlanner.java
+++ b/src/main/java/petrelplank/routing/AttemptPlanner.java
@@ -50,7 +50,7 @@
         Endpoint endpoint;
         if (!directToParents) {
             endpoint = caches.select(request, now);
-        } else if (origin != null && !request.excluded.contains(origin)) {
+        } else if (origin != null && !request.excludedEndpoints.contains(origin)) {
             endpoint = origin;
         } else {
             endpoint = sources.select(request, now);
@@ -72,7 +72,7 @@
             return planCacheRead(request, cache, source);
         }
         boolean mayBypassCaches = directToParents && !request.originAccess.isOnlyIfCached() && !request.cacheAtLimit;
-        if (mayBypassCaches && source != null && limiter.mayFill(request)) {
+        if (mayBypassCaches && source != null && limiter.mayStartFill(request)) {
             Endpoint origin = endpoints.origin();
             return origin == null
                     ? AttemptRoute.to(source, source, FillMode.NONE)
@@ -87,8 +87,8 @@
      */
     private AttemptRoute planCacheRead(RequestState request, Endpoint cache, Endpoint source) {
         boolean onlyIfCached = request.originAccess.isOnlyIfCached();
-        boolean holdsCopy = !onlyIfCached && copies.holds(cache, request.key);
-        if (source == null || !holdsCopy && !limiter.mayFill(request)) {
+        boolean holdsCopy = !onlyIfCached && copies.holds(cache, request.objectKey);
+        if (source == null || !holdsCopy && !limiter.mayStartFill(request)) {
             return planCacheLookup(request, cache);
         }
         if (holdsCopy) {
--- a/src/main/java/petrelplank/routing/AttemptSender.java
+++ b/src/main/java/petrelplank/routing/AttemptSender.java
@@ -35,12 +35,12 @@
     /** Sends the attempt, and schedules the check for a missing response. */
     void send(RequestState request, AttemptRoute route, long now) {
         AttemptState attempt = attempts.begin(request, route, now);
-        actions.send(request.request.id(), plan(request, route, now));
+        actions.send(request.clientRequest.id(), plan(request, route, now));
         hedging.scheduleCheck(request, attempt, now);
     }
 
     private AttemptPlan plan(RequestState request, AttemptRoute route, long now) {
-        boolean recentlyPurged = purges.isRecentlyPurged(request.request, now);
+        boolean recentlyPurged = purges.isRecentlyPurged(request.clientRequest, now);
         boolean coalesce = permissions.coalescing() && !recentlyPurged && !request.isWrite();
         boolean staleWhileRevalidate = request.serviceClass.freshnessUs() > 0 && !recentlyPurged;
         return new AttemptPlan(
@@ -51,13 +51,13 @@
                 coalesce,
                 route.fillMode() == FillMode.ONLY_IF_CACHED,
                 staleWhileRevalidate,
-                Math.max(1, request.request.deadlineUs() - now));
+                Math.max(1, request.clientRequest.deadlineUs() - now));
     }
 
     private int rank(RequestState request, Endpoint endpoint) {
-        if (request.isWrite() || endpoint.role != Role.EDGE) {
+        if (request.isWrite() || endpoint.role != Role.LOCAL_CACHE) {
             return RANK_NOT_CACHED;
         }
-        return popularity.isRepeated(request.key) ? RANK_REPEATED_REQUEST : RANK_FIRST_REQUEST;
+        return popularity.isRequestedRepeatedly(request.objectKey) ? RANK_REPEATED_REQUEST : RANK_FIRST_REQUEST;
     }
 }
--- a/src/main/java/petrelplank/routing/CacheSelector.java
+++ b/src/main/java/petrelplank/routing/CacheSelector.java
@@ -42,14 +42,14 @@
         request.cacheAtLimit = false;
         int objectCacheCount = Math.min(
                 MAX_CACHES_PER_OBJECT,
-                1 + (int) (popularity.share(request.key) * caches.size() / REQUEST_SHARE_PER_CACHE));
+                1 + (int) (popularity.share(request.objectKey) * caches.size() / REQUEST_SHARE_PER_CACHE));
         Endpoint best = null;
         for (int i = 0; i < caches.size() && (i < objectCacheCount || best == null); i++) {
             Endpoint cache = caches.get(i);
             if (i >= objectCacheCount && request.cacheAtLimit && !isWithinReportedCapacity(cache)) {
                 continue;
             }
-            if (!slowStart.canAfford(cache, transferTimes.classMeanUs(request.classIndex), now)) {
+            if (!slowStart.canAfford(cache, transferTimes.meanTransferUs(request.classIndex), now)) {
                 continue;
             }
             boolean hasRoom = ConcurrencyLimiter.mayAccept(cache, request);
@@ -64,7 +64,7 @@
     private List<Endpoint> cachesByScore(RequestState request, long now) {
         List<Endpoint> caches = eligibleEndpoints.caches(request, now);
         for (Endpoint cache : caches) {
-            double hash = Hash.unit(Hash.mix(request.key ^ cache.hash));
+            double hash = Hash.toUnitInterval(Hash.mix(request.objectKey ^ cache.hash));
             cache.rendezvousScore = cache.weight * slowStart.capacityFraction(cache, now) / Math.log(hash);
         }
         caches.sort(BY_SCORE);
--- a/src/main/java/petrelplank/routing/ConcurrencyLimit.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimit.java
@@ -41,7 +41,7 @@
     boolean hasRoom(RequestState request) {
         double otherProxiesFraction = 1 - 1 / proxyCount;
         double limitShare = request.limitShare;
-        return inFlight + request.samplingKey
+        return inFlight + request.samplingValue
                 < limit * limitShare + otherProxiesFraction * otherProxiesFraction * Math.sqrt(limit * limitShare);
     }
 
--- a/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
+++ b/src/main/java/petrelplank/routing/ConcurrencyLimiter.java
@@ -15,7 +15,7 @@
     }
 
     /** Whether one more fill may start: it fits under the limit, or the zone's link last reported spare capacity. */
-    boolean mayFill(RequestState request) {
+    boolean mayStartFill(RequestState request) {
         return fillLimit.hasRoom(request) || zoneLink.hasReportedSpareCapacity();
     }
 
--- a/src/main/java/petrelplank/routing/EligibleEndpoints.java
+++ b/src/main/java/petrelplank/routing/EligibleEndpoints.java
@@ -40,12 +40,12 @@
     /** Whether the request may be sent to the origin. */
     boolean isOriginEligible(RequestState request, long now) {
         Endpoint origin = endpoints.origin();
-        return origin != null && outliers.isReady(origin, now) && !request.excluded.contains(origin);
+        return origin != null && outliers.isReady(origin, now) && !request.excludedEndpoints.contains(origin);
     }
 
     private static List<Endpoint> upAndNotExcluded(List<Endpoint> listed, RequestState request) {
         List<Endpoint> candidates = new ArrayList<>(listed);
-        candidates.removeIf(endpoint -> !endpoint.isUp() || request.excluded.contains(endpoint));
+        candidates.removeIf(endpoint -> !endpoint.isUp() || request.excludedEndpoints.contains(endpoint));
         return candidates;
     }
 
--- a/src/main/java/petrelplank/routing/Endpoint.java
+++ b/src/main/java/petrelplank/routing/Endpoint.java
@@ -5,7 +5,7 @@
     /** The role of an endpoint from the point of view of this proxy. */
     enum Role {
         /** A cache in this proxy's zone, which takes requests. */
-        EDGE,
+        LOCAL_CACHE,
         /** A cache that other caches fill their misses from. */
         PARENT,
         /** The origin. */
@@ -39,7 +39,7 @@
     final ReportedLoad reportedLoad = new ReportedLoad();
     final QTable qTable = new QTable();
     final TokenBucket slowStartBucket = new TokenBucket();
-    final DecayingRate sentRate = new DecayingRate();
+    final DecayingRate sentTransferRate = new DecayingRate();
 
     Endpoint(String id, ConcurrencyLimit limit) {
         this.id = id;
--- a/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/EndpointOutcomeRecorder.java
@@ -37,7 +37,7 @@
             default -> recordFailure(request, attempt, outcome, sourceFailed, now);
         }
         if (outcome.status() == AttemptStatus.MISS) {
-            copyLocations.forgetObject(request.key);
+            copyLocations.forgetObject(request.objectKey);
         }
         exclude(request, attempt, outcome.status(), sourceFailed);
     }
@@ -47,8 +47,8 @@
         outliers.recordSuccess(endpoint, now);
         endpoint.lastResponseUs = now;
         attribution.recordResponseTime(outcome.latencyUs() - request.transferUs);
-        if (!request.isWrite() && endpoint.role == Role.EDGE) {
-            copyLocations.record(request.key, endpoint);
+        if (!request.isWrite() && endpoint.role == Role.LOCAL_CACHE) {
+            copyLocations.record(request.objectKey, endpoint);
         }
     }
 
@@ -79,7 +79,7 @@
         boolean unattributedError =
                 outcome.status() == AttemptStatus.ERROR && outcome.cacheStatus() == CacheStatus.NONE;
         if (unattributedError && !attempt.healthCheck && request.recordError(attempt.endpoint)) {
-            request.errored.forEach(endpoint -> outliers.retractFailure(endpoint, now));
+            request.endpointsWithErrors.forEach(endpoint -> outliers.retractFailure(endpoint, now));
         }
     }
 
@@ -87,11 +87,11 @@
             RequestState request, AttemptState attempt, AttemptStatus status, boolean sourceFailed) {
         boolean sourceUnusable = sourceFailed || status == AttemptStatus.MISS;
         if (sourceUnusable && attempt.source != attempt.endpoint && request.originAccess != OriginAccess.SAMPLED) {
-            request.excluded.add(attempt.source);
+            request.excludedEndpoints.add(attempt.source);
         }
         boolean endpointFailed = status != AttemptStatus.OK && status != AttemptStatus.MISS && !sourceFailed;
         if (status == AttemptStatus.TIMEOUT || endpointFailed) {
-            request.excluded.add(attempt.endpoint);
+            request.excludedEndpoints.add(attempt.endpoint);
         }
     }
 }
--- a/src/main/java/petrelplank/routing/EndpointRegistry.java
+++ b/src/main/java/petrelplank/routing/EndpointRegistry.java
@@ -60,7 +60,7 @@
     }
 
     private void update(EndpointInfo info) {
-        int zoneProxyCount = settings.zoneGatewayCount();
+        int zoneProxyCount = settings.zoneProxyCount();
         Endpoint endpoint =
                 endpoints.computeIfAbsent(info.id(), id -> new Endpoint(id, new ConcurrencyLimit(zoneProxyCount)));
         if (info.startedUs() != endpoint.startedUs) {
@@ -83,7 +83,7 @@
         origin = null;
         for (Endpoint endpoint : endpoints.values()) {
             switch (endpoint.role) {
-                case EDGE -> localCaches.add(endpoint);
+                case LOCAL_CACHE -> localCaches.add(endpoint);
                 case PARENT -> parents.add(endpoint);
                 case ORIGIN -> origin = endpoint;
                 default -> {}
@@ -98,14 +98,14 @@
         if (info.kind().equals(settings.parentKind())) {
             return Role.PARENT;
         }
-        return info.zone().equals(settings.zone()) ? Role.EDGE : Role.OTHER;
+        return info.zone().equals(settings.zone()) ? Role.LOCAL_CACHE : Role.OTHER;
     }
 
     /** Returns the steps along the ring of hubs from this proxy's hub to the zone's hub, or 0 if hubs are unknown. */
     private int hubDistance(String zone) {
         int ownIndex = settings.zones().indexOf(settings.zone());
         int zoneIndex = settings.zones().indexOf(zone);
-        List<Integer> hubs = settings.zoneHub();
+        List<Integer> hubs = settings.hubByZone();
         if (ownIndex >= hubs.size() || zoneIndex < 0 || zoneIndex >= hubs.size()) {
             return 0;
         }
--- a/src/main/java/petrelplank/routing/FillOutcomeRecorder.java
+++ b/src/main/java/petrelplank/routing/FillOutcomeRecorder.java
@@ -29,7 +29,7 @@
 
     /** Records the outcome of an attempt; one without a separate source at a cache is ignored. */
     void record(RequestState request, AttemptState attempt, AttemptOutcome outcome, long now) {
-        if (attempt.source == attempt.endpoint && attempt.endpoint.role == Role.EDGE) {
+        if (attempt.source == attempt.endpoint && attempt.endpoint.role == Role.LOCAL_CACHE) {
             return;
         }
         if (outcome.status() == AttemptStatus.OK) {
@@ -70,7 +70,7 @@
      * the origin, because then the origin's link may be the slow one.
      */
     private static boolean showsTransferRate(RequestState request, AttemptOutcome outcome) {
-        return !(request.request.sizeKb() + outcome.sizeKb() <= 0)
+        return !(request.clientRequest.sizeKb() + outcome.sizeKb() <= 0)
                 && outcome.cacheStatus() != CacheStatus.FILLED_FROM_ORIGIN;
     }
 
--- a/src/main/java/petrelplank/routing/FillSourceSelector.java
+++ b/src/main/java/petrelplank/routing/FillSourceSelector.java
@@ -38,10 +38,11 @@
 
     /** Returns the fill source for the next attempt, or null if there is none. */
     Endpoint select(RequestState request, long now) {
-        long object = request.request.object();
+        long object = request.clientRequest.object();
         int group = QTable.groupOf(object);
         List<Endpoint> parents = eligibleEndpoints.parents(request, now);
-        parents.removeIf(parent -> Hash.unit(Hash.mix(object + parent.hash)) > slowStart.capacityFraction(parent, now));
+        parents.removeIf(parent ->
+                Hash.toUnitInterval(Hash.mix(object + parent.hash)) > slowStart.capacityFraction(parent, now));
         parents.removeIf(parent -> !slowStart.canAfford(parent, request.transferUs, now));
         boolean mayUseOrigin =
                 !request.originAccess.isOnlyIfCached() && eligibleEndpoints.isOriginEligible(request, now);
@@ -76,7 +77,7 @@
 
     private void learn(Endpoint source, RequestState request, double reward) {
         if (source.role == Role.PARENT) {
-            int group = QTable.groupOf(request.request.object());
+            int group = QTable.groupOf(request.clientRequest.object());
             source.qTable.learn(group, reward, meanValue(endpoints.parents(), group));
         }
     }
--- a/src/main/java/petrelplank/routing/Hash.java
+++ b/src/main/java/petrelplank/routing/Hash.java
@@ -34,7 +34,7 @@
      * @param hash a uniformly distributed hash
      * @return a number above 0 and below 1
      */
-    public static double unit(long hash) {
+    public static double toUnitInterval(long hash) {
         return ((hash >>> 11) + 0.5) / (1L << 53);
     }
 }
--- a/src/main/java/petrelplank/routing/HedgingPolicy.java
+++ b/src/main/java/petrelplank/routing/HedgingPolicy.java
@@ -32,7 +32,7 @@
 
     /** Updates the estimates from a successful response of a cache. */
     void recordOutcome(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
-        if (outcome.status() == AttemptStatus.OK && attempt.endpoint.role == Role.EDGE) {
+        if (outcome.status() == AttemptStatus.OK && attempt.endpoint.role == Role.LOCAL_CACHE) {
             double delayFraction = (outcome.latencyUs() - attempt.transferUs) / request.latencyObjectiveUs();
             meanDelayDeviation += SMOOTHING * (Math.abs(delayFraction - meanDelay) - meanDelayDeviation);
             meanDelay += SMOOTHING * (delayFraction - meanDelay);
@@ -71,7 +71,7 @@
     /** Sets a timer for the next check of the attempt: at its latency objective or its hedge delay. */
     void scheduleCheck(RequestState request, AttemptState attempt, long now) {
         double objectiveUs = request.latencyObjectiveUs();
-        long deadlineUs = request.request.deadlineUs();
+        long deadlineUs = request.clientRequest.deadlineUs();
         // Once the objective has passed, the deadline stands for "no check": the due time is then past the deadline.
         // A larger value, such as Long.MAX_VALUE, would overflow to a time in the past, and the timer would fire again
         // and again.
--- a/src/main/java/petrelplank/routing/InFlightAttempts.java
+++ b/src/main/java/petrelplank/routing/InFlightAttempts.java
@@ -39,8 +39,8 @@
         request.inFlight++;
         endpoint.inFlightTransferUs += request.transferUs;
         limiter.acquire(attempt);
-        endpoint.sentRate.add(now, request.transferUs, windowUs);
-        slowStart.charge(endpoint, transferTimes.classMeanUs(request.classIndex), now);
+        endpoint.sentTransferRate.add(now, request.transferUs, windowUs);
+        slowStart.charge(endpoint, transferTimes.meanTransferUs(request.classIndex), now);
         if (source != endpoint) {
             slowStart.charge(source, request.transferUs, now);
         }
@@ -71,7 +71,7 @@
         }
         for (int i = 0; i < request.attempts.size() && request.inFlight > 0; i++) {
             if (end(request, i) != null) {
-                actions.cancel(request.request.id(), i);
+                actions.cancel(request.clientRequest.id(), i);
             }
         }
     }
--- a/src/main/java/petrelplank/routing/LoadReports.java
+++ b/src/main/java/petrelplank/routing/LoadReports.java
@@ -37,7 +37,7 @@
 
     /** Records a cache's load report, which is null if the response had none. */
     void record(Endpoint endpoint, double[] load) {
-        if (load == null || endpoint.role != Role.EDGE) {
+        if (load == null || endpoint.role != Role.LOCAL_CACHE) {
             return;
         }
         double inFlight = valueAt(load, inFlightIndex);
--- a/src/main/java/petrelplank/routing/ObjectPopularity.java
+++ b/src/main/java/petrelplank/routing/ObjectPopularity.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether the object was requested more than once recently. */
-    boolean isRepeated(long key) {
+    boolean isRequestedRepeatedly(long key) {
         return counts[tableIndex(key)] > REPEATED_COUNT;
     }
 
--- a/src/main/java/petrelplank/routing/OriginCallMonitor.java
+++ b/src/main/java/petrelplank/routing/OriginCallMonitor.java
@@ -31,11 +31,11 @@
     }
 
     /** Checks an attempt that has no response yet; if it is late, this counts once as a failed call of the origin. */
-    void checkLateness(RequestState request, AttemptState attempt, long now) {
-        if (!request.latenessCounted
+    void recordIfLate(RequestState request, AttemptState attempt, long now) {
+        if (!request.countedAsLateOriginCall
                 && mayCallOrigin(request, attempt)
                 && now > attempt.sentUs + request.latencyObjectiveUs()) {
-            request.latenessCounted = true;
+            request.countedAsLateOriginCall = true;
             shedder.recordCall(now, false);
         }
     }
@@ -54,11 +54,11 @@
         boolean originAtFault =
                 calledOrigin && timeliness != Timeliness.IN_TIME && (failed || isDelayedAtSource(outcome, now));
         sampleAfterMiss(request, attempt, outcome, now);
-        if (calledOrigin && !request.latenessCounted && countsForShedding(request, now)) {
+        if (calledOrigin && !request.countedAsLateOriginCall && countsForShedding(request, now)) {
             boolean answered = outcome.status() == AttemptStatus.OK;
             shedder.recordCall(now, answered && !originAtFault && isAnsweredPromptly(request, outcome));
         }
-        request.latenessCounted = false;
+        request.countedAsLateOriginCall = false;
         return originAtFault;
     }
 
@@ -108,7 +108,7 @@
         if (request.originAccess.isOnlyIfCached()
                 && outcome.status() == AttemptStatus.MISS
                 && attempt.source.role == Role.PARENT
-                && request.excluded.isEmpty()) {
+                && request.excludedEndpoints.isEmpty()) {
             request.originAccess = shedder.isSampled(request, now) ? OriginAccess.SAMPLED : OriginAccess.WITHHELD;
         }
     }
--- a/src/main/java/petrelplank/routing/OriginLoadShedder.java
+++ b/src/main/java/petrelplank/routing/OriginLoadShedder.java
@@ -37,7 +37,7 @@
 
     /** Whether the request belongs to the sample that may call the origin. */
     boolean isSampled(RequestState request, long now) {
-        return request.samplingKey < currentShare(now);
+        return request.samplingValue < currentShare(now);
     }
 
     /** Records a call of the origin that has ended or is late. */
--- a/src/main/java/petrelplank/routing/PurgeLog.java
+++ b/src/main/java/petrelplank/routing/PurgeLog.java
@@ -59,7 +59,7 @@
     long maxAgeUs(RequestState request, long now) {
         ServiceClass serviceClass = request.serviceClass;
         long limitUs = serviceClass.freshnessUs() + (request.staleAllowed ? serviceClass.staleIfErrorUs() : 0);
-        long purgedUs = lastPurgedUs(request.request);
+        long purgedUs = lastPurgedUs(request.clientRequest);
         if (purgedUs == NEVER_PURGED) {
             return serviceClass.freshnessUs() == 0 ? 0 : limitUs;
         }
--- a/src/main/java/petrelplank/routing/RequestAdmission.java
+++ b/src/main/java/petrelplank/routing/RequestAdmission.java
@@ -38,7 +38,7 @@
         double transferUs = transferTimes.recordRequest(classIndex, request.sizeKb());
         ServiceClass serviceClass = settings.classes().get(classIndex);
         RequestState state = new RequestState(request, serviceClass, classIndex, transferUs, random.nextDouble());
-        double relativeShare = transferTimes.classMeanUs(classIndex) / transferUs;
+        double relativeShare = transferTimes.meanTransferUs(classIndex) / transferUs;
         state.limitShare = Math.max(MIN_LIMIT_SHARE, Math.min(1, relativeShare));
         if (quotas.recordAndCheckOverQuota(request.tenant(), now)) {
             state.limitShare *= Math.max(MIN_LIMIT_SHARE, settings.overQuotaWeightFactor());
--- a/src/main/java/petrelplank/routing/RequestRouter.java
+++ b/src/main/java/petrelplank/routing/RequestRouter.java
@@ -105,8 +105,8 @@
             return;
         }
         requests.put(request.id(), state);
-        popularity.recordRequest(now, state.key);
-        slowStart.measure(now);
+        popularity.recordRequest(now, state.objectKey);
+        slowStart.measureLoad(now);
         retryBudget.deposit();
         sendNextAttempt(state, now);
     }
@@ -184,7 +184,7 @@
 
     private void removeIfDone(RequestState request) {
         if (request.completed && request.inFlight == 0) {
-            requests.remove(request.request.id());
+            requests.remove(request.clientRequest.id());
         }
     }
 
@@ -197,7 +197,7 @@
             return;
         }
         request.completed = true;
-        String id = request.request.id();
+        String id = request.clientRequest.id();
         actions.terminated(id, reason);
         if (retryPolicy.isSafeForClientToRetry(request)) {
             RoutingPermissions permissions = settings.permissions();
--- a/src/main/java/petrelplank/routing/RetryPolicy.java
+++ b/src/main/java/petrelplank/routing/RetryPolicy.java
@@ -12,7 +12,7 @@
 
     /** Returns why no attempt may be sent now; null if one may. */
     TerminationReason reasonToStop(RequestState request, long now) {
-        if (request.request.deadlineUs() - now <= request.transferUs / 2) {
+        if (request.clientRequest.deadlineUs() - now <= request.transferUs / 2) {
             return TerminationReason.DEADLINE_TOO_CLOSE;
         }
         if (request.attempts.size() >= settings.permissions().maxAttempts()) {
--- a/src/main/java/petrelplank/routing/Router.java
+++ b/src/main/java/petrelplank/routing/Router.java
@@ -102,7 +102,7 @@
      * Another proxy sent a gossip message.
      *
      * @param now the clock
-     * @param from index of the sending proxy, see {@link RouterSettings#self}
+     * @param from index of the sending proxy, see {@link RouterSettings#proxyIndex}
      * @param data the payload
      */
     default void gossipReceived(long now, int from, byte[] data) {}
@@ -182,7 +182,7 @@
         /**
          * Sends a gossip message of at most 256 bytes.
          *
-         * @param proxy index of the receiving proxy, see {@link RouterSettings#self}; -1 for all proxies
+         * @param proxy index of the receiving proxy, see {@link RouterSettings#proxyIndex}; -1 for all proxies
          * @param data the payload
          */
         void gossip(int proxy, byte[] data);
--- a/src/main/java/petrelplank/routing/RouterComponents.java
+++ b/src/main/java/petrelplank/routing/RouterComponents.java
@@ -29,7 +29,8 @@
         RateLimitedLog log = new RateLimitedLog(actions, windowUs / 10);
         OutlierDetector outliers = new OutlierDetector(settings.connectTimeoutUs(), actions, log);
         FailureAttribution attribution = new FailureAttribution(detail);
-        TransferTimeEstimator transferTimes = new TransferTimeEstimator(settings.classes(), settings.flowKbPerSecond());
+        TransferTimeEstimator transferTimes =
+                new TransferTimeEstimator(settings.classes(), settings.maxResponseKbPerSecond());
         ZoneLink zoneLink = new ZoneLink(settings, windowUs);
         LoadReports loadReports = new LoadReports(settings, zoneLink);
         CopyLocations copies = new CopyLocations();
@@ -40,7 +41,7 @@
         endpoints = new EndpointRegistry(settings, copies, loadReports);
         slowStart = new SlowStart(settings, endpoints, zoneLink, windowUs);
         hedging = new HedgingPolicy(permissions, actions);
-        ConcurrencyLimiter limiter = new ConcurrencyLimiter(settings.zoneGatewayCount(), zoneLink);
+        ConcurrencyLimiter limiter = new ConcurrencyLimiter(settings.zoneProxyCount(), zoneLink);
         OriginLoadShedder shedder = new OriginLoadShedder(windowUs, log);
         OriginCallMonitor originCalls = new OriginCallMonitor(detail, endpoints, shedder, attribution, zoneLink);
         EligibleEndpoints eligible = new EligibleEndpoints(settings, endpoints, outliers);
--- a/src/main/java/petrelplank/routing/RouterSettings.java
+++ b/src/main/java/petrelplank/routing/RouterSettings.java
@@ -5,16 +5,16 @@
 /**
  * Settings of a {@link Router}: the place of its proxy in the fleet, the service classes and the rules of the platform.
  *
- * @param self index of this proxy in the fleet
- * @param gateways number of proxies in the fleet
+ * @param proxyIndex index of this proxy in the fleet
+ * @param proxyCount number of proxies in the fleet
  * @param zone zone of this proxy
  * @param zones all zones
- * @param zoneGateways number of proxies in each of {@code zones}; empty if unknown
- * @param zoneHub hub of each of {@code zones}, as an index in {@code zones}; hubs form a ring; empty if unknown
- * @param zoneLinkKbPerSecond capacity of the link into each of {@code zones}; 0 or empty if unknown
+ * @param proxyCountByZone number of proxies in each of {@code zones}; empty if unknown
+ * @param hubByZone hub of each of {@code zones}, as an index in {@code zones}; hubs form a ring; empty if unknown
+ * @param linkKbPerSecondByZone capacity of the link into each of {@code zones}; 0 or empty if unknown
  * @param parentKind the {@link EndpointInfo#kind} of parents; null if there are none
  * @param originKind the {@link EndpointInfo#kind} of the origin; null if there is none
- * @param flowKbPerSecond maximum transfer rate of one response; 0 if unknown
+ * @param maxResponseKbPerSecond maximum transfer rate of one response; 0 if unknown
  * @param weightMeaning meaning of the endpoints' weights
  * @param cacheStatusDetail how much responses report about copies and fills
  * @param reportFields names of the values in load reports
@@ -27,16 +27,16 @@
  * @param overQuotaWeightFactor fraction of the priority weight of a class that a request over its tenant's quota has
  */
 public record RouterSettings(
-        int self,
-        int gateways,
+        int proxyIndex,
+        int proxyCount,
         String zone,
         List<String> zones,
-        List<Integer> zoneGateways,
-        List<Integer> zoneHub,
-        List<Double> zoneLinkKbPerSecond,
+        List<Integer> proxyCountByZone,
+        List<Integer> hubByZone,
+        List<Double> linkKbPerSecondByZone,
         String parentKind,
         String originKind,
-        double flowKbPerSecond,
+        double maxResponseKbPerSecond,
         WeightMeaning weightMeaning,
         CacheStatusDetail cacheStatusDetail,
         List<String> reportFields,
@@ -52,20 +52,20 @@
      *
      * @return the number of proxies in the zone; that of all proxies if it is unknown or 0
      */
-    public int zoneGatewayCount() {
+    public int zoneProxyCount() {
         int zoneIndex = zones.indexOf(zone);
-        return zoneIndex < zoneGateways.size() && zoneGateways.get(zoneIndex) > 0
-                ? zoneGateways.get(zoneIndex)
-                : gateways;
+        return zoneIndex < proxyCountByZone.size() && proxyCountByZone.get(zoneIndex) > 0
+                ? proxyCountByZone.get(zoneIndex)
+                : proxyCount;
     }
 
     /** Validates and copies the values. */
     public RouterSettings {
-        Checks.require(gateways > 0, "balancers (must be above 0)", gateways);
-        Checks.require(self >= 0, "self-index (must be 0 or more)", self);
+        Checks.require(proxyCount > 0, "balancers (must be above 0)", proxyCount);
+        Checks.require(proxyIndex >= 0, "self-index (must be 0 or more)", proxyIndex);
         Checks.require(zones != null, "localities (must not be null)", zones);
         Checks.require(zone != null && zones.contains(zone), "zone (must be one of localities)", zone);
-        Checks.require(flowKbPerSecond >= 0, "flow-kb-per-s (must be 0 or more)", flowKbPerSecond);
+        Checks.require(maxResponseKbPerSecond >= 0, "flow-kb-per-s (must be 0 or more)", maxResponseKbPerSecond);
         Checks.require(connectTimeoutUs >= 0, "connect-timeout-us (must be 0 or more)", connectTimeoutUs);
         Checks.require(weightMeaning != null, "weights (must not be null)", weightMeaning);
         Checks.require(cacheStatusDetail != null, "note-level (must not be null)", cacheStatusDetail);
@@ -73,9 +73,9 @@
         Checks.require(permissions != null, "caps (must not be null)", permissions);
         Checks.require(rules != null, "rules (must not be null)", rules);
         zones = List.copyOf(zones);
-        zoneGateways = zoneGateways == null ? List.of() : List.copyOf(zoneGateways);
-        zoneHub = zoneHub == null ? List.of() : List.copyOf(zoneHub);
-        zoneLinkKbPerSecond = zoneLinkKbPerSecond == null ? List.of() : List.copyOf(zoneLinkKbPerSecond);
+        proxyCountByZone = proxyCountByZone == null ? List.of() : List.copyOf(proxyCountByZone);
+        hubByZone = hubByZone == null ? List.of() : List.copyOf(hubByZone);
+        linkKbPerSecondByZone = linkKbPerSecondByZone == null ? List.of() : List.copyOf(linkKbPerSecondByZone);
         reportFields = reportFields == null ? List.of() : List.copyOf(reportFields);
         classes = List.copyOf(classes);
         Checks.require(
@@ -91,10 +91,10 @@
                 overQuotaWeightFactor >= 0 && overQuotaWeightFactor <= 1,
                 "over-share-worth (must be 0 to 1)",
                 overQuotaWeightFactor);
-        for (int proxies : zoneGateways) {
+        for (int proxies : proxyCountByZone) {
             Checks.require(proxies >= 0, "crew-by-zone (must be 0 or more)", proxies);
         }
-        for (int hub : zoneHub) {
+        for (int hub : hubByZone) {
             Checks.require(hub >= 0 && hub < zones.size(), "hub-of (must be an index in localities)", hub);
         }
     }
--- a/src/main/java/petrelplank/routing/SlowStart.java
+++ b/src/main/java/petrelplank/routing/SlowStart.java
@@ -32,7 +32,7 @@
         this.endpoints = endpoints;
         this.zoneLink = zoneLink;
         this.windowUs = windowUs;
-        this.zoneProxyCount = settings.zoneGatewayCount();
+        this.zoneProxyCount = settings.zoneProxyCount();
     }
 
     /**
@@ -62,10 +62,10 @@
     }
 
     /** Measures the load that this proxy sends to endpoints after their slow start; used if weights are unknown. */
-    void measure(long now) {
+    void measureLoad(long now) {
         measuredCacheRate = endpoints.localCaches().stream()
                 .filter(cache -> capacityFraction(cache, now) >= 1)
-                .mapToDouble(cache -> cache.sentRate.read(now, windowUs))
+                .mapToDouble(cache -> cache.sentTransferRate.read(now, windowUs))
                 .average()
                 .orElse(measuredCacheRate);
         if (!endpoints.parents().isEmpty()) {
@@ -103,7 +103,7 @@
     /** Returns this proxy's share of the endpoint's capacity. */
     private double capacityShare(Endpoint endpoint, boolean isParent) {
         return settings.weightMeaning() != WeightMeaning.NONE
-                ? endpoint.weight / (isParent ? settings.gateways() : zoneProxyCount)
-                : Math.max(isParent ? measuredParentRate : measuredCacheRate, 1.0 / settings.gateways());
+                ? endpoint.weight / (isParent ? settings.proxyCount() : zoneProxyCount)
+                : Math.max(isParent ? measuredParentRate : measuredCacheRate, 1.0 / settings.proxyCount());
     }
 }
--- a/src/main/java/petrelplank/routing/TenantQuotas.java
+++ b/src/main/java/petrelplank/routing/TenantQuotas.java
@@ -14,7 +14,7 @@
 
     TenantQuotas(RouterSettings settings, double windowUs) {
         settings.tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
-        this.proxies = settings.gateways();
+        this.proxies = settings.proxyCount();
         this.windowUs = windowUs;
     }
 
--- a/src/main/java/petrelplank/routing/TransferTimeEstimator.java
+++ b/src/main/java/petrelplank/routing/TransferTimeEstimator.java
@@ -14,24 +14,24 @@
 
     private static final double US_PER_SECOND = 1e6;
 
-    private final double flowKbPerSecond;
-    private final double[] classMeanUs;
-
-    TransferTimeEstimator(List<ServiceClass> classes, double flowKbPerSecond) {
-        this.flowKbPerSecond = flowKbPerSecond;
-        this.classMeanUs = new double[classes.size()];
-        for (int i = 0; i < classMeanUs.length; i++) {
-            classMeanUs[i] = classes.get(i).latencyObjectiveUs() * INITIAL_OBJECTIVE_FRACTION;
+    private final double maxResponseKbPerSecond;
+    private final double[] meanTransferUs;
+
+    TransferTimeEstimator(List<ServiceClass> classes, double maxResponseKbPerSecond) {
+        this.maxResponseKbPerSecond = maxResponseKbPerSecond;
+        this.meanTransferUs = new double[classes.size()];
+        for (int i = 0; i < meanTransferUs.length; i++) {
+            meanTransferUs[i] = classes.get(i).latencyObjectiveUs() * INITIAL_OBJECTIVE_FRACTION;
         }
     }
 
-    double classMeanUs(int classIndex) {
-        return classMeanUs[classIndex];
+    double meanTransferUs(int classIndex) {
+        return meanTransferUs[classIndex];
     }
 
     /** Returns the estimated transfer time of a new request, and adds it to the mean of the class. */
     double recordRequest(int classIndex, double sizeKb) {
-        double transferUs = transferUs(sizeKb, classMeanUs[classIndex]);
+        double transferUs = transferUs(sizeKb, meanTransferUs[classIndex]);
         addSample(classIndex, transferUs);
         return transferUs;
     }
@@ -45,16 +45,16 @@
         boolean unloadedHit = endpoint.hasReportedSpareCapacity() && outcome.cacheStatus() == CacheStatus.HIT;
         boolean informative = outcome.sizeKb() > 0 || unloadedHit;
         request.transferUs = transferUs(outcome.sizeKb(), request.transferUs);
-        if (informative && request.request.sizeKb() <= 0 && outcome.status() == AttemptStatus.OK) {
+        if (informative && request.clientRequest.sizeKb() <= 0 && outcome.status() == AttemptStatus.OK) {
             addSample(request.classIndex, transferUs(outcome.sizeKb(), outcome.latencyUs()));
         }
     }
 
     private void addSample(int classIndex, double transferUs) {
-        classMeanUs[classIndex] += SMOOTHING * (transferUs - classMeanUs[classIndex]);
+        meanTransferUs[classIndex] += SMOOTHING * (transferUs - meanTransferUs[classIndex]);
     }
 
     private double transferUs(double sizeKb, double fallbackUs) {
-        return sizeKb > 0 && flowKbPerSecond > 0 ? sizeKb / flowKbPerSecond * US_PER_SECOND : fallbackUs;
+        return sizeKb > 0 && maxResponseKbPerSecond > 0 ? sizeKb / maxResponseKbPerSecond * US_PER_SECOND : fallbackUs;
     }
 }
--- a/src/main/java/petrelplank/routing/UnresponsiveAttemptDetector.java
+++ b/src/main/java/petrelplank/routing/UnresponsiveAttemptDetector.java
@@ -42,13 +42,13 @@
         if (request.completed || request.inFlight != 1 || alreadyHandled) {
             return false;
         }
-        originCalls.checkLateness(request, attempt, now);
+        originCalls.recordIfLate(request, attempt, now);
         if (now < attempt.sentUs + hedging.hedgeDelayUs(request)) {
             hedging.scheduleCheck(request, attempt, now);
             return false;
         }
         attempts.markUnresponsive(request, attempt);
-        boolean enoughTime = request.request.deadlineUs() - now > request.transferUs;
+        boolean enoughTime = request.clientRequest.deadlineUs() - now > request.transferUs;
         if (!retryBudget.canAfford(HEDGE_COST) || !hedging.mayHedge(request) || !enoughTime) {
             return false;
         }
@@ -61,11 +61,11 @@
     private void excludeUnresponsiveEndpoint(RequestState request, AttemptState attempt, long now) {
         if (attempt.endpoint.lastResponseUs < attempt.sentUs) {
             outliers.recordFailure(attempt.endpoint, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
-            request.excluded.add(attempt.endpoint);
+            request.excludedEndpoints.add(attempt.endpoint);
         } else if (attempt.isFill() && attempt.source.lastResponseUs < attempt.sentUs) {
             sources.recordFailure(attempt.source, request);
             outliers.recordFailure(attempt.source, now, Evidence.INCONCLUSIVE, attempt.healthCheck);
-            request.excluded.add(attempt.source);
+            request.excludedEndpoints.add(attempt.source);
         }
     }
 }
--- a/src/main/java/petrelplank/routing/ZoneLink.java
+++ b/src/main/java/petrelplank/routing/ZoneLink.java
@@ -20,11 +20,12 @@
 
     ZoneLink(RouterSettings settings, double windowUs) {
         this.windowUs = windowUs;
-        this.zoneProxyCount = settings.zoneGatewayCount();
+        this.zoneProxyCount = settings.zoneProxyCount();
         int zoneIndex = settings.zones().indexOf(settings.zone());
-        boolean capacityKnown = zoneIndex < settings.zoneLinkKbPerSecond().size() && settings.flowKbPerSecond() > 0;
+        boolean capacityKnown =
+                zoneIndex < settings.linkKbPerSecondByZone().size() && settings.maxResponseKbPerSecond() > 0;
         this.capacityTransfers =
-                capacityKnown ? settings.zoneLinkKbPerSecond().get(zoneIndex) / settings.flowKbPerSecond() : 0;
+                capacityKnown ? settings.linkKbPerSecondByZone().get(zoneIndex) / settings.maxResponseKbPerSecond() : 0;
     }
 
     /** Records the link utilization from a response's load report; negative if it was not reported. */
--- a/src/main/java/petrelplank/upstream/CommandEncoder.java
+++ b/src/main/java/petrelplank/upstream/CommandEncoder.java
@@ -42,18 +42,18 @@
         header.append(",limit=").append(limitMs);
         appendFill(header, request);
         appendMode(header, request);
-        if (request.tag() != null) {
-            header.append(",seen=").append(request.tag());
+        if (request.clientTag() != null) {
+            header.append(",seen=").append(request.clientTag());
         }
-        if (request.key() != null) {
-            header.append(",nonce=").append(request.key());
+        if (request.idempotencyKey() != null) {
+            header.append(",nonce=").append(request.idempotencyKey());
         }
         return header.append(' ').append(request.body().length).append("\r\n").toString();
     }
 
     private static void appendFill(StringBuilder header, UpstreamRequest request) {
-        if (request.source() != null) {
-            header.append(",from=").append(request.source());
+        if (request.fillSource() != null) {
+            header.append(",from=").append(request.fillSource());
         }
         if (request.rank() > 0) {
             header.append(",rank=").append(request.rank());
--- a/src/main/java/petrelplank/upstream/ConnectionSelector.java
+++ b/src/main/java/petrelplank/upstream/ConnectionSelector.java
@@ -36,7 +36,7 @@
             return connector.connectDedicated(server);
         }
         UpstreamConnection leastLoaded =
-                server.leastLoaded(request.id(), loop.now() - limits.idleTimeoutUs() * MAX_IDLE_TENTHS / 10);
+                server.leastLoaded(request.id(), loop.nowUs() - limits.idleTimeoutUs() * MAX_IDLE_TENTHS / 10);
         if (leastLoaded == null && server.hasSent(request.id()) && hasFreeDescriptor()) {
             // A retry on the same server gets a connection of its own. On the earlier connection, a late response to
             // the first attempt would be taken for the response to the retry.
--- a/src/main/java/petrelplank/upstream/StalledConnectionCloser.java
+++ b/src/main/java/petrelplank/upstream/StalledConnectionCloser.java
@@ -38,7 +38,7 @@
         for (UpstreamConnection connection : List.copyOf(connections)) {
             check(connection);
         }
-        loop.at(loop.now() + SWEEP_INTERVAL_US, this::sweep);
+        loop.schedule(loop.nowUs() + SWEEP_INTERVAL_US, this::sweep);
     }
 
     private void check(UpstreamConnection connection) {
--- a/src/main/java/petrelplank/upstream/UpstreamConnection.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnection.java
@@ -121,7 +121,7 @@
 
     private void write(Attempt attempt, long nowUs) {
         byte[] bytes = CommandEncoder.encodeFetch(attempt.request(), attempt.remainingMs(nowUs));
-        EncodedCommand command = new EncodedCommand(bytes, null, attempt::isAwaited);
+        EncodedCommand command = new EncodedCommand(bytes, null, attempt::isClientWaiting);
         openAttempts.put(attempt.request().id(), new OpenAttempt(attempt, command));
         session.getFilterChain().fireFilterWrite(command);
     }
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -97,7 +97,7 @@
             return;
         }
         connectionsByAttempt.put(attempt, connection);
-        connection.send(attempt, loop.now());
+        connection.send(attempt, loop.nowUs());
     }
 
     private void reportEnd(Attempt attempt, AttemptStatus status) {
@@ -118,7 +118,7 @@
         boolean silentSinceSent = connection.lastActivityUs() < attempt.sentUs();
         // A connection to a machine that has vanished stays open without any response. Retiring the connection keeps
         // further attempts off it.
-        if (silentSinceSent && loop.now() - attempt.sentUs() > limits.connectTimeoutUs()) {
+        if (silentSinceSent && loop.nowUs() - attempt.sentUs() > limits.connectTimeoutUs()) {
             connection.retire();
         } else {
             connection.closeIfDrained();
@@ -139,7 +139,7 @@
     private final class AttemptConnectionListener implements ConnectionListener {
         @Override
         public void responsesReceived(UpstreamConnection connection, List<UpstreamResponse> responses) {
-            connection.responseReceived(loop.now());
+            connection.responseReceived(loop.nowUs());
             responses.forEach(response -> responseReceived(connection, response));
             connection.closeIfDrained();
         }
--- a/src/main/java/petrelplank/upstream/UpstreamConnector.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnector.java
@@ -62,7 +62,7 @@
     UpstreamConnection connect(UpstreamServer server) {
         // Always succeeds: the caller has checked for a free place, and only the event thread acquires any.
         limits.descriptors().tryAcquire();
-        UpstreamConnection connection = new UpstreamConnection(server, limits.maxOpenAttempts(), loop.now());
+        UpstreamConnection connection = new UpstreamConnection(server, limits.maxOpenAttempts(), loop.nowUs());
         server.add(connection);
         connections.add(connection);
         ConnectFuture future = socketConnector.connect(
@@ -81,12 +81,12 @@
 
     private void connectCompleted(UpstreamConnection connection, ConnectFuture future) {
         if (future.isConnected()) {
-            connection.connected(future.getSession(), loop.now());
+            connection.connected(future.getSession(), loop.nowUs());
             connection.closeIfDrained();
             return;
         }
         // MINA's connector thread reports the failure first, and closes the descriptor in its next iteration.
-        loop.at(loop.now() + FAILED_CONNECT_RELEASE_DELAY_US, limits.descriptors()::release);
+        loop.schedule(loop.nowUs() + FAILED_CONNECT_RELEASE_DELAY_US, limits.descriptors()::release);
         // MINA reports a timeout and a refusal as ConnectException; any other exception is a reset during the connect.
         boolean unreachable = future.getException() instanceof ConnectException;
         listener.connectionLost(connection, unreachable ? LossCause.UNREACHABLE : LossCause.RESET);
--- a/src/test/java/petrelplank/cli/LoopbackTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackTest.java
@@ -195,9 +195,9 @@
     /** Objects on the sockets may have other sizes than the settings count in; all rates follow the sockets. */
     @Test
     void ratesAreInTheBytesOfTheSockets() throws IOException {
-        assertEquals(8000, configuration().settings().flowKbPerSecond());
+        assertEquals(8000, configuration().settings().maxResponseKbPerSecond());
         configure("\\{", "{\"flow_bytes_per_s\":20480,");
-        assertEquals(20, configuration().settings().flowKbPerSecond());
+        assertEquals(20, configuration().settings().maxResponseKbPerSecond());
         configure("20480", "-1");
         FormatException fault = assertThrows(FormatException.class, this::configuration);
         assertTrue(fault.getMessage().contains("flow_bytes_per_s"));
--- a/src/test/java/petrelplank/proxy/EventLoopTest.java
+++ b/src/test/java/petrelplank/proxy/EventLoopTest.java
@@ -22,33 +22,33 @@
         });
         loop.post(() -> executed.add("second"));
         loop.postUrgent(() -> executed.add("urgent"));
-        loop.turn();
-        loop.turn();
+        loop.runOnce();
+        loop.runOnce();
         assertEquals(List.of("urgent", "first", "urgent later", "second"), executed);
     }
 
     @Test
     void dueTimersFireInOrderUnlessCancelled() {
-        loop.at(clockUs + 20, () -> executed.add("later"));
-        loop.at(clockUs + 10, () -> executed.add("sooner"));
-        loop.at(clockUs + 10, () -> executed.add("cancelled")).cancel();
-        loop.turn();
+        loop.schedule(clockUs + 20, () -> executed.add("later"));
+        loop.schedule(clockUs + 10, () -> executed.add("sooner"));
+        loop.schedule(clockUs + 10, () -> executed.add("cancelled")).cancel();
+        loop.runOnce();
         assertEquals(List.of(), executed);
         clockUs += 20;
-        loop.turn();
+        loop.runOnce();
         assertEquals(List.of("sooner", "later"), executed);
     }
 
     @Test
     void nowNeverRunsBackwardsAndTheLoopSurvivesAFailedTask() {
-        long before = loop.now();
+        long before = loop.nowUs();
         clockUs -= 500;
-        assertEquals(before, loop.now());
+        assertEquals(before, loop.nowUs());
         loop.post(() -> {
             throw new IllegalStateException("thrown by the test");
         });
         loop.post(() -> executed.add("next"));
-        loop.turn();
+        loop.runOnce();
         assertEquals(List.of("next"), executed);
     }
 
@@ -62,7 +62,7 @@
         int rounds = 20_000;
         for (int i = 0; i < rounds; i++) {
             CountDownLatch done = new CountDownLatch(2);
-            realTimeLoop.post(() -> realTimeLoop.at(realTimeLoop.now() + 20, done::countDown));
+            realTimeLoop.post(() -> realTimeLoop.schedule(realTimeLoop.nowUs() + 20, done::countDown));
             realTimeLoop.postUrgent(done::countDown);
             done.await();
         }
--- a/src/test/java/petrelplank/proxy/OpenRequestsTest.java
+++ b/src/test/java/petrelplank/proxy/OpenRequestsTest.java
@@ -10,7 +10,7 @@
 
     private Exchange addExchange(String id) {
         Exchange exchange = Attempts.of(id, 0).exchange;
-        exchange.deadlineTimer = loop.at(1_000_000, () -> {});
+        exchange.deadlineTimer = loop.schedule(1_000_000, () -> {});
         openRequests.add(exchange);
         return exchange;
     }
--- a/src/test/java/petrelplank/proxy/RequestCompletionTest.java
+++ b/src/test/java/petrelplank/proxy/RequestCompletionTest.java
@@ -15,7 +15,7 @@
 
     private Exchange addExchange(String id) {
         Exchange exchange = Attempts.of(id, 0, response -> sentKinds.add(response.kind())).exchange;
-        exchange.deadlineTimer = loop.at(0, () -> firedTimers.add(id));
+        exchange.deadlineTimer = loop.schedule(0, () -> firedTimers.add(id));
         openRequests.add(exchange);
         return exchange;
     }
@@ -41,7 +41,7 @@
         completion.sendResponse(addExchange("aaaaaaaaaaaaaaaa"), ClientResponse.rejected(0));
         completion.clientDisconnected(addExchange("bbbbbbbbbbbbbbbb"));
         addExchange("cccccccccccccccc");
-        loop.turn();
+        loop.runOnce();
         assertThat(firedTimers).containsExactly("cccccccccccccccc");
     }
 }
--- a/src/test/java/petrelplank/routing/AttemptPlannerTest.java
+++ b/src/test/java/petrelplank/routing/AttemptPlannerTest.java
@@ -12,14 +12,14 @@
 
     @Test
     void requestWithoutASourceIsLookedUpOnceAndRejected() {
-        host.change(
+        host.changeEndpoints(
                 new EndpointInfo("p-north", "north", "parent", 0, EndpointState.REMOVED, 10, 0),
                 new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0),
                 new EndpointInfo("origin", "north", "origin", 0, EndpointState.REMOVED, 10, 0));
         String id = host.request(1);
         assertEquals(host.lastPlan().server(), host.lastPlan().source());
         host.endAttempt(id, AttemptStatus.MISS, CacheStatus.NONE, MS);
-        assertEquals(1, host.attempts(id));
+        assertEquals(1, host.attemptCount(id));
         assertTrue(host.isTerminated(id));
     }
 }
--- a/src/test/java/petrelplank/routing/CacheSelectorTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -62,9 +62,9 @@
     void oneObjectGoesToOneCacheAndManyObjectsToAllCaches() {
         Set<String> serversOfOneObject = new TreeSet<>();
         Set<String> serversOfManyObjects = new TreeSet<>();
-        host.fills(0, 100).forEach(plan -> serversOfManyObjects.add(plan.server()));
+        host.requestAndFill(0, 100).forEach(plan -> serversOfManyObjects.add(plan.server()));
         for (int i = 0; i < 3; i++) {
-            host.fills(500, 501).forEach(plan -> serversOfOneObject.add(plan.server()));
+            host.requestAndFill(500, 501).forEach(plan -> serversOfOneObject.add(plan.server()));
         }
         assertEquals(Set.of("a", "b", "c", "d"), serversOfManyObjects);
         assertEquals(1, serversOfOneObject.size());
--- a/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
@@ -64,7 +64,7 @@
 
     @Test
     void overloadRejectsLargePartsFirst() {
-        host.fills(0, 100);
+        host.requestAndFill(0, 100);
         int largeRejected = 0;
         int usualRejected = 0;
         for (int i = 1000; i < 1400; i++) {
@@ -85,12 +85,12 @@
 
     @Test
     void lostResponsesDoNotShrinkLimits() {
-        host.fills(0, 100);
+        host.requestAndFill(0, 100);
         for (int i = 0; i < 60; i++) {
             String id = host.request(1000 + i);
             host.advance(500 * MS);
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
-            host.fills(2000 + 10 * i, 2010 + 10 * i);
+            host.requestAndFill(2000 + 10 * i, 2010 + 10 * i);
         }
         host.rejected.clear();
         for (int i = 0; i < 10; i++) {
@@ -106,7 +106,7 @@
                 .withUsualEndpoints();
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            sent += oneOfManyProxies.attempts(oneOfManyProxies.request(i)) > 0 ? 1 : 0;
+            sent += oneOfManyProxies.attemptCount(oneOfManyProxies.request(i)) > 0 ? 1 : 0;
         }
         assertTrue(sent > 0 && sent * 40 < 1000, "one of 40 proxies sent " + sent + " attempts, expected 1 to 24");
     }
@@ -116,7 +116,7 @@
         RouterFixture hostWithUnknownProxyCount = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 0))
                 .withUsualEndpoints();
-        assertEquals(1, hostWithUnknownProxyCount.attempts(hostWithUnknownProxyCount.request(1)));
+        assertEquals(1, hostWithUnknownProxyCount.attemptCount(hostWithUnknownProxyCount.request(1)));
     }
 
     /**
--- a/src/test/java/petrelplank/routing/CopyLocationsTest.java
+++ b/src/test/java/petrelplank/routing/CopyLocationsTest.java
@@ -16,7 +16,7 @@
         String holder = host.lastPlan().server();
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         host.now += MS;
-        host.change(cache(holder, host.now));
+        host.changeEndpoints(cache(holder, host.now));
         for (int i = 0; i < 20; i++) {
             host.request(1);
             assertNotEquals(
--- a/src/test/java/petrelplank/routing/EndpointRegistryTest.java
+++ b/src/test/java/petrelplank/routing/EndpointRegistryTest.java
@@ -18,11 +18,11 @@
 
     @Test
     void drainingAndRemovedEndpointsGetNoAttemptsAndAreNeverTheSource() {
-        host.fills(0, 50);
-        host.change(
+        host.requestAndFill(0, 50);
+        host.changeEndpoints(
                 new EndpointInfo("a", "office", "box", 0, EndpointState.DRAINING, 5, 0),
                 new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
-        for (AttemptPlan plan : host.fills(0, 100)) {
+        for (AttemptPlan plan : host.requestAndFill(0, 100)) {
             assertFalse(
                     Set.of("a", "b").contains(plan.server()) || Set.of("a", "b").contains(plan.source()));
         }
@@ -38,10 +38,10 @@
 
     @Test
     void cacheMissingFromACompleteListIsNotUsed() {
-        host.fills(0, 60);
+        host.requestAndFill(0, 60);
         host.router.endpointsChanged(
                 host.now, true, List.of(cache("b", 0), cache("c", 0), parent("p-north", "north", 0)));
-        for (AttemptPlan plan : host.fills(0, 60)) {
+        for (AttemptPlan plan : host.requestAndFill(0, 60)) {
             assertFalse(
                     Set.of("a", "d").contains(plan.server()) || Set.of("a", "d").contains(plan.source()));
         }
@@ -50,17 +50,18 @@
     /** Repeated ids, unknown ids and an endpoint that is removed and listed again must not affect other endpoints. */
     @Test
     void listsWithRepeatedAndUnknownIdsAreAccepted() {
-        host.change(
+        host.changeEndpoints(
                 cache("a", 0),
                 cache("a", 0),
                 new EndpointInfo("unknown", "office", "box", 0, EndpointState.REMOVED, 5, 0));
-        host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
+        host.changeEndpoints(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0));
         String id = host.request(1);
-        host.change(new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0), cache("b", host.now));
+        host.changeEndpoints(
+                new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0), cache("b", host.now));
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         Set<String> servers = new TreeSet<>();
         host.now += 20 * S;
-        host.fills(0, 200).forEach(plan -> servers.add(plan.server()));
+        host.requestAndFill(0, 200).forEach(plan -> servers.add(plan.server()));
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 }
--- a/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void missIsFilledFromTheNearestParentWhileAllServeWell() {
-        long fillsFromNearest = host.fills(0, 200).stream()
+        long fillsFromNearest = host.requestAndFill(0, 200).stream()
                 .filter(plan -> plan.source().equals("p-north"))
                 .count();
         assertTrue(
@@ -42,8 +42,8 @@
 
     @Test
     void originIsTheSourceOnlyWhereNoParentIsReady() {
-        host.fills(0, 100).forEach(plan -> assertNotEquals("origin", plan.source()));
-        host.change(
+        host.requestAndFill(0, 100).forEach(plan -> assertNotEquals("origin", plan.source()));
+        host.changeEndpoints(
                 new EndpointInfo("p-north", "north", "parent", 0, EndpointState.DRAINING, 10, 0),
                 new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
         host.request(1000);
@@ -52,7 +52,7 @@
 
     @Test
     void unreachableOnlyParentLeavesTheOriginAsSource() {
-        host.change(new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
+        host.changeEndpoints(new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
         host.endAttempt(host.request(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
         for (int i = 100; i < 110; i++) {
             host.request(i);
--- a/src/test/java/petrelplank/routing/ObjectPopularityTest.java
+++ b/src/test/java/petrelplank/routing/ObjectPopularityTest.java
@@ -30,10 +30,10 @@
     @Test
     void secondRequestMakesAnObjectRepeatedUntilCountsAreHalved() {
         request(KEY, 1, 0);
-        assertThat(popularity.isRepeated(KEY)).isFalse();
+        assertThat(popularity.isRequestedRepeatedly(KEY)).isFalse();
         request(KEY, 1, 0);
-        assertThat(popularity.isRepeated(KEY)).isTrue();
+        assertThat(popularity.isRequestedRepeatedly(KEY)).isTrue();
         request(OTHER, 1, HALVING_US + 1);
-        assertThat(popularity.isRepeated(KEY)).isFalse();
+        assertThat(popularity.isRequestedRepeatedly(KEY)).isFalse();
     }
 }
--- a/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
+++ b/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
@@ -30,7 +30,7 @@
                 host.now,
                 new AttemptOutcome(
                         id,
-                        host.attempts(id) - 1,
+                        host.attemptCount(id) - 1,
                         status,
                         latencyUs,
                         status == AttemptStatus.OK,
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -31,7 +31,7 @@
                                     .equals(hitsOnlyHost.lastPlan().server())
                     ? 1
                     : 0;
-            writes += hitsOnlyHost.attempts(hitsOnlyHost.request("note", i, 0, 3 * S)) > 0 ? 1 : 0;
+            writes += hitsOnlyHost.attemptCount(hitsOnlyHost.request("note", i, 0, 3 * S)) > 0 ? 1 : 0;
         }
         assertTrue(withheld >= 10, "misses that may not call the origin: " + withheld + " of 20, expected at least 10");
         assertEquals(20, writes);
@@ -89,7 +89,7 @@
             }
         }
         for (int i = 1000; i < 1020; i++) {
-            assertEquals(1, host.attempts(host.request("note", i, 0, 3 * S)));
+            assertEquals(1, host.attemptCount(host.request("note", i, 0, 3 * S)));
         }
     }
 
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -20,7 +20,7 @@
         String id = host.request(1);
         String unreachable = host.lastPlan().server();
         host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, MS);
-        assertEquals(2, host.attempts(id));
+        assertEquals(2, host.attemptCount(id));
         assertNotEquals(unreachable, host.lastPlan().server());
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         for (int i = 100; i < 130; i++) {
@@ -68,11 +68,11 @@
                 host.endAttempt(id, AttemptStatus.ERROR, CacheStatus.NONE, MS);
             }
             assertTrue(host.isTerminated(id));
-            assertEquals(3, host.attempts(id));
+            assertEquals(3, host.attemptCount(id));
         }
         assertEquals(List.of(), host.logLines);
         Set<String> servers = new TreeSet<>();
-        host.fills(100, 200).forEach(plan -> servers.add(plan.server()));
+        host.requestAndFill(100, 200).forEach(plan -> servers.add(plan.server()));
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
 
--- a/src/test/java/petrelplank/routing/PurgeLogTest.java
+++ b/src/test/java/petrelplank/routing/PurgeLogTest.java
@@ -54,7 +54,7 @@
         host.now += 100 * MS;
         host.router.objectPurged(host.now, 5, 0);
         host.endAttempt(id, AttemptStatus.RESET, CacheStatus.NONE, 200 * MS);
-        assertEquals(2, host.attempts(id));
+        assertEquals(2, host.attemptCount(id));
         assertTrue(host.lastPlan().maxAgeUs() > 0 && host.lastPlan().maxAgeUs() <= 200 * MS);
         assertFalse(host.lastPlan().coalesce());
     }
--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -15,12 +15,12 @@
 
     @Test
     void requestsAreRoutedAfterAClockJumpOfMinutes() {
-        host.fills(0, 50);
+        host.requestAndFill(0, 50);
         String id = host.request(1);
         host.now += 600 * S;
         host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, MS);
         assertTrue(host.isTerminated(id));
-        assertEquals(50, host.fills(100, 150).size());
+        assertEquals(50, host.requestAndFill(100, 150).size());
     }
 
     @Test
@@ -72,8 +72,8 @@
     @Test
     void sameEventsGiveSameActions() {
         RouterFixture other = new RouterFixture().withUsualEndpoints();
-        host.fills(0, 300);
-        other.fills(0, 300);
+        host.requestAndFill(0, 300);
+        other.requestAndFill(0, 300);
         assertEquals(host.actions, other.actions);
     }
 
--- a/src/test/java/petrelplank/routing/RetryPolicyTest.java
+++ b/src/test/java/petrelplank/routing/RetryPolicyTest.java
@@ -16,9 +16,9 @@
         String id = host.request("note", 1, 0, 5 * S);
         assertEquals("origin", host.lastPlan().server());
         host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 600 * MS);
-        assertEquals(2, host.attempts(id));
+        assertEquals(2, host.attemptCount(id));
         host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 2500 * MS);
-        assertEquals(2, host.attempts(id));
+        assertEquals(2, host.attemptCount(id));
         assertEquals(List.of(id), host.failed);
     }
 }
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -139,7 +139,7 @@
         return new EndpointInfo(id, zone, "parent", 0, EndpointState.UP, 10, startedUs);
     }
 
-    void change(EndpointInfo... entries) {
+    void changeEndpoints(EndpointInfo... entries) {
         router.endpointsChanged(now, false, List.of(entries));
     }
 
@@ -173,7 +173,7 @@
         return sent.get(sent.size() - 1).plan();
     }
 
-    int attempts(String request) {
+    int attemptCount(String request) {
         return (int)
                 sent.stream().filter(entry -> entry.request().equals(request)).count();
     }
@@ -198,7 +198,7 @@
                 now,
                 new AttemptOutcome(
                         request,
-                        attempts(request) - 1,
+                        attemptCount(request) - 1,
                         status,
                         latencyUs,
                         status == AttemptStatus.OK,
@@ -209,11 +209,11 @@
     }
 
     /** Requests the objects from {@code from} to before {@code to}; each attempt fills a copy and responds in time. */
-    List<AttemptPlan> fills(int from, int to) {
+    List<AttemptPlan> requestAndFill(int from, int to) {
         List<AttemptPlan> plans = new ArrayList<>();
         for (int i = from; i < to; i++) {
             String id = request(i);
-            if (attempts(id) > 0) {
+            if (attemptCount(id) > 0) {
                 plans.add(lastPlan());
                 endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
             }
--- a/src/test/java/petrelplank/routing/SlowStartFleetTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartFleetTest.java
@@ -106,7 +106,7 @@
         if (host.sent.size() > sentBefore && host.lastPlan().server().equals(STARTING_CACHE)) {
             recordAttempt(now);
         }
-        if (host.attempts(id) > 0) {
+        if (host.attemptCount(id) > 0) {
             host.router.clientDisconnected(now, id);
         }
     }
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -15,11 +15,11 @@
 
     @Test
     void cacheInSlowStartIsSentNoMoreThanItsBudget() {
-        host.change(cache("a", host.now));
+        host.changeEndpoints(cache("a", host.now));
         double transferUs = 0;
         for (int i = 0; i < 2000; i++) {
             String id = host.request(i);
-            if (host.attempts(id) > 0
+            if (host.attemptCount(id) > 0
                     && (host.lastPlan().server().equals("a")
                             || host.lastPlan().source().equals("a"))) {
                 transferUs += 100 * MS;
@@ -34,14 +34,14 @@
 
     @Test
     void parentInSlowStartTakesARisingShare() {
-        host.change(parent("p-north", "north", host.now));
+        host.changeEndpoints(parent("p-north", "north", host.now));
         int inSlowStart = 0;
-        for (AttemptPlan plan : host.fills(0, 60)) {
+        for (AttemptPlan plan : host.requestAndFill(0, 60)) {
             inSlowStart += plan.source().equals("p-north") ? 1 : 0;
         }
         host.now += 30 * S;
         int afterwards = 0;
-        for (AttemptPlan plan : host.fills(100, 160)) {
+        for (AttemptPlan plan : host.requestAndFill(100, 160)) {
             afterwards += plan.source().equals("p-north") ? 1 : 0;
         }
         assertTrue(
@@ -51,10 +51,10 @@
 
     @Test
     void zoneInSlowStartIsServedWithinBudgetsAndTheRestIsRejectedAtOnce() {
-        host.change(cache("a", host.now), cache("b", host.now), cache("c", host.now), cache("d", host.now));
+        host.changeEndpoints(cache("a", host.now), cache("b", host.now), cache("c", host.now), cache("d", host.now));
         for (int i = 0; i < 500; i++) {
             String id = host.request(i);
-            assertTrue(host.attempts(id) == 1 || host.isTerminated(id));
+            assertTrue(host.attemptCount(id) == 1 || host.isTerminated(id));
         }
         assertTrue(host.sent.size() > 0 && host.rejected.size() > 0);
     }
@@ -62,12 +62,12 @@
     /** If a cache drains while the rest of the zone is in slow start, the budgets of the rest are not exceeded. */
     @Test
     void drainWhileMostOfTheZoneIsInSlowStartKeepsTheBudgetsOfTheRest() {
-        host.change(cache("a", host.now), cache("b", host.now), cache("c", host.now));
-        host.change(new EndpointInfo("d", "office", "box", 0, EndpointState.DRAINING, 5, 0));
+        host.changeEndpoints(cache("a", host.now), cache("b", host.now), cache("c", host.now));
+        host.changeEndpoints(new EndpointInfo("d", "office", "box", 0, EndpointState.DRAINING, 5, 0));
         host.sent.clear();
         for (int i = 0; i < 300; i++) {
             String id = host.request(i);
-            assertTrue(host.attempts(id) > 0 || host.isTerminated(id), id);
+            assertTrue(host.attemptCount(id) > 0 || host.isTerminated(id), id);
             host.now += 2 * MS;
         }
         for (String startingCache : List.of("a", "b", "c")) {
--- a/src/test/java/petrelplank/routing/TenantQuotasTest.java
+++ b/src/test/java/petrelplank/routing/TenantQuotasTest.java
@@ -14,16 +14,16 @@
         RouterSettings defaults =
                 RouterFixture.settings(WeightMeaning.NOMINAL, CacheStatusDetail.ALL, RouterFixture.permissions(), 2);
         return new RouterSettings(
-                defaults.self(),
-                defaults.gateways(),
+                defaults.proxyIndex(),
+                defaults.proxyCount(),
                 defaults.zone(),
                 defaults.zones(),
-                defaults.zoneGateways(),
-                defaults.zoneHub(),
-                defaults.zoneLinkKbPerSecond(),
+                defaults.proxyCountByZone(),
+                defaults.hubByZone(),
+                defaults.linkKbPerSecondByZone(),
                 defaults.parentKind(),
                 defaults.originKind(),
-                defaults.flowKbPerSecond(),
+                defaults.maxResponseKbPerSecond(),
                 defaults.weightMeaning(),
                 defaults.cacheStatusDetail(),
                 defaults.reportFields(),
@@ -39,7 +39,7 @@
     /** Sends 400 requests at once, the tenants in turn, and returns the number of rejected ones by tenant. */
     private static int[] rejectedRequestsByTenant(RouterSettings settings, String... tenants) {
         RouterFixture host = new RouterFixture(settings).withUsualEndpoints();
-        host.fills(0, 100);
+        host.requestAndFill(0, 100);
         int[] rejected = new int[tenants.length];
         for (int i = 0; i < 400; i++) {
             host.tenant = tenants[i % tenants.length];
--- a/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
+++ b/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
@@ -14,17 +14,17 @@
 
     @Test
     void unresponsiveAttemptIsCancelledAndRetriedIfHedgingIsNotAllowed() {
-        host.fills(0, 100);
+        host.requestAndFill(0, 100);
         String id = host.request(1000);
         host.advance(500 * MS);
-        assertEquals(2, host.attempts(id));
+        assertEquals(2, host.attemptCount(id));
         assertTrue(host.actions.contains("cancel " + id + " 0"));
         host.router.attemptEnded(
                 host.now,
                 new AttemptOutcome(id, 0, AttemptStatus.CANCELLED, 500 * MS, false, CacheStatus.NONE, 0, null, 0));
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
         host.advance(4 * S);
-        assertEquals(2, host.attempts(id));
+        assertEquals(2, host.attemptCount(id));
         assertFalse(host.isTerminated(id));
     }
 
@@ -36,10 +36,10 @@
                         new RoutingPermissions(
                                 8, true, true, false, false, true, S, true, true, SiblingFillPolicy.ANY)))
                 .withUsualEndpoints();
-        hedgingHost.fills(0, 100);
+        hedgingHost.requestAndFill(0, 100);
         String id = hedgingHost.request(1000);
         hedgingHost.advance(500 * MS);
-        assertEquals(2, hedgingHost.attempts(id));
+        assertEquals(2, hedgingHost.attemptCount(id));
         assertFalse(hedgingHost.actions.contains("cancel " + id + " 0"));
         hedgingHost.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
         assertTrue(hedgingHost.actions.contains("cancel " + id + " 0"));
@@ -47,23 +47,23 @@
 
     @Test
     void writeWithAKeyIsNotHedged() {
-        host.fills(0, 100);
+        host.requestAndFill(0, 100);
         String id = host.request("note", 1, 0, 3 * S);
         host.advance(2900 * MS);
-        assertEquals(1, host.attempts(id));
+        assertEquals(1, host.attemptCount(id));
     }
 
     @Test
     void lateResponsesUnderOverloadAreNotHedged() {
         for (int i = 0; i < 200; i++) {
             String id = host.request(i);
-            if (host.attempts(id) > 0) {
+            if (host.attemptCount(id) > 0) {
                 host.advance(1900 * MS);
                 host.router.attemptEnded(
                         host.now,
                         new AttemptOutcome(
                                 id,
-                                host.attempts(id) - 1,
+                                host.attemptCount(id) - 1,
                                 AttemptStatus.OK,
                                 1900 * MS,
                                 true,
@@ -75,7 +75,7 @@
         }
         String id = host.request(1000);
         host.advance(1500 * MS);
-        assertEquals(1, host.attempts(id));
+        assertEquals(1, host.attemptCount(id));
     }
 
     /** Guards against an unresponsive parent that is detected only at the deadlines of its fills, seconds later. */
--- a/src/test/java/petrelplank/upstream/ResponseParserTest.java
+++ b/src/test/java/petrelplank/upstream/ResponseParserTest.java
@@ -53,7 +53,7 @@
         assertArrayEquals(new double[] {7, 0, 0.61}, first.load());
         assertArrayEquals(bytes("a\r\nb\n"), first.body());
         assertTrue(responses.get(1).notModified());
-        assertEquals("4be0", responses.get(1).tag());
+        assertEquals("4be0", responses.get(1).entityTag());
     }
 
     @Property(seed = "12", tries = 2000)
--- a/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
@@ -166,7 +166,7 @@
     private static ResponseChannel channel(AtomicBoolean disconnected) {
         return new ResponseChannel() {
             @Override
-            public void answer(ClientResponse answer) {}
+            public void sendResponse(ClientResponse answer) {}
 
             @Override
             public boolean isOpen() {
