--- a/src/main/java/petrelplank/routing/PlatformRules.java
+++ b/src/main/java/petrelplank/routing/PlatformRules.java
@@ -35,32 +35,32 @@
         long pollIntervalUs) {
     /** Checks that the values are in range. */
     public PlatformRules {
-        Checks.require(drainGraceUs >= 0, "drainGraceUs (must be 0 or more)", drainGraceUs);
-        Checks.require(
+        SettingChecks.require(drainGraceUs >= 0, "drainGraceUs (must be 0 or more)", drainGraceUs);
+        SettingChecks.require(
                 slowStartInitialFraction >= 0 && slowStartInitialFraction <= 1,
                 "slowStartInitialFraction (must be between 0 and 1)",
                 slowStartInitialFraction);
-        Checks.require(slowStartDurationUs >= 0, "slowStartDurationUs (must be 0 or more)", slowStartDurationUs);
-        Checks.require(overloadMultiple >= 0, "overloadMultiple (must be 0 or more)", overloadMultiple);
-        Checks.require(overloadDurationUs >= 0, "overloadDurationUs (must be 0 or more)", overloadDurationUs);
-        Checks.require(
+        SettingChecks.require(slowStartDurationUs >= 0, "slowStartDurationUs (must be 0 or more)", slowStartDurationUs);
+        SettingChecks.require(overloadMultiple >= 0, "overloadMultiple (must be 0 or more)", overloadMultiple);
+        SettingChecks.require(overloadDurationUs >= 0, "overloadDurationUs (must be 0 or more)", overloadDurationUs);
+        SettingChecks.require(
                 parentSlowStartInitialFraction >= 0 && parentSlowStartInitialFraction <= 1,
                 "parentSlowStartInitialFraction (must be between 0 and 1)",
                 parentSlowStartInitialFraction);
-        Checks.require(
+        SettingChecks.require(
                 parentSlowStartDurationUs >= 0,
                 "parentSlowStartDurationUs (must be 0 or more)",
                 parentSlowStartDurationUs);
-        Checks.require(
+        SettingChecks.require(
                 parentOverloadMultiple >= 0, "parentOverloadMultiple (must be 0 or more)", parentOverloadMultiple);
-        Checks.require(
+        SettingChecks.require(
                 originOverloadMultiple >= 0, "originOverloadMultiple (must be 0 or more)", originOverloadMultiple);
-        Checks.require(
+        SettingChecks.require(
                 originOverloadDurationUs >= 0,
                 "originOverloadDurationUs (must be 0 or more)",
                 originOverloadDurationUs);
-        Checks.require(purgeGraceUs >= 0, "purgeGraceUs (must be 0 or more)", purgeGraceUs);
-        Checks.require(purgeDoneUs >= 0, "purgeDoneUs (must be 0 or more)", purgeDoneUs);
-        Checks.require(pollIntervalUs >= 0, "pollIntervalUs (must be 0 or more)", pollIntervalUs);
+        SettingChecks.require(purgeGraceUs >= 0, "purgeGraceUs (must be 0 or more)", purgeGraceUs);
+        SettingChecks.require(purgeDoneUs >= 0, "purgeDoneUs (must be 0 or more)", purgeDoneUs);
+        SettingChecks.require(pollIntervalUs >= 0, "pollIntervalUs (must be 0 or more)", pollIntervalUs);
     }
 }
--- a/src/main/java/petrelplank/routing/RouterSettings.java
+++ b/src/main/java/petrelplank/routing/RouterSettings.java
@@ -61,41 +61,41 @@
 
     /** Validates and copies the values. */
     public RouterSettings {
-        Checks.require(proxyCount > 0, "balancers (must be above 0)", proxyCount);
-        Checks.require(proxyIndex >= 0, "self-index (must be 0 or more)", proxyIndex);
-        Checks.require(zones != null, "localities (must not be null)", zones);
-        Checks.require(zone != null && zones.contains(zone), "zone (must be one of localities)", zone);
-        Checks.require(maxResponseKbPerSecond >= 0, "flow-kb-per-s (must be 0 or more)", maxResponseKbPerSecond);
-        Checks.require(connectTimeoutUs >= 0, "connect-timeout-us (must be 0 or more)", connectTimeoutUs);
-        Checks.require(weightMeaning != null, "weights (must not be null)", weightMeaning);
-        Checks.require(cacheStatusDetail != null, "note-level (must not be null)", cacheStatusDetail);
-        Checks.require(classes != null && !classes.isEmpty(), "services (must not be empty)", classes);
-        Checks.require(permissions != null, "caps (must not be null)", permissions);
-        Checks.require(rules != null, "rules (must not be null)", rules);
+        SettingChecks.require(proxyCount > 0, "balancers (must be above 0)", proxyCount);
+        SettingChecks.require(proxyIndex >= 0, "self-index (must be 0 or more)", proxyIndex);
+        SettingChecks.require(zones != null, "localities (must not be null)", zones);
+        SettingChecks.require(zone != null && zones.contains(zone), "zone (must be one of localities)", zone);
+        SettingChecks.require(maxResponseKbPerSecond >= 0, "flow-kb-per-s (must be 0 or more)", maxResponseKbPerSecond);
+        SettingChecks.require(connectTimeoutUs >= 0, "connect-timeout-us (must be 0 or more)", connectTimeoutUs);
+        SettingChecks.require(weightMeaning != null, "weights (must not be null)", weightMeaning);
+        SettingChecks.require(cacheStatusDetail != null, "note-level (must not be null)", cacheStatusDetail);
+        SettingChecks.require(classes != null && !classes.isEmpty(), "services (must not be empty)", classes);
+        SettingChecks.require(permissions != null, "caps (must not be null)", permissions);
+        SettingChecks.require(rules != null, "rules (must not be null)", rules);
         zones = List.copyOf(zones);
         proxyCountByZone = proxyCountByZone == null ? List.of() : List.copyOf(proxyCountByZone);
         hubByZone = hubByZone == null ? List.of() : List.copyOf(hubByZone);
         linkKbPerSecondByZone = linkKbPerSecondByZone == null ? List.of() : List.copyOf(linkKbPerSecondByZone);
         reportFields = reportFields == null ? List.of() : List.copyOf(reportFields);
         classes = List.copyOf(classes);
-        Checks.require(
+        SettingChecks.require(
                 classes.stream().map(ServiceClass::name).distinct().count() == classes.size(),
                 "services (names must be unique)",
                 classes);
         tenants = tenants == null ? List.of() : List.copyOf(tenants);
-        Checks.require(
+        SettingChecks.require(
                 tenants.stream().map(Tenant::name).distinct().count() == tenants.size(),
                 "tenants (names must be unique)",
                 tenants);
-        Checks.require(
+        SettingChecks.require(
                 overQuotaWeightFactor >= 0 && overQuotaWeightFactor <= 1,
                 "over-share-worth (must be 0 to 1)",
                 overQuotaWeightFactor);
         for (int proxies : proxyCountByZone) {
-            Checks.require(proxies >= 0, "crew-by-zone (must be 0 or more)", proxies);
+            SettingChecks.require(proxies >= 0, "crew-by-zone (must be 0 or more)", proxies);
         }
         for (int hub : hubByZone) {
-            Checks.require(hub >= 0 && hub < zones.size(), "hub-of (must be an index in localities)", hub);
+            SettingChecks.require(hub >= 0 && hub < zones.size(), "hub-of (must be an index in localities)", hub);
         }
     }
 }
--- a/src/main/java/petrelplank/routing/RoutingPermissions.java
+++ b/src/main/java/petrelplank/routing/RoutingPermissions.java
@@ -27,8 +27,8 @@
         SiblingFillPolicy siblingFills) {
     /** Validates the values. */
     public RoutingPermissions {
-        Checks.require(maxAttempts > 0, "try-limit (must be above 0)", maxAttempts);
-        Checks.require(maxRetryAfterUs >= 0, "max-retry-after-us (must be 0 or more)", maxRetryAfterUs);
-        Checks.require(siblingFills != null, "neighbours (must not be null)", siblingFills);
+        SettingChecks.require(maxAttempts > 0, "try-limit (must be above 0)", maxAttempts);
+        SettingChecks.require(maxRetryAfterUs >= 0, "max-retry-after-us (must be 0 or more)", maxRetryAfterUs);
+        SettingChecks.require(siblingFills != null, "neighbours (must not be null)", siblingFills);
     }
 }
--- a/src/main/java/petrelplank/routing/ServiceClass.java
+++ b/src/main/java/petrelplank/routing/ServiceClass.java
@@ -36,27 +36,30 @@
         boolean write) {
     /** Validates the values. */
     public ServiceClass {
-        Checks.require(name != null, "name of a service class (must not be null)", name);
-        Checks.require(
+        SettingChecks.require(name != null, "name of a service class (must not be null)", name);
+        SettingChecks.require(
                 latencyObjectiveUs > 0, "aim-us of service class " + name + " (must be above 0)", latencyObjectiveUs);
-        Checks.require(
+        SettingChecks.require(
                 objectiveSizeFactor >= 0,
                 "aim-stretch of service class " + name + " (must be 0 or more)",
                 objectiveSizeFactor);
-        Checks.require(
+        SettingChecks.require(
                 deadlineUs >= latencyObjectiveUs,
                 "deadline-us of service class " + name + " (must be at least aim-us)",
                 deadlineUs);
-        Checks.require(priorityWeight >= 0, "worth of service class " + name + " (must be 0 or more)", priorityWeight);
-        Checks.require(idempotency != null, "repeat of service class " + name + " (must not be null)", idempotency);
-        Checks.require(
+        SettingChecks.require(
+                priorityWeight >= 0, "worth of service class " + name + " (must be 0 or more)", priorityWeight);
+        SettingChecks.require(
+                idempotency != null, "repeat of service class " + name + " (must not be null)", idempotency);
+        SettingChecks.require(
                 idempotencyScope != null, "group of service class " + name + " (must not be null)", idempotencyScope);
-        Checks.require(
+        SettingChecks.require(
                 idempotencyWindowUs >= 0,
                 "key-ttl-us of service class " + name + " (must be 0 or more)",
                 idempotencyWindowUs);
-        Checks.require(freshnessUs >= 0, "max-age-us of service class " + name + " (must be 0 or more)", freshnessUs);
-        Checks.require(
+        SettingChecks.require(
+                freshnessUs >= 0, "max-age-us of service class " + name + " (must be 0 or more)", freshnessUs);
+        SettingChecks.require(
                 staleIfErrorUs >= 0,
                 "class-grace-us of service class " + name + " (must be 0 or more)",
                 staleIfErrorUs);
--- a/src/main/java/petrelplank/routing/SettingChecks.java
+++ b/src/main/java/petrelplank/routing/SettingChecks.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
 /** Validation of setting values. */
-final class Checks {
-    private Checks() {}
+final class SettingChecks {
+    private SettingChecks() {}
 
     /**
      * Throws an {@link IllegalArgumentException} unless the value is valid; the message has the setting and the value.
--- a/src/main/java/petrelplank/routing/Tenant.java
+++ b/src/main/java/petrelplank/routing/Tenant.java
@@ -9,8 +9,8 @@
 public record Tenant(String name, double quotaPerSecond) {
     /** Validates the values. */
     public Tenant {
-        Checks.require(name != null && !name.isEmpty(), "name of a tenant (must not be empty)", name);
-        Checks.require(
+        SettingChecks.require(name != null && !name.isEmpty(), "name of a tenant (must not be empty)", name);
+        SettingChecks.require(
                 quotaPerSecond >= 0, "allowance-per-s of tenant " + name + " (must be 0 or more)", quotaPerSecond);
     }
 }
