--- a/src/test/java/petrelplank/proxy/AttemptFixtures.java
+++ b/src/test/java/petrelplank/proxy/AttemptFixtures.java
@@ -1,8 +1,8 @@
 package petrelplank.proxy;
 
 /** Creates attempts that belong to no request pipeline, for tests. */
-public final class Attempts {
-    private Attempts() {}
+public final class AttemptFixtures {
+    private AttemptFixtures() {}
 
     /** An attempt to read an object from server s-1, whose client still waits for the response. */
     public static Attempt of(String request, int number) {
--- a/src/test/java/petrelplank/proxy/OpenRequestsTest.java
+++ b/src/test/java/petrelplank/proxy/OpenRequestsTest.java
@@ -9,7 +9,7 @@
     private final OpenRequests openRequests = new OpenRequests();
 
     private Exchange addExchange(String id) {
-        Exchange exchange = Attempts.of(id, 0).exchange;
+        Exchange exchange = AttemptFixtures.of(id, 0).exchange;
         exchange.deadlineTimer = loop.schedule(1_000_000, () -> {});
         openRequests.add(exchange);
         return exchange;
@@ -18,8 +18,8 @@
     @Test
     void exchangeStaysUntilItIsCompletedAndItsLastAttemptHasEnded() {
         Exchange exchange = addExchange("aaaaaaaaaaaaaaaa");
-        Attempt first = Attempts.of("aaaaaaaaaaaaaaaa", 0);
-        Attempt second = Attempts.of("aaaaaaaaaaaaaaaa", 1);
+        Attempt first = AttemptFixtures.of("aaaaaaaaaaaaaaaa", 0);
+        Attempt second = AttemptFixtures.of("aaaaaaaaaaaaaaaa", 1);
         exchange.attempts.add(first);
         exchange.attempts.add(second);
         first.markEnded();
--- a/src/test/java/petrelplank/proxy/RequestCompletionTest.java
+++ b/src/test/java/petrelplank/proxy/RequestCompletionTest.java
@@ -14,7 +14,7 @@
     private final List<String> firedTimers = new ArrayList<>();
 
     private Exchange addExchange(String id) {
-        Exchange exchange = Attempts.of(id, 0, response -> sentKinds.add(response.kind())).exchange;
+        Exchange exchange = AttemptFixtures.of(id, 0, response -> sentKinds.add(response.kind())).exchange;
         exchange.deadlineTimer = loop.schedule(0, () -> firedTimers.add(id));
         openRequests.add(exchange);
         return exchange;
--- a/src/test/java/petrelplank/upstream/PendingAbortsTest.java
+++ b/src/test/java/petrelplank/upstream/PendingAbortsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import petrelplank.proxy.Attempt;
-import petrelplank.proxy.Attempts;
+import petrelplank.proxy.AttemptFixtures;
 
 class PendingAbortsTest {
     private static final String REQUEST = "aaaaaaaaaaaaaaaa";
@@ -21,12 +21,12 @@
     /** Without hedging, the next attempt waits until the abort of the last is written or its connection has closed. */
     @Test
     void nextAttemptIsHeldBackUntilTheAbortOfTheLastIsWritten() {
-        Attempt nextAttempt = Attempts.of(REQUEST, 1);
+        Attempt nextAttempt = AttemptFixtures.of(REQUEST, 1);
         assertFalse(pendingAborts.holdBack(nextAttempt));
         pendingAborts.abortQueued(REQUEST, connection);
         pendingAborts.abortQueued(REQUEST, other);
         assertTrue(pendingAborts.holdBack(nextAttempt));
-        assertFalse(pendingAborts.holdBack(Attempts.of("bbbbbbbbbbbbbbbb", 0)));
+        assertFalse(pendingAborts.holdBack(AttemptFixtures.of("bbbbbbbbbbbbbbbb", 0)));
         assertEquals(List.of(), pendingAborts.abortWritten(REQUEST, connection));
         assertEquals(List.of(nextAttempt), pendingAborts.connectionClosed(other));
         assertFalse(pendingAborts.holdBack(nextAttempt));
--- a/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
+++ b/src/test/java/petrelplank/upstream/UpstreamConnectionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import petrelplank.proxy.Attempt;
-import petrelplank.proxy.Attempts;
+import petrelplank.proxy.AttemptFixtures;
 import petrelplank.proxy.ClientResponse;
 import petrelplank.proxy.ResponseChannel;
 import petrelplank.upstream.StallDetector.Stall;
@@ -62,7 +62,7 @@
     }
 
     private Attempt send(String request) {
-        Attempt attempt = Attempts.of(request, 0);
+        Attempt attempt = AttemptFixtures.of(request, 0);
         connection.send(attempt, 0);
         return attempt;
     }
@@ -139,7 +139,7 @@
     @Test
     void commandOfADisconnectedClientIsNeverWritten() {
         AtomicBoolean disconnected = new AtomicBoolean();
-        Attempt first = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
+        Attempt first = AttemptFixtures.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
         connection.send(first, 0);
         disconnected.set(true);
         assertEquals("", session.write(UNLIMITED));
@@ -152,9 +152,9 @@
     void commandOfADisconnectedClientIsNotWrittenWhenTheConnectionIsMade() {
         UpstreamConnection lateConnection = new UpstreamConnection(connection.server(), 100, 0);
         AtomicBoolean disconnected = new AtomicBoolean();
-        Attempt disconnectedAttempt = Attempts.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
+        Attempt disconnectedAttempt = AttemptFixtures.of("aaaaaaaaaaaaaaaa", 0, channel(disconnected));
         lateConnection.send(disconnectedAttempt, 0);
-        lateConnection.send(Attempts.of("bbbbbbbbbbbbbbbb", 0), 0);
+        lateConnection.send(AttemptFixtures.of("bbbbbbbbbbbbbbbb", 0), 0);
         disconnected.set(true);
         NonReadingSession lateSession = new NonReadingSession();
         lateConnection.connected(lateSession, 0);
