--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -8,7 +8,7 @@
 import java.util.logging.Logger;
 import petrelplank.discovery.DiscoveryClient;
 import petrelplank.discovery.DiscoveryEventDecoder;
-import petrelplank.fastcgi.FastCgiAcceptor;
+import petrelplank.fastcgi.FastCgiListener;
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
@@ -34,7 +34,7 @@
     private final EventSink sink;
     private final EdgeProxy proxy;
     private final DiscoveryClient discovery;
-    private final FastCgiAcceptor clients;
+    private final FastCgiListener clients;
     private final Readiness readiness;
     private final Warmup warmup;
     private final Shutdown shutdown;
@@ -55,7 +55,7 @@
         List<EndpointInfo> endpoints = applyKnownEvents(configuration.knownEvents());
         discovery = new DiscoveryClient(
                 loop, proxy, transport.discoveryConnector(), configuration.discoveryAddress(), configuration.seed());
-        clients = new FastCgiAcceptor(
+        clients = new FastCgiListener(
                 loop,
                 proxy,
                 transport.acceptor(),
--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -2,7 +2,7 @@
 
 import java.util.logging.Logger;
 import petrelplank.discovery.DiscoveryClient;
-import petrelplank.fastcgi.FastCgiAcceptor;
+import petrelplank.fastcgi.FastCgiListener;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
@@ -28,7 +28,7 @@
     private final EventLoop loop;
     private final EdgeProxy proxy;
     private final DiscoveryClient discovery;
-    private final FastCgiAcceptor clients;
+    private final FastCgiListener clients;
     private final BoundedAcceptor acceptor;
     private State state = State.STARTING;
 
@@ -36,7 +36,7 @@
             EventLoop loop,
             EdgeProxy proxy,
             DiscoveryClient discovery,
-            FastCgiAcceptor clients,
+            FastCgiListener clients,
             BoundedAcceptor acceptor) {
         this.loop = loop;
         this.proxy = proxy;
@@ -79,7 +79,7 @@
             return;
         }
         state = State.READY;
-        clients.ready(true);
+        clients.setReady(true);
         String line = "serving at " + acceptor.getLocalAddress() + ", endpoint list at " + proxy.lastDiscoveryIndex();
         if (discovery.caughtUp()) {
             LOG.info(line);
@@ -91,6 +91,6 @@
     /** The planned shutdown has begun. */
     void drainStarted() {
         state = State.DRAINING;
-        clients.ready(false);
+        clients.setReady(false);
     }
 }
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -1,7 +1,7 @@
 package petrelplank.cli;
 
 import java.util.logging.Logger;
-import petrelplank.fastcgi.FastCgiAcceptor;
+import petrelplank.fastcgi.FastCgiListener;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
 import petrelplank.routing.RouterSettings;
@@ -33,7 +33,7 @@
 
     private final EventLoop loop;
     private final EdgeProxy proxy;
-    private final FastCgiAcceptor clients;
+    private final FastCgiListener clients;
     private final ProxyTransport transport;
     private final Readiness readiness;
     private final long answerAllUs;
@@ -41,7 +41,7 @@
     Shutdown(
             EventLoop loop,
             EdgeProxy proxy,
-            FastCgiAcceptor clients,
+            FastCgiListener clients,
             ProxyTransport transport,
             Readiness readiness,
             RouterSettings settings) {
@@ -73,7 +73,7 @@
         long flushedByUs = answeredByUs + FLUSH_US;
         long acceptUntilUs = startedUs + Math.min(ACCEPT_REQUESTS_US, answerAllUs);
         loop.postUrgent(() -> {
-            LOG.info("SIGTERM: draining; so far " + proxy.requestCounts() + "; " + clients.counts() + "; "
+            LOG.info("SIGTERM: draining; so far " + proxy.requestCounts() + "; " + clients.connectionCounts() + "; "
                     + proxy.upstreamCounts());
             readiness.drainStarted();
             proxy.startDrain(answeredByUs);
@@ -103,7 +103,7 @@
 
     /** Closes connections one by one where nothing lies unread, so that no response is lost to a reset. */
     private void closeClients(long latestUs, Runnable onStopped) {
-        if (clients.closeUnused() > 0 && loop.nowUs() < latestUs) {
+        if (clients.closeUnusedConnections() > 0 && loop.nowUs() < latestUs) {
             loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> closeClients(latestUs, onStopped));
             return;
         }
--- a/src/main/java/petrelplank/fastcgi/FastCgiListener.java
+++ b/src/main/java/petrelplank/fastcgi/FastCgiListener.java
@@ -13,7 +13,7 @@
 import petrelplank.transport.DescriptorBudget;
 
 /** FastCGI responder based on Apache MINA. It posts requests to the event thread, which sends the responses. */
-public final class FastCgiAcceptor {
+public final class FastCgiListener {
     private final ListenerContext context;
     private final ConnectionReaper reaper;
     private final Set<FastCgiConnection> connections = ConcurrentHashMap.newKeySet();
@@ -28,7 +28,7 @@
      * @param memoryBytes the memory limit of the process in bytes
      * @param sizeScale factor from sizes as the client sends them to bytes on the sockets; greater than 0
      */
-    public FastCgiAcceptor(
+    public FastCgiListener(
             EventLoop loop,
             EdgeProxy proxy,
             BoundedAcceptor acceptor,
@@ -65,7 +65,7 @@
      *
      * @param ready true for success (status 200), false for status 503
      */
-    public void ready(boolean ready) {
+    public void setReady(boolean ready) {
         context.status().setReady(ready);
     }
 
@@ -74,7 +74,7 @@
      *
      * @return the number of connections that are still open
      */
-    public int closeUnused() {
+    public int closeUnusedConnections() {
         connections.stream()
                 .filter(FastCgiConnection::isUnused)
                 .forEach(connection -> connection.closeIfIdle(IdleConnectionCloser.Reason.IDLE));
@@ -92,7 +92,7 @@
      *
      * @return the counts as one line of text
      */
-    public String counts() {
+    public String connectionCounts() {
         return "client connections open " + connections.size() + ", "
                 + context.closeLog().counts();
     }
--- a/src/test/java/petrelplank/cli/CloseUnderRequest.java
+++ b/src/test/java/petrelplank/cli/CloseUnderRequest.java
@@ -95,7 +95,7 @@
         try {
             while (System.nanoTime() < untilNs) {
                 Thread.sleep(random.nextInt(100, 1_500));
-                if (client == null || client.closed()) {
+                if (client == null || client.isClosedByProxy()) {
                     reopened.addAndGet(client == null ? 0 : 1);
                     client = new FastCgiClient(proxy);
                 }
--- a/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackAlternativeSettingsTest.java
@@ -50,10 +50,10 @@
             String id = "aaaaaaaaaaaaaaa" + i;
             sendRequest(1, id, "media");
             String report = i == 3 ? "meter=inflight:7;util:0.61," : "";
-            cache.next().reply(id + " ACK " + report + "tell=HIT 3\r\none\r\n");
+            cache.awaitLine().reply(id + " ACK " + report + "tell=HIT 3\r\none\r\n");
             assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
         }
-        assertThat(cache.quiet() && parent.quiet() && origin.quiet())
+        assertThat(cache.hasNoQueuedLines() && parent.hasNoQueuedLines() && origin.hasNoQueuedLines())
                 .as("no health check")
                 .isTrue();
     }
@@ -62,13 +62,13 @@
     @Test
     void fillsAreCoalescedUnlessAPurgeCameBefore() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         assertThat(fetch.text()).contains(",from=p-1").containsPattern(",mode=\\S*share");
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=COLLAPSED,waited=12 3\r\none\r\n");
         assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
         sendDiscoveryEvent("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":" + System.currentTimeMillis() + "}}");
         sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
-        FakeServer.Line after = cache.next();
+        FakeServer.Line after = cache.awaitLine();
         assertThat(after.text()).doesNotContain("share").doesNotContain("swr");
         assertThat(maxAgeMs(after)).as("no copy from before the purge").isLessThanOrEqualTo(2000);
         after.reply("bbbbbbbbbbbbbbbb ACK tell=MISS 3\r\ntwo\r\n");
@@ -79,11 +79,11 @@
     @Test
     void staleCopyIsAllowedOnlyWhereNoFreshOneIsHad() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fresh = cache.next();
+        FakeServer.Line fresh = cache.awaitLine();
         assertThat(maxAgeMs(fresh)).isEqualTo(2000);
         assertThat(fresh.text()).containsPattern(",mode=\\S*swr");
         fresh.reply("aaaaaaaaaaaaaaaa NOENT tell=UP_MISS 0\r\n\r\n");
-        FakeServer.Line old = cache.next();
+        FakeServer.Line old = cache.awaitLine();
         assertThat(maxAgeMs(old)).isEqualTo(62_000);
         old.reply("aaaaaaaaaaaaaaaa ACK tell=STALE 3\r\nold\r\n");
         assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("old");
@@ -93,19 +93,19 @@
     @Test
     void responseThatComesTwiceDoesNotEndTheRetry() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line first = cache.next();
+        FakeServer.Line first = cache.awaitLine();
         first.reply("aaaaaaaaaaaaaaaa NOENT tell=UP_MISS 0\r\n\r\n");
-        FakeServer.Line retry = cache.next();
+        FakeServer.Line retry = cache.awaitLine();
         assertThat(retry.word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         first.reply("aaaaaaaaaaaaaaaa NOENT tell=UP_MISS 0\r\n\r\n");
         sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
-        FakeServer.Line other = cache.next();
+        FakeServer.Line other = cache.awaitLine();
         assertThat(other.word(1)).as("the next command of all").isEqualTo("bbbbbbbbbbbbbbbb");
         other.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
         assertThat(client.readResponse()).startsWith("2 Status: 200").endsWith("two");
         retry.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
-        assertThat(cache.quiet() && parent.quiet() && origin.quiet())
+        assertThat(cache.hasNoQueuedLines() && parent.hasNoQueuedLines() && origin.hasNoQueuedLines())
                 .as("no third attempt")
                 .isTrue();
     }
@@ -114,11 +114,11 @@
     @Test
     void unresponsiveAttemptIsCancelledBeforeTheNextOneIsWritten() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line first = cache.next();
+        FakeServer.Line first = cache.awaitLine();
         assertThat(first.text()).startsWith("fetch aaaaaaaaaaaaaaaa ");
         clock.advance(9_000_000);
-        assertThat(cache.next().text()).isEqualTo("abort aaaaaaaaaaaaaaaa");
-        FakeServer.Line again = parent.next();
+        assertThat(cache.awaitLine().text()).isEqualTo("abort aaaaaaaaaaaaaaaa");
+        FakeServer.Line again = parent.awaitLine();
         assertThat(again.word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         again.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
@@ -129,7 +129,7 @@
     void tenantOverItsQuotaIsRejectedFirst() throws IOException, InterruptedException {
         int sentOfLarge = sentOfABurst("large", 'a');
         for (int i = 0; i < sentOfLarge; i++) {
-            FakeServer.Line fetch = cache.next();
+            FakeServer.Line fetch = cache.awaitLine();
             fetch.reply(fetch.word(1) + " ACK tell=HIT 3\r\none\r\n");
             client.readResponse();
         }
@@ -167,22 +167,22 @@
     @Test
     void keyedRetryArrivesInsideItsWindowOrIsNotSent() throws IOException, InterruptedException {
         resetKeyedWriteAfter("aaaaaaaaaaaa1000", 1_000);
-        FakeServer.Line retry = parent.next();
+        FakeServer.Line retry = parent.awaitLine();
         assertThat(retry.text()).startsWith("fetch aaaaaaaaaaaa1000").contains(",nonce=" + KEY);
-        parent.next();
+        parent.awaitLine();
         retry.reply("aaaaaaaaaaaa1000 ACK - 2\r\nok\r\n");
         assertThat(client.readResponse()).endsWith("ok");
 
         resetKeyedWriteAfter("aaaaaaaaaaaa2700", 2_700);
         assertThat(client.readResponse()).startsWith("1 Status: 504");
-        assertThat(parent.quiet() && origin.quiet()).isTrue();
+        assertThat(parent.hasNoQueuedLines() && origin.hasNoQueuedLines()).isTrue();
     }
 
     private void resetKeyedWriteAfter(String request, long laterMs) throws IOException, InterruptedException {
         String[] headers = RequestHeaders.of(request, "Idempotency-Key", KEY);
         client.sendRequest(1, "/invoke/receipt", "mark".getBytes(), headers);
-        FakeServer.Line first = origin.next();
-        origin.next();
+        FakeServer.Line first = origin.awaitLine();
+        origin.awaitLine();
         clock.advance(laterMs * 1000);
         first.reset();
     }
--- a/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackClientDisconnectTest.java
@@ -50,7 +50,7 @@
     /** The next upstream request of all is that of a client request which came later. */
     private void assertNothingSentForDisconnected() throws IOException, InterruptedException {
         sendRequest(2, "cccccccccccccccc", "media");
-        FakeServer.Line upstreamRequest = cache.next();
+        FakeServer.Line upstreamRequest = cache.awaitLine();
         assertThat(upstreamRequest.word(1)).isEqualTo("cccccccccccccccc");
         upstreamRequest.reply("cccccccccccccccc ACK tell=HIT 3\r\none\r\n");
         assertThat(client.readResponse()).startsWith("2 Status: 200");
@@ -66,7 +66,7 @@
         }
         awaitReadByIoThread();
         released.countDown();
-        assertThat(cache.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
+        assertThat(cache.awaitLine().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
         assertNothingSentForDisconnected();
         assertThat(recordedEvents.stream().filter(Event.RequestAdmitted.class::isInstance))
                 .hasSize(2);
@@ -102,7 +102,7 @@
     void retryOfAClientThatClosedIsNotWritten() throws IOException, InterruptedException {
         try (FastCgiClient leaving = new FastCgiClient(proxy.address())) {
             askOn(leaving, DISCONNECTED);
-            FakeServer.Line first = cache.next();
+            FakeServer.Line first = cache.awaitLine();
             blockEventThreadAt(Event.AttemptEnded.class);
             first.reset();
             reached.await();
@@ -110,6 +110,6 @@
         awaitReadByIoThread();
         released.countDown();
         assertNothingSentForDisconnected();
-        assertThat(parent.quiet() && origin.quiet()).isTrue();
+        assertThat(parent.hasNoQueuedLines() && origin.hasNoQueuedLines()).isTrue();
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackCloseTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackCloseTest.java
@@ -20,8 +20,8 @@
     @Test
     void requestBeforeMalformedInputIsAnswered() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line upstreamRequest = cache.next();
-        client.raw(MALFORMED_INPUT);
+        FakeServer.Line upstreamRequest = cache.awaitLine();
+        client.sendBytes(MALFORMED_INPUT);
         try (FastCgiClient other = new FastCgiClient(proxy.address())) {
             other.sendRequest(1, "/_health", NO_BODY);
             assertThat(other.readResponse()).startsWith("1 Status: 200");
@@ -35,8 +35,8 @@
     @Test
     void connectionIsClosedAfterItsLastPendingResponse() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line upstreamRequest = cache.next();
-        client.sendLastRequest(2, "/_health");
+        FakeServer.Line upstreamRequest = cache.awaitLine();
+        client.sendRequestWithoutKeepConnection(2, "/_health");
         assertThat(client.readResponse()).startsWith("2 Status: 200");
         upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
@@ -71,7 +71,8 @@
             String answer = client.readResponse();
             assertThat(answer).startsWith("1 Status: 503").contains("Retry-After-Ms");
             stopped.await();
-            assertThat(cache.quiet() && parent.quiet() && origin.quiet()).isTrue();
+            assertThat(cache.hasNoQueuedLines() && parent.hasNoQueuedLines() && origin.hasNoQueuedLines())
+                    .isTrue();
         } finally {
             log.removeHandler(askingAtTheEnd);
         }
--- a/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackConnectionsTest.java
@@ -26,11 +26,11 @@
     @Test
     void silentAndIncompleteConnectionsTimeOutAndPendingRequestsDoNot() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         try (FastCgiClient silent = new FastCgiClient(proxy.address());
                 FastCgiClient incomplete = new FastCgiClient(proxy.address());
                 FastCgiClient idle = new FastCgiClient(proxy.address())) {
-            incomplete.raw(new byte[] {1, 1, 0, 1, 0, 8, 0, 0, 0, 1});
+            incomplete.sendBytes(new byte[] {1, 1, 0, 1, 0, 8, 0, 0, 0, 1});
             idle.sendRequest(1, "/_health", NO_BODY);
             idle.readResponse();
             clock.advance(2_100_000);
@@ -49,7 +49,7 @@
     @Test
     void longestIdleConnectionIsClosedAtTheLimit() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         List<FastCgiClient> kept = new ArrayList<>();
         for (int i = 0; i < SOCKETS; i++) {
             kept.add(new FastCgiClient(proxy.address()));
@@ -112,15 +112,15 @@
         byte[] body = "x".repeat(30_000).getBytes();
         try (FastCgiClient other = new FastCgiClient(proxy.address())) {
             whileTheIoThreadIsBlocked(other, () -> {
-                client.beginRequest(1, "/invoke/stock-move", body, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+                client.sendRequestStart(1, "/invoke/stock-move", body, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
                 clock.advance(5_100_000);
                 Thread.sleep(600);
             });
         }
         // One more sweep, before the two seconds after which an incomplete request times out.
         Thread.sleep(600);
-        client.endRequest(1);
-        FakeServer.Line sent = origin.next();
+        client.sendRequestEnd(1);
+        FakeServer.Line sent = origin.awaitLine();
         assertTrue(
                 sent.text().startsWith("fetch aaaaaaaaaaaaaaaa ") && sent.text().endsWith(" 30000"), sent.text());
     }
@@ -135,12 +135,12 @@
         invalid[4] = (byte) (60_000 >> 8);
         invalid[5] = (byte) 60_000;
         try (FastCgiClient sender = new FastCgiClient(proxy.address())) {
-            sender.raw(invalid);
+            sender.sendBytes(invalid);
             clock.advance(2_100_000);
             long deadlineNs = System.nanoTime() + 10_000_000_000L;
             assertThrows(IOException.class, () -> {
                 while (System.nanoTime() < deadlineNs) {
-                    sender.raw(invalid);
+                    sender.sendBytes(invalid);
                 }
             });
         }
@@ -155,7 +155,7 @@
                 Thread.sleep(1_000);
             });
         }
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         Matcher limit = Pattern.compile("limit=(\\d+)").matcher(fetch.text());
         assertTrue(limit.find() && Integer.parseInt(limit.group(1)) <= 59_000, fetch.text());
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
@@ -163,7 +163,7 @@
     }
 
     private void unreadRequestIsServed() throws IOException, InterruptedException {
-        cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
+        cache.awaitLine().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.readResponse().endsWith("one"));
     }
 
--- a/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDiscoveryTest.java
@@ -26,11 +26,11 @@
         sendRequest(1, request, "media");
         FakeServer server = null;
         for (int polls = 0; server == null && polls < 4000; polls++) {
-            server = !cache.quiet() ? cache : !parent.quiet() ? parent : null;
+            server = !cache.hasNoQueuedLines() ? cache : !parent.hasNoQueuedLines() ? parent : null;
             Thread.sleep(5);
         }
         assertThat(server).as("a server got the request").isNotNull();
-        server.next().reply(request + " ACK tell=HIT 3\r\none\r\n");
+        server.awaitLine().reply(request + " ACK tell=HIT 3\r\none\r\n");
         assertThat(client.readResponse()).startsWith("1 Status: 200");
         return server;
     }
@@ -39,12 +39,12 @@
     @Test
     void emptyCompleteListIsRejected() throws IOException, InterruptedException {
         followLine.reply(list(2, true));
-        FakeServer.Line again = discoveryService.next();
+        FakeServer.Line again = discoveryService.awaitLine();
         assertThat(again.text()).isEqualTo("follow 1");
         assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(cache);
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
-        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.awaitLine().text()).isEqualTo("follow 2");
         assertThat(routedTo("bbbbbbbbbbbbbbbb")).isSameAs(parent);
     }
 
@@ -56,7 +56,7 @@
         followLine.reply(list(2, true, parents, origins)
                 + list(1, true, endpointJson("c-1", cache, "edge-1", "box", "active"), parents, origins));
         followLine.socket().shutdownOutput();
-        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.awaitLine().text()).isEqualTo("follow 2");
         assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
@@ -64,14 +64,14 @@
     @Test
     void heartbeatsAheadOfTheEventsCauseReconnects() throws IOException, InterruptedException {
         followLine.reply("1\n2\n");
-        FakeServer.Line again = discoveryService.next();
+        FakeServer.Line again = discoveryService.awaitLine();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply("2\n");
-        FakeServer.Line third = discoveryService.next();
+        FakeServer.Line third = discoveryService.awaitLine();
         assertThat(third.text()).isEqualTo("follow 1");
         third.reply(list(2, false, draining()));
         third.socket().shutdownOutput();
-        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.awaitLine().text()).isEqualTo("follow 2");
         assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
     }
 
@@ -79,19 +79,19 @@
     @Test
     void gapInTheEventNumbersIsRequestedAgainOnce() throws IOException, InterruptedException {
         followLine.reply("{\"index\":4,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
-        FakeServer.Line again = discoveryService.next();
+        FakeServer.Line again = discoveryService.awaitLine();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply("{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n"
                 + "{\"index\":2,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n{\"index\":3,\"evi");
         again.socket().close();
-        FakeServer.Line third = discoveryService.next();
+        FakeServer.Line third = discoveryService.awaitLine();
         assertThat(third.text()).isEqualTo("follow 2");
         third.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
-        FakeServer.Line fourth = discoveryService.next();
+        FakeServer.Line fourth = discoveryService.awaitLine();
         assertThat(fourth.text()).isEqualTo("follow 2");
         fourth.reply("{\"index\":5,\"evict\":{\"shard\":1,\"unix_ms\":1}}\n");
         fourth.socket().shutdownOutput();
-        assertThat(discoveryService.next().text()).isEqualTo("follow 5");
+        assertThat(discoveryService.awaitLine().text()).isEqualTo("follow 5");
     }
 
     /**
@@ -103,7 +103,7 @@
         followLine.reset();
         long firstNs = System.nanoTime();
         for (int reconnect = 0; reconnect < 5; reconnect++) {
-            FakeServer.Line again = discoveryService.next();
+            FakeServer.Line again = discoveryService.awaitLine();
             assertThat(again.text()).isEqualTo("follow 1");
             again.reset();
         }
@@ -120,24 +120,26 @@
     void silentStreamIsReconnectedAndCaughtUpWithinTheDeliveryDeadline() throws IOException, InterruptedException {
         long fromNs = System.nanoTime();
         clock.advance(2_600_000);
-        FakeServer.Line again = discoveryService.next();
+        FakeServer.Line again = discoveryService.awaitLine();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                 + endpointJson("c-1", cache, "edge-1", "box", "leaving") + "]}}\n2\n");
         again.socket().shutdownOutput();
-        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.awaitLine().text()).isEqualTo("follow 2");
         assertThat(2_600 + (System.nanoTime() - fromNs) / 1_000_000)
                 .as("milliseconds until caught up")
                 .isLessThan(7_000);
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        assertThat(parent.next().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
-        assertThat(cache.quiet()).as("nothing sent to a draining cache").isTrue();
+        assertThat(parent.awaitLine().word(1)).isEqualTo("aaaaaaaaaaaaaaaa");
+        assertThat(cache.hasNoQueuedLines())
+                .as("nothing sent to a draining cache")
+                .isTrue();
     }
 
     @Test
     void reloadMovesTheDiscoveryClientAndKeepsOpenRequests() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         try (FakeServer next = new FakeServer()) {
             String old = Files.readString(file);
             Files.writeString(file, "{\"coordinator\":");
@@ -145,11 +147,11 @@
             sendDiscoveryEvent("{\"index\":2,\"evict\":{\"shard\":17,\"unix_ms\":1}}");
             Files.writeString(file, old.replace(discoveryService.address(), next.address()));
             ServeCommand.reload(proxy, file.toFile());
-            assertThat(next.next().text()).isEqualTo("follow 2");
+            assertThat(next.awaitLine().text()).isEqualTo("follow 2");
         }
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertThat(client.readResponse()).endsWith("one");
-        assertThat(discoveryService.quiet()).isTrue();
+        assertThat(discoveryService.hasNoQueuedLines()).isTrue();
     }
 
     /** A drain known to a reloaded configuration applies at once, though its discovery service is not reached yet. */
@@ -164,7 +166,7 @@
                             .replace("{\"index\":1,\"updates\":[", "{\"index\":2,\"updates\":[")
                             .replace("]}}]},\"settings\"", "]}}," + known + "]},\"settings\""));
             ServeCommand.reload(proxy, file.toFile());
-            assertThat(next.next().text()).isEqualTo("follow 2");
+            assertThat(next.awaitLine().text()).isEqualTo("follow 2");
             assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
         }
     }
@@ -177,11 +179,11 @@
             idle.add(new FastCgiClient(proxy.address()));
         }
         followLine.reset();
-        FakeServer.Line again = discoveryService.next();
+        FakeServer.Line again = discoveryService.awaitLine();
         assertThat(again.text()).isEqualTo("follow 1");
         again.reply(list(2, false, draining()));
         again.socket().shutdownOutput();
-        assertThat(discoveryService.next().text()).isEqualTo("follow 2");
+        assertThat(discoveryService.awaitLine().text()).isEqualTo("follow 2");
         for (FastCgiClient one : idle) {
             one.close();
         }
@@ -196,11 +198,11 @@
             ServeCommand.reload(proxy, file.toFile());
             Files.writeString(file, old.replace("\"settings\":", "\"none\":"));
             ServeCommand.reload(proxy, file.toFile());
-            FakeServer.Line stream = next.next();
+            FakeServer.Line stream = next.awaitLine();
             assertThat(stream.text()).isEqualTo("follow 1");
             stream.reply(list(2, false, draining()));
             stream.socket().shutdownOutput();
-            assertThat(next.next().text()).isEqualTo("follow 2");
+            assertThat(next.awaitLine().text()).isEqualTo("follow 2");
             assertThat(routedTo("aaaaaaaaaaaaaaaa")).isSameAs(parent);
         }
     }
--- a/src/test/java/petrelplank/cli/LoopbackDrainTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackDrainTest.java
@@ -26,11 +26,11 @@
     @Test
     void drainAnswersOpenRequestsAndThenStops() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line upstreamRequest = cache.next();
+        FakeServer.Line upstreamRequest = cache.awaitLine();
         CountDownLatch stopped = new CountDownLatch(1);
         proxy.drain(stopped::countDown);
         sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
-        cache.next();
+        cache.awaitLine();
         upstreamRequest.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\nbbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
         assertTrue(client.readResponse().startsWith("1 Status: 200"));
         assertTrue(client.readResponse().startsWith("2 Status: 200"));
@@ -40,11 +40,11 @@
     /** Half of it had arrived at SIGTERM, the rest comes while requests are still accepted: it is served. */
     @Test
     void requestThatIsHalfReadAsTheDrainStartsIsServed() throws IOException, InterruptedException {
-        client.beginRequest(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
+        client.sendRequestStart(1, "/invoke/media", NO_BODY, RequestHeaders.of("aaaaaaaaaaaaaaaa"));
         CountDownLatch stopped = new CountDownLatch(1);
         proxy.drain(stopped::countDown);
-        client.endRequest(1);
-        cache.next().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
+        client.sendRequestEnd(1);
+        cache.awaitLine().reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.readResponse().startsWith("1 Status: 200"));
         assertEquals("closed", client.readResponse());
         stopped.await();
@@ -54,15 +54,15 @@
     @Test
     void requestThatTheDrainFailsIsAbortedAndNotRetried() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line upstreamRequest = cache.next();
+        FakeServer.Line upstreamRequest = cache.awaitLine();
         CountDownLatch stopped = new CountDownLatch(1);
         proxy.drain(stopped::countDown);
         clock.advance(3_600_000);
         String answer = client.readResponse();
         assertTrue(answer.startsWith("1 Status: 504"), answer);
-        assertEquals("abort aaaaaaaaaaaaaaaa", cache.next().text());
+        assertEquals("abort aaaaaaaaaaaaaaaa", cache.awaitLine().text());
         upstreamRequest.reset();
         stopped.await();
-        assertTrue(parent.quiet() && origin.quiet() && cache.quiet());
+        assertTrue(parent.hasNoQueuedLines() && origin.hasNoQueuedLines() && cache.hasNoQueuedLines());
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackEndpointListTest.java
@@ -13,18 +13,18 @@
     @Test
     void requestIsCancelledAtACacheThatHasLeftTheListMeanwhile() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                 + endpointJson("c-1", cache, "edge-1", "box", "left") + "]}}");
         client.abort(1);
-        assertTrue(cache.ended() == fetch.socket());
+        assertTrue(cache.awaitConnectionEnd() == fetch.socket());
     }
 
     /** A new cache may have the address of a removed one: its requests are sent on connections of its own. */
     @Test
     void newCacheAtAnOldAddressGetsItsOwnConnection() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line first = cache.next();
+        FakeServer.Line first = cache.awaitLine();
         first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         client.readResponse();
         sendDiscoveryEvent("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
@@ -32,7 +32,7 @@
                 + endpointJson("c-2", cache, "edge-1", "box", "active")
                 + "]}}");
         sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
-        FakeServer.Line second = cache.next();
+        FakeServer.Line second = cache.awaitLine();
         assertTrue(second.socket() != first.socket());
         second.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
         assertTrue(client.readResponse().endsWith("two"));
@@ -42,7 +42,7 @@
     @Test
     void burstOfReplacementsAtOneAddressKeepsTheOpenRequestAndUsesTheLast() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line open = cache.next();
+        FakeServer.Line open = cache.awaitLine();
         StringBuilder burst = new StringBuilder();
         for (int i = 1; i <= 2; i++) {
             burst.append("{\"index\":")
@@ -56,9 +56,9 @@
         followLine.reply(burst + "{\"index\":4,\"endpoints\":{\"reset\":false,\"instances\":["
                 + endpointJson("nobody", cache, "edge-1", "box", "left") + "]}}\n");
         followLine.socket().shutdownOutput();
-        assertEquals("follow 4", discoveryService.next().text());
+        assertEquals("follow 4", discoveryService.awaitLine().text());
         sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
-        FakeServer.Line second = cache.next();
+        FakeServer.Line second = cache.awaitLine();
         assertTrue(second.socket() != open.socket());
         second.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
         assertTrue(client.readResponse().endsWith("two"));
--- a/src/test/java/petrelplank/cli/LoopbackFixture.java
+++ b/src/test/java/petrelplank/cli/LoopbackFixture.java
@@ -74,7 +74,7 @@
         eventThread = new Thread(proxy::run);
         eventThread.start();
         client = new FastCgiClient(proxy.address());
-        followLine = discoveryService.next();
+        followLine = discoveryService.awaitLine();
         assertEquals("follow 1", followLine.text());
         followLine.reply("1\n");
         awaitHealth();
@@ -126,6 +126,6 @@
     void sendDiscoveryEvent(String event) throws IOException, InterruptedException {
         followLine.reply(event + "\n");
         followLine.socket().shutdownOutput();
-        assertEquals("follow 2", discoveryService.next().text());
+        assertEquals("follow 2", discoveryService.awaitLine().text());
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackMemoryTest.java
@@ -16,8 +16,8 @@
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
             client.sendRequest(i + 1, "/invoke/stock-move", body, RequestHeaders.of("c00000000000000" + i));
-            sent[i] = origin.next();
-            origin.next();
+            sent[i] = origin.awaitLine();
+            origin.awaitLine();
         }
         sendRequest(4, "aaaaaaaaaaaaaaaa", "media");
         assertEquals("4 rejected, protocol status 2", client.readResponse());
@@ -26,6 +26,6 @@
             assertTrue(client.readResponse().endsWith("ok"));
         }
         sendRequest(4, "aaaaaaaaaaaaaaaa", "media");
-        assertEquals("aaaaaaaaaaaaaaaa", cache.next().word(1));
+        assertEquals("aaaaaaaaaaaaaaaa", cache.awaitLine().word(1));
     }
 }
--- a/src/test/java/petrelplank/cli/LoopbackReadinessTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackReadinessTest.java
@@ -52,9 +52,9 @@
             assertTrue(webServer.readResponse().startsWith("2 Status: 503"));
             stream.reply("{\"index\":2,\"endpoints\":{\"reset\":false,\"instances\":["
                     + endpointJson("c-1", cache, "edge-1", "box", "leaving") + "]}}\n");
-            FakeServer.Line sent = parent.next();
+            FakeServer.Line sent = parent.awaitLine();
             assertEquals("aaaaaaaaaaaaaaaa", sent.word(1));
-            assertTrue(cache.quiet(), "sent to a cache that drains");
+            assertTrue(cache.hasNoQueuedLines(), "sent to a cache that drains");
             sent.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
             assertTrue(webServer.readResponse().endsWith("one"));
         });
@@ -78,7 +78,7 @@
             Thread thread = new Thread(second::run);
             thread.start();
             try (FastCgiClient webServer = new FastCgiClient(second.address())) {
-                FakeServer.Line stream = silent.next();
+                FakeServer.Line stream = silent.awaitLine();
                 assertEquals("follow 1", stream.text());
                 scenario.run(webServer, stream);
             } finally {
--- a/src/test/java/petrelplank/cli/LoopbackServersTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackServersTest.java
@@ -50,7 +50,7 @@
     }
 
     private void assertServedBy(FakeServer server, String request) throws IOException, InterruptedException {
-        FakeServer.Line fetch = server.next();
+        FakeServer.Line fetch = server.awaitLine();
         assertThat(fetch.word(1)).isEqualTo(request);
         fetch.reply(request + " ACK tell=HIT 3\r\none\r\n");
         assertThat(client.readResponse()).startsWith("1 Status: 200").endsWith("one");
@@ -69,7 +69,7 @@
     @Test
     void readIsRetriedWhereItsResponseEndsAfterTheHeader() throws IOException, InterruptedException {
         sendRequest(1, READ, "media");
-        FakeServer.Line truncated = cache.next();
+        FakeServer.Line truncated = cache.awaitLine();
         truncated.reply(READ + " ACK tell=HIT 3\r\n");
         truncated.socket().close();
         assertServedBy(parent, READ);
@@ -79,26 +79,27 @@
     @Test
     void nonIdempotentWriteIsNotRetriedWhereItsResponseIsTruncated() throws IOException, InterruptedException {
         sendRequest(1, WRITE, "stock-move");
-        FakeServer.Line first = origin.next();
+        FakeServer.Line first = origin.awaitLine();
         assertThat(first.word(1)).isEqualTo(WRITE);
-        assertThat(origin.next().text()).isEqualTo("move");
+        assertThat(origin.awaitLine().text()).isEqualTo("move");
         first.reply(WRITE + " ACK tell=HIT 3\r\n");
         first.socket().close();
         assertThat(client.readResponse()).startsWith("1 Status: 504");
-        assertThat(cache.quiet() && parent.quiet() && origin.quiet()).isTrue();
+        assertThat(cache.hasNoQueuedLines() && parent.hasNoQueuedLines() && origin.hasNoQueuedLines())
+                .isTrue();
     }
 
     /** A second response some time after the first is discarded, and the connection stays in use. */
     @Test
     void duplicateResponseIsDiscarded() throws IOException, InterruptedException {
         sendRequest(1, READ, "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         String response = READ + " ACK tell=HIT 3\r\none\r\n";
         fetch.reply(response);
         assertThat(client.readResponse()).startsWith("1 Status: 200");
         fetch.reply(response);
         sendRequest(2, "cccccccccccccccc", "media");
-        FakeServer.Line next = cache.next();
+        FakeServer.Line next = cache.awaitLine();
         assertThat(next.socket()).isSameAs(fetch.socket());
         next.reply("cccccccccccccccc ACK tell=HIT 3\r\ntwo\r\n");
         assertThat(client.readResponse()).startsWith("2 Status: 200").endsWith("two");
--- a/src/test/java/petrelplank/cli/LoopbackTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackTest.java
@@ -24,7 +24,7 @@
         ListenerWarmup.run(proxy.address(), 2);
         client.sendRequest(1, "/_health", NO_BODY);
         assertTrue(client.readResponse().startsWith("1 Status: 200"));
-        assertTrue(cache.quiet() && parent.quiet() && origin.quiet());
+        assertTrue(cache.hasNoQueuedLines() && parent.hasNoQueuedLines() && origin.hasNoQueuedLines());
         assertThrows(IOException.class, () -> ListenerWarmup.run(new InetSocketAddress("127.0.0.1", unusedPort()), 1));
     }
 
@@ -63,15 +63,15 @@
                     bad[3]);
             assertTrue(client.readResponse().startsWith("2 Status: 400"), String.join(" ", bad));
         }
-        assertTrue(cache.quiet());
+        assertTrue(cache.hasNoQueuedLines());
     }
 
     @Test
     void responsesAreServedCompleteOnceAndInAnyOrder() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
         sendRequest(2, "bbbbbbbbbbbbbbbb", "media");
-        FakeServer.Line one = cache.next();
-        FakeServer.Line two = cache.next();
+        FakeServer.Line one = cache.awaitLine();
+        FakeServer.Line two = cache.awaitLine();
         assertTrue(one.text().contains(",from=p-1,") && one.text().endsWith(" 0"), one.text());
         two.reply(two.word(1) + " ACK ver=1,tell=HIT 3\r\ntwo\r\n" + one.word(1) + " ACK tell=HIT 3\r\n");
         assertTrue(client.readResponse().matches("(?s)2 Status: 200.*\r\n\r\ntwo"));
@@ -84,12 +84,12 @@
     @Test
     void abortedRequestIsCancelledAndNeverAnswered() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         client.abort(1);
-        assertEquals("abort aaaaaaaaaaaaaaaa", cache.next().text());
+        assertEquals("abort aaaaaaaaaaaaaaaa", cache.awaitLine().text());
         fetch.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         sendRequest(1, "bbbbbbbbbbbbbbbb", "media");
-        assertEquals("bbbbbbbbbbbbbbbb", cache.next().word(1));
+        assertEquals("bbbbbbbbbbbbbbbb", cache.awaitLine().word(1));
         fetch.reply("bbbbbbbbbbbbbbbb ACK tell=HIT 3\r\ntwo\r\n");
         assertTrue(client.readResponse().endsWith("two"));
     }
@@ -97,8 +97,8 @@
     @Test
     void readWhoseConnectionIsResetIsRetried() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        cache.next().reset();
-        FakeServer.Line again = parent.next();
+        cache.awaitLine().reset();
+        FakeServer.Line again = parent.awaitLine();
         assertEquals("aaaaaaaaaaaaaaaa", again.word(1));
         again.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.readResponse().endsWith("one"));
@@ -109,19 +109,19 @@
     void proxyThatIsHeldUpItselfEjectsNoServer() throws IOException, InterruptedException {
         clock.stepOnReads(20);
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         assertEquals("aaaaaaaaaaaaaaaa", fetch.word(1));
     }
 
     @Test
     void malformedPeersLoseTheirConnectionAndNothingElse() throws IOException, InterruptedException {
         try (FastCgiClient bad = new FastCgiClient(proxy.address())) {
-            bad.raw(new byte[] {9, 9, 9, 9, 9, 9, 9, 9});
+            bad.sendBytes(new byte[] {9, 9, 9, 9, 9, 9, 9, 9});
             assertEquals("closed", bad.readResponse());
         }
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        cache.next().reply("what is this\r\n");
-        FakeServer.Line again = parent.next();
+        cache.awaitLine().reply("what is this\r\n");
+        FakeServer.Line again = parent.awaitLine();
         again.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 3\r\none\r\n");
         assertTrue(client.readResponse().endsWith("one"));
     }
@@ -132,13 +132,13 @@
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
             sendRequest(i + 1, "c00000000000000" + i, "media");
-            sent[i] = cache.next();
+            sent[i] = cache.awaitLine();
         }
         assertTrue(sent[0].socket() == sent[1].socket() && sent[2].socket() != sent[0].socket());
         sent[0].reply("what is this\r\n");
         assertEquals(
                 Set.of(sent[0].word(1), sent[1].word(1)),
-                Set.of(parent.next().word(1), parent.next().word(1)));
+                Set.of(parent.awaitLine().word(1), parent.awaitLine().word(1)));
         sent[2].reply("c000000000000002 ACK - 2\r\nok\r\n");
         assertTrue(client.readResponse().endsWith("ok"));
     }
@@ -147,9 +147,9 @@
     @Test
     void truncatedResponseEndsItsConnection() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "media");
-        FakeServer.Line first = cache.next();
+        FakeServer.Line first = cache.awaitLine();
         first.reply("aaaaaaaaaaaaaaaa ACK tell=HIT 10\r\nhalf");
-        assertTrue(cache.ended() == first.socket());
+        assertTrue(cache.awaitConnectionEnd() == first.socket());
     }
 
     /** Without a handler the Java runtime ends the process at SIGHUP. */
@@ -173,13 +173,13 @@
 
     private void isFetchedElsewhereAfter(String request, String fields) throws IOException, InterruptedException {
         askForACopyNewerThan4be0(request).reply(request + " NOMOD " + fields + " 0\r\n\r\n");
-        parent.next().reply(request + " ACK ver=77aa 3\r\none\r\n");
+        parent.awaitLine().reply(request + " ACK ver=77aa 3\r\none\r\n");
         assertTrue(client.readResponse().endsWith("one"));
     }
 
     private FakeServer.Line askForACopyNewerThan4be0(String request) throws IOException, InterruptedException {
         client.sendRequest(1, "/invoke/media", NO_BODY, RequestHeaders.of(request, "X-Mine", "\"4be0\""));
-        FakeServer.Line fetch = cache.next();
+        FakeServer.Line fetch = cache.awaitLine();
         assertTrue(fetch.text().contains(",seen=4be0"), fetch.text());
         return fetch;
     }
--- a/src/test/java/petrelplank/cli/LoopbackWritesTest.java
+++ b/src/test/java/petrelplank/cli/LoopbackWritesTest.java
@@ -14,20 +14,20 @@
     @Test
     void nonIdempotentWriteThatWasResetOrFailedIsNeverRetried() throws IOException, InterruptedException {
         sendRequest(1, "aaaaaaaaaaaaaaaa", "stock-move");
-        FakeServer.Line sent = origin.next();
+        FakeServer.Line sent = origin.awaitLine();
         assertTrue(
                 sent.text().startsWith("fetch aaaaaaaaaaaaaaaa cls=stock-move,")
                         && sent.text().endsWith(" 4"),
                 sent.text());
-        assertEquals("move", origin.next().text());
+        assertEquals("move", origin.awaitLine().text());
         sent.reset();
         assertTrue(client.readResponse().startsWith("1 Status: 504"));
         sendRequest(2, "bbbbbbbbbbbbbbbb", "stock-move");
-        FakeServer.Line second = origin.next();
-        assertEquals("move", origin.next().text());
+        FakeServer.Line second = origin.awaitLine();
+        assertEquals("move", origin.awaitLine().text());
         second.reply("bbbbbbbbbbbbbbbb EIO - 0\r\n\r\n");
         assertTrue(client.readResponse().startsWith("2 Status: 504"));
-        assertTrue(origin.quiet() && parent.quiet() && cache.quiet());
+        assertTrue(origin.hasNoQueuedLines() && parent.hasNoQueuedLines() && cache.hasNoQueuedLines());
     }
 
     /** The origin recognises repeats by the key: it is the same in every attempt, and required. */
@@ -35,11 +35,13 @@
     void idempotencyKeyIsTheSameInEveryAttempt() throws IOException, InterruptedException {
         String key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
         askKeyed(1, "aaaaaaaaaaaaaaaa", key);
-        FakeServer.Line first = origin.next();
+        FakeServer.Line first = origin.awaitLine();
         assertTrue(
-                first.text().contains(",nonce=" + key) && origin.next().text().equals("mark"), first.text());
+                first.text().contains(",nonce=" + key)
+                        && origin.awaitLine().text().equals("mark"),
+                first.text());
         first.reset();
-        FakeServer.Line retry = parent.next();
+        FakeServer.Line retry = parent.awaitLine();
         assertTrue(
                 retry.text().startsWith("fetch aaaaaaaaaaaaaaaa ")
                         && retry.text().contains(",nonce=" + key),
@@ -50,7 +52,7 @@
             askKeyed(2, "bbbbbbbbbbbbbbbb", bad);
             assertTrue(client.readResponse().startsWith("2 Status: 400"), String.valueOf(bad));
         }
-        assertTrue(cache.quiet());
+        assertTrue(cache.hasNoQueuedLines());
     }
 
     private void askKeyed(int id, String request, String key) throws IOException {
@@ -64,9 +66,9 @@
     /** Nothing was executed, so another server is tried; where that rejects it, the client may retry. */
     @Test
     void nonIdempotentWriteThatWasNeverSentIsRetriedElsewhere() throws IOException, InterruptedException {
-        origin.refuse();
+        origin.stopListening();
         sendRequest(1, "aaaaaaaaaaaaaaaa", "stock-move");
-        FakeServer.Line other = parent.next();
+        FakeServer.Line other = parent.awaitLine();
         assertTrue(other.text().contains(",from=o-1 "), other.text());
         other.reply("aaaaaaaaaaaaaaaa AGAIN - 0\r\n\r\n");
         assertTrue(client.readResponse().contains("Status: 503"));
@@ -78,8 +80,8 @@
         FakeServer.Line[] sent = new FakeServer.Line[3];
         for (int i = 0; i < sent.length; i++) {
             sendRequest(i + 1, "c00000000000000" + i, "stock-move");
-            sent[i] = origin.next();
-            assertEquals("move", origin.next().text());
+            sent[i] = origin.awaitLine();
+            assertEquals("move", origin.awaitLine().text());
         }
         sent[0].reset();
         assertTrue(client.readResponse().startsWith("1 Status: 504"));
@@ -88,6 +90,6 @@
         sent[2].reply("c000000000000002 ACK - 2\r\nok\r\n");
         assertTrue(client.readResponse().endsWith("ok"));
         sendRequest(4, "c000000000000003", "stock-move");
-        assertTrue(origin.next().socket() != sent[2].socket());
+        assertTrue(origin.awaitLine().socket() != sent[2].socket());
     }
 }
--- a/src/test/java/petrelplank/cli/ProxySignalsTest.java
+++ b/src/test/java/petrelplank/cli/ProxySignalsTest.java
@@ -44,7 +44,7 @@
                 InetSocketAddress address = processes.ready(READY_TIMEOUT_MS).get(0);
                 try (FastCgiClient client = new FastCgiClient(address)) {
                     client.sendRequest(1, "/invoke/media", new byte[0], RequestHeaders.of("aaaaaaaaaaaaaaaa"));
-                    FakeServer.Line upstreamRequest = cache.next();
+                    FakeServer.Line upstreamRequest = cache.awaitLine();
                     signal("TERM", processes.pid(0));
                     signal("HUP", processes.pid(0));
                     signal("TERM", processes.pid(0));
@@ -67,7 +67,7 @@
     void proxyThatIsNotReadyStopsGracefully(@TempDir Path folder) throws IOException, InterruptedException {
         try (FakeServer silentDiscovery = new FakeServer();
                 ProxyProcesses processes = new ProxyProcesses(folder, 1, silentDiscovery.address(), "[]")) {
-            assertThat(silentDiscovery.next().text()).isEqualTo("follow 1");
+            assertThat(silentDiscovery.awaitLine().text()).isEqualTo("follow 1");
             signal("TERM", processes.pid(0));
             stopsGracefully(processes);
             assertThat(processes.log(0)).doesNotContain("serving at");
--- a/src/test/java/petrelplank/fastcgi/FastCgiClient.java
+++ b/src/test/java/petrelplank/fastcgi/FastCgiClient.java
@@ -42,25 +42,25 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(encodeRequestStart(id, script, body, headers));
         bytes.writeBytes(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, id, EMPTY_CONTENT));
-        raw(bytes.toByteArray());
+        sendBytes(bytes.toByteArray());
     }
 
     /** Sends a request without the KEEP_CONN flag, so that the proxy closes the connection after the response. */
-    public void sendLastRequest(int id, String script) throws IOException {
+    public void sendRequestWithoutKeepConnection(int id, String script) throws IOException {
         byte[] bytes = encodeRequestStart(id, script, EMPTY_CONTENT);
         bytes[FLAGS_OFFSET] = 0;
-        raw(bytes);
-        endRequest(id);
+        sendBytes(bytes);
+        sendRequestEnd(id);
     }
 
-    /** Sends a request without the end of its STDIN stream; see {@link #endRequest}. */
-    public void beginRequest(int id, String script, byte[] body, String... headers) throws IOException {
-        raw(encodeRequestStart(id, script, body, headers));
+    /** Sends a request without the end of its STDIN stream; see {@link #sendRequestEnd}. */
+    public void sendRequestStart(int id, String script, byte[] body, String... headers) throws IOException {
+        sendBytes(encodeRequestStart(id, script, body, headers));
     }
 
     /** Sends the end of the STDIN stream of a request, which completes it. */
-    public void endRequest(int id) throws IOException {
-        raw(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, id, EMPTY_CONTENT));
+    public void sendRequestEnd(int id) throws IOException {
+        sendBytes(RecordEncoder.encodeRecord(FastCgiRecord.STDIN, id, EMPTY_CONTENT));
     }
 
     private static byte[] encodeRequestStart(int id, String script, byte[] body, String... headers) {
@@ -81,13 +81,13 @@
     }
 
     /** Sends bytes unchanged; they need not be FastCGI. */
-    public void raw(byte[] bytes) throws IOException {
+    public void sendBytes(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
     }
 
     /** Sends an ABORT_REQUEST record for a request. */
     public void abort(int id) throws IOException {
-        raw(RecordEncoder.encodeRecord(FastCgiRecord.ABORT_REQUEST, id, EMPTY_CONTENT));
+        sendBytes(RecordEncoder.encodeRecord(FastCgiRecord.ABORT_REQUEST, id, EMPTY_CONTENT));
     }
 
     /**
@@ -125,7 +125,7 @@
     }
 
     /** Whether a close by the proxy has reached this client. Must not be called while a response is pending. */
-    public boolean closed() throws IOException {
+    public boolean isClosedByProxy() throws IOException {
         socket.setSoTimeout(1);
         try {
             return socket.getInputStream().read() < 0;
--- a/src/test/java/petrelplank/upstream/FakeServer.java
+++ b/src/test/java/petrelplank/upstream/FakeServer.java
@@ -85,7 +85,7 @@
     }
 
     /** Waits for the next line on any connection. */
-    public Line next() throws InterruptedException {
+    public Line awaitLine() throws InterruptedException {
         Line line = lines.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         if (line == null) {
             throw new AssertionError("no line was received within " + MAX_WAIT_S + " s");
@@ -94,17 +94,17 @@
     }
 
     /** Waits for the next connection to end; returns null if none does in time. */
-    public Socket ended() throws InterruptedException {
+    public Socket awaitConnectionEnd() throws InterruptedException {
         return endedConnections.poll(MAX_WAIT_S, TimeUnit.SECONDS);
     }
 
     /** Returns whether no line is queued. */
-    public boolean quiet() {
+    public boolean hasNoQueuedLines() {
         return lines.isEmpty();
     }
 
     /** Stops listening and waits until connections are refused; a pending accept may succeed even after the close. */
-    public void refuse() throws IOException, InterruptedException {
+    public void stopListening() throws IOException, InterruptedException {
         int port = serverSocket.getLocalPort();
         serverSocket.close();
         acceptThread.join();
