--- a/src/main/java/petrelplank/routing/PlatformRules.java
+++ b/src/main/java/petrelplank/routing/PlatformRules.java
@@ -35,32 +35,28 @@
         long pollIntervalUs) {
     /** Checks that the values are in range. */
     public PlatformRules {
-        SettingChecks.require(drainGraceUs >= 0, "drainGraceUs (must be 0 or more)", drainGraceUs);
+        SettingChecks.require(drainGraceUs >= 0, "stop-sending-within-us (must be 0 or more)", drainGraceUs);
         SettingChecks.require(
                 slowStartInitialFraction >= 0 && slowStartInitialFraction <= 1,
-                "slowStartInitialFraction (must be between 0 and 1)",
+                "cold-from (must be between 0 and 1)",
                 slowStartInitialFraction);
-        SettingChecks.require(slowStartDurationUs >= 0, "slowStartDurationUs (must be 0 or more)", slowStartDurationUs);
-        SettingChecks.require(overloadMultiple >= 0, "overloadMultiple (must be 0 or more)", overloadMultiple);
-        SettingChecks.require(overloadDurationUs >= 0, "overloadDurationUs (must be 0 or more)", overloadDurationUs);
+        SettingChecks.require(slowStartDurationUs >= 0, "warm-after-us (must be 0 or more)", slowStartDurationUs);
+        SettingChecks.require(overloadMultiple >= 0, "fall-multiple (must be 0 or more)", overloadMultiple);
+        SettingChecks.require(overloadDurationUs >= 0, "fall-us (must be 0 or more)", overloadDurationUs);
         SettingChecks.require(
                 parentSlowStartInitialFraction >= 0 && parentSlowStartInitialFraction <= 1,
-                "parentSlowStartInitialFraction (must be between 0 and 1)",
+                "parent-cold-from (must be between 0 and 1)",
                 parentSlowStartInitialFraction);
         SettingChecks.require(
-                parentSlowStartDurationUs >= 0,
-                "parentSlowStartDurationUs (must be 0 or more)",
-                parentSlowStartDurationUs);
+                parentSlowStartDurationUs >= 0, "parent-cold-us (must be 0 or more)", parentSlowStartDurationUs);
         SettingChecks.require(
-                parentOverloadMultiple >= 0, "parentOverloadMultiple (must be 0 or more)", parentOverloadMultiple);
+                parentOverloadMultiple >= 0, "parent-breaks-at (must be 0 or more)", parentOverloadMultiple);
         SettingChecks.require(
-                originOverloadMultiple >= 0, "originOverloadMultiple (must be 0 or more)", originOverloadMultiple);
+                originOverloadMultiple >= 0, "root-fall-multiple (must be 0 or more)", originOverloadMultiple);
         SettingChecks.require(
-                originOverloadDurationUs >= 0,
-                "originOverloadDurationUs (must be 0 or more)",
-                originOverloadDurationUs);
-        SettingChecks.require(purgeGraceUs >= 0, "purgeGraceUs (must be 0 or more)", purgeGraceUs);
-        SettingChecks.require(purgeDoneUs >= 0, "purgeDoneUs (must be 0 or more)", purgeDoneUs);
-        SettingChecks.require(pollIntervalUs >= 0, "pollIntervalUs (must be 0 or more)", pollIntervalUs);
+                originOverloadDurationUs >= 0, "origin-over-for-us (must be 0 or more)", originOverloadDurationUs);
+        SettingChecks.require(purgeGraceUs >= 0, "notice-time-us (must be 0 or more)", purgeGraceUs);
+        SettingChecks.require(purgeDoneUs >= 0, "purge-done-us (must be 0 or more)", purgeDoneUs);
+        SettingChecks.require(pollIntervalUs >= 0, "ask-every-us (must be 0 or more)", pollIntervalUs);
     }
 }
--- a/src/test/java/petrelplank/routing/PlatformRulesTest.java
+++ b/src/test/java/petrelplank/routing/PlatformRulesTest.java
@@ -12,7 +12,7 @@
         IllegalArgumentException thrown = assertThrows(
                 IllegalArgumentException.class, () -> new PlatformRules(-1, 0.2, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0));
         assertTrue(
-                thrown.getMessage().contains("drainGraceUs")
+                thrown.getMessage().contains("stop-sending-within-us")
                         && thrown.getMessage().contains("-1"),
                 thrown.getMessage());
     }
