--- a/src/test/java/petrelplank/routing/AttemptPlannerTest.java
+++ b/src/test/java/petrelplank/routing/AttemptPlannerTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.MILLISECOND;
 
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +18,7 @@
                 new EndpointInfo("origin", "north", "origin", 0, EndpointState.REMOVED, 10, 0));
         String id = host.request(1);
         assertEquals(host.lastPlan().server(), host.lastPlan().source());
-        host.endAttempt(id, AttemptStatus.MISS, CacheStatus.NONE, MS);
+        host.endAttempt(id, AttemptStatus.MISS, CacheStatus.NONE, MILLISECOND);
         assertEquals(1, host.attemptCount(id));
         assertTrue(host.isTerminated(id));
     }
--- a/src/test/java/petrelplank/routing/RetryPolicyTest.java
+++ b/src/test/java/petrelplank/routing/RetryPolicyTest.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static petrelplank.routing.RouterFixture.MS;
-import static petrelplank.routing.RouterFixture.S;
+import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.SECOND;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,11 +13,11 @@
 
     @Test
     void writeWithAKeyIsNotRetriedAfterItsWindow() {
-        String id = host.request("note", 1, 0, 5 * S);
+        String id = host.request("note", 1, 0, 5 * SECOND);
         assertEquals("origin", host.lastPlan().server());
-        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 600 * MS);
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 600 * MILLISECOND);
         assertEquals(2, host.attemptCount(id));
-        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 2500 * MS);
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, 2500 * MILLISECOND);
         assertEquals(2, host.attemptCount(id));
         assertEquals(List.of(id), host.failed);
     }
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -6,13 +6,13 @@
 
 /** A router whose host records its actions, with a clock and methods that script events. */
 final class RouterFixture extends RecordingActions {
-    static final long MS = 1000;
-    static final long S = 1000 * MS;
+    static final long MILLISECOND = 1000;
+    static final long SECOND = 1000 * MILLISECOND;
     static final ServiceClass VIDEO = new ServiceClass(
             "video",
-            400 * MS,
+            400 * MILLISECOND,
             2,
-            6 * S,
+            6 * SECOND,
             2,
             0.15,
             Idempotency.IDEMPOTENT,
@@ -25,29 +25,29 @@
             false);
     static final ServiceClass FILE = new ServiceClass(
             "file",
-            400 * MS,
+            400 * MILLISECOND,
             2,
-            3 * S,
+            3 * SECOND,
             1,
             0.2,
             Idempotency.IDEMPOTENT,
             IdempotencyScope.ALL,
             0,
             false,
-            12 * S,
-            20 * S,
+            12 * SECOND,
+            20 * SECOND,
             0.7,
             false);
     static final ServiceClass NOTE = new ServiceClass(
             "note",
-            600 * MS,
+            600 * MILLISECOND,
             0,
-            3 * S,
+            3 * SECOND,
             3,
             0,
             Idempotency.IDEMPOTENT_WITH_KEY,
             IdempotencyScope.ALL,
-            3 * S,
+            3 * SECOND,
             false,
             0,
             0,
@@ -55,17 +55,30 @@
             true);
 
     Router router;
-    long now = 100 * S;
+    long now = 100 * SECOND;
     private int nextId;
     /** The tenant of all further requests; null for none. */
     String tenant;
 
     static RoutingPermissions permissions() {
-        return new RoutingPermissions(8, false, true, false, false, true, S, true, true, SiblingFillPolicy.ANY);
+        return new RoutingPermissions(8, false, true, false, false, true, SECOND, true, true, SiblingFillPolicy.ANY);
     }
 
     static PlatformRules rules() {
-        return new PlatformRules(2 * S, 0.2, 16 * S, 2.5, 2 * S, 0.07, 20 * S, 2, 0, 0, S / 2, 6 * S, 10 * S);
+        return new PlatformRules(
+                2 * SECOND,
+                0.2,
+                16 * SECOND,
+                2.5,
+                2 * SECOND,
+                0.07,
+                20 * SECOND,
+                2,
+                0,
+                0,
+                SECOND / 2,
+                6 * SECOND,
+                10 * SECOND);
     }
 
     static RouterSettings settings(WeightMeaning weights, CacheStatusDetail detail, RoutingPermissions permissions) {
@@ -98,7 +111,7 @@
                 detail,
                 reportFields,
                 false,
-                400 * MS,
+                400 * MILLISECOND,
                 List.of(VIDEO, FILE, NOTE),
                 permissions,
                 rules(),
@@ -144,7 +157,7 @@
     }
 
     String request(long object) {
-        return request("video", object, 0, 4 * S);
+        return request("video", object, 0, 4 * SECOND);
     }
 
     String request(String serviceClass, long object, int group, long timeoutUs) {
@@ -203,7 +216,7 @@
                         latencyUs,
                         status == AttemptStatus.OK,
                         cacheStatus,
-                        cacheStatus == CacheStatus.FILLED ? 10 * MS : 0,
+                        cacheStatus == CacheStatus.FILLED ? 10 * MILLISECOND : 0,
                         load,
                         sizeKb));
     }
@@ -215,7 +228,7 @@
             String id = request(i);
             if (attemptCount(id) > 0) {
                 plans.add(lastPlan());
-                endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+                endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
             }
         }
         return plans;
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MS;
-import static petrelplank.routing.RouterFixture.S;
+import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.SECOND;
 import static petrelplank.routing.RouterFixture.cache;
 import static petrelplank.routing.RouterFixture.parent;
 
@@ -22,14 +22,15 @@
             if (host.attemptCount(id) > 0
                     && (host.lastPlan().server().equals("a")
                             || host.lastPlan().source().equals("a"))) {
-                transferUs += 100 * MS;
+                transferUs += 100 * MILLISECOND;
             }
-            host.now += MS / 2;
+            host.now += MILLISECOND / 2;
         }
         // Two proxies share a weight of 5; the capacity is a fifth at first and at most a quarter after one second. The
         // overload multiple is 2.5 within two seconds.
         assertTrue(transferUs > 0);
-        assertTrue(transferUs <= 2.5 * 5 * 0.25 * 2 * S / 2, "transfer time sent to the cache in us: " + transferUs);
+        assertTrue(
+                transferUs <= 2.5 * 5 * 0.25 * 2 * SECOND / 2, "transfer time sent to the cache in us: " + transferUs);
     }
 
     @Test
@@ -39,7 +40,7 @@
         for (AttemptPlan plan : host.requestAndFill(0, 60)) {
             inSlowStart += plan.source().equals("p-north") ? 1 : 0;
         }
-        host.now += 30 * S;
+        host.now += 30 * SECOND;
         int afterwards = 0;
         for (AttemptPlan plan : host.requestAndFill(100, 160)) {
             afterwards += plan.source().equals("p-north") ? 1 : 0;
@@ -68,7 +69,7 @@
         for (int i = 0; i < 300; i++) {
             String id = host.request(i);
             assertTrue(host.attemptCount(id) > 0 || host.isTerminated(id), id);
-            host.now += 2 * MS;
+            host.now += 2 * MILLISECOND;
         }
         for (String startingCache : List.of("a", "b", "c")) {
             // Two proxies share a weight of 5, with a capacity of at most a quarter. Each uses 0.45 of the overload
@@ -77,9 +78,9 @@
                             .filter(attempt -> attempt.plan().server().equals(startingCache))
                             .count()
                     * 100
-                    * MS;
+                    * MILLISECOND;
             assertTrue(
-                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S,
+                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * SECOND,
                     "transfer time sent to " + startingCache + " in us: " + transferUs);
         }
         assertTrue(
