--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -92,7 +92,7 @@
         for (JsonFields fields : known) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(fields);
             proxy.onDiscoveryEvent(event);
-            if (event instanceof DiscoveryEvent.Change change && change.complete()) {
+            if (event instanceof DiscoveryEvent.EndpointChange change && change.complete()) {
                 change.entries().forEach(entry -> endpoints.add(entry.endpoint()));
             }
         }
--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -195,7 +195,7 @@
 
     /** Guards against a discovery service that fails without an error: the last good endpoint list stays. */
     private static boolean isEmptyList(DiscoveryEvent event) {
-        return event instanceof DiscoveryEvent.Change change
+        return event instanceof DiscoveryEvent.EndpointChange change
                 && change.complete()
                 && change.entries().isEmpty();
     }
--- a/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryEventDecoder.java
@@ -64,15 +64,15 @@
         return new DiscoveryEvent.Purge(index, object, group, purge.integer("unix_ms"));
     }
 
-    private static DiscoveryEvent.Change endpointChange(long index, JsonFields endpoints) {
-        List<DiscoveryEvent.Entry> entries = new ArrayList<>();
+    private static DiscoveryEvent.EndpointChange endpointChange(long index, JsonFields endpoints) {
+        List<DiscoveryEvent.EndpointEntry> entries = new ArrayList<>();
         for (JsonFields instance : endpoints.objects("instances", endpoints.path() + " instance")) {
             entries.add(entry(instance));
         }
-        return new DiscoveryEvent.Change(index, index == FIRST_INDEX || endpoints.flag("reset"), entries);
+        return new DiscoveryEvent.EndpointChange(index, index == FIRST_INDEX || endpoints.flag("reset"), entries);
     }
 
-    private static DiscoveryEvent.Entry entry(JsonFields instance) {
+    private static DiscoveryEvent.EndpointEntry entry(JsonFields instance) {
         EndpointState state = state(instance);
         EndpointInfo endpoint = new EndpointInfo(
                 instance.text("instanceId"),
@@ -82,7 +82,7 @@
                 state,
                 instance.number("weight", 1),
                 US_PER_MS * instance.integer("startedAtMs", 0));
-        return new DiscoveryEvent.Entry(endpoint, Addresses.parse(instance.text("hostPort")));
+        return new DiscoveryEvent.EndpointEntry(endpoint, Addresses.parse(instance.text("hostPort")));
     }
 
     private static EndpointState state(JsonFields instance) {
--- a/src/main/java/petrelplank/emulator/DiscoveryService.java
+++ b/src/main/java/petrelplank/emulator/DiscoveryService.java
@@ -28,21 +28,21 @@
         this.clock = clock;
         this.random = random;
         this.truth = truth;
-        List<DiscoveryEvent.Entry> entries = new ArrayList<>();
+        List<DiscoveryEvent.EndpointEntry> entries = new ArrayList<>();
         caches.nodes().forEach(node -> entries.add(entry(node, EndpointState.UP)));
         entries.add(originEntry());
-        events.add(new DiscoveryEvent.Change(nextIndex(), true, entries));
+        events.add(new DiscoveryEvent.EndpointChange(nextIndex(), true, entries));
     }
 
-    private static DiscoveryEvent.Entry entry(CacheNode node, EndpointState state) {
+    private static DiscoveryEvent.EndpointEntry entry(CacheNode node, EndpointState state) {
         CacheSpec spec = node.spec();
-        return new DiscoveryEvent.Entry(
+        return new DiscoveryEvent.EndpointEntry(
                 new EndpointInfo(spec.id(), spec.zone(), spec.kind(), 0, state, spec.weight(), node.startedUs()),
                 InetSocketAddress.createUnresolved(spec.id(), ANY_PORT));
     }
 
-    private static DiscoveryEvent.Entry originEntry() {
-        return new DiscoveryEvent.Entry(
+    private static DiscoveryEvent.EndpointEntry originEntry() {
+        return new DiscoveryEvent.EndpointEntry(
                 new EndpointInfo(
                         ServerNames.ORIGIN,
                         ServerNames.hubZone(1),
@@ -70,9 +70,9 @@
     }
 
     void publishState(EndpointState state, List<CacheNode> nodes) {
-        List<DiscoveryEvent.Entry> entries =
+        List<DiscoveryEvent.EndpointEntry> entries =
                 nodes.stream().map(node -> entry(node, state)).toList();
-        publish(new DiscoveryEvent.Change(nextIndex(), false, entries));
+        publish(new DiscoveryEvent.EndpointChange(nextIndex(), false, entries));
     }
 
     void publishPurge(PurgeTarget target, long unixMs) {
--- a/src/main/java/petrelplank/emulator/NotificationLog.java
+++ b/src/main/java/petrelplank/emulator/NotificationLog.java
@@ -28,8 +28,8 @@
         if (event instanceof DiscoveryEvent.Purge purge) {
             proxies.get(proxy).purgesUs.put(purge, proxy.clockUs());
             purges.computeIfAbsent(purge.index(), index -> new ArrayList<>()).add(proxy.clockUs());
-        } else if (event instanceof DiscoveryEvent.Change change) {
-            for (DiscoveryEvent.Entry entry : change.entries()) {
+        } else if (event instanceof DiscoveryEvent.EndpointChange change) {
+            for (DiscoveryEvent.EndpointEntry entry : change.entries()) {
                 listed(proxy, entry.endpoint().id(), entry.endpoint().state());
             }
         }
--- a/src/main/java/petrelplank/proxy/DiscoveryEvent.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEvent.java
@@ -19,7 +19,7 @@
      * @param endpoint the endpoint, as passed to the router
      * @param address the address that it listens on
      */
-    record Entry(EndpointInfo endpoint, InetSocketAddress address) {}
+    record EndpointEntry(EndpointInfo endpoint, InetSocketAddress address) {}
 
     /**
      * The endpoint list changed.
@@ -28,7 +28,7 @@
      * @param complete whether the entries are the complete list, and not only the endpoints that changed
      * @param entries the entries
      */
-    record Change(long index, boolean complete, List<Entry> entries) implements DiscoveryEvent {}
+    record EndpointChange(long index, boolean complete, List<EndpointEntry> entries) implements DiscoveryEvent {}
 
     /**
      * An object or a group of objects was purged.
--- a/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
+++ b/src/main/java/petrelplank/proxy/DiscoveryEventHandler.java
@@ -36,7 +36,7 @@
         recorder.discoveryEvent(event);
         if (event instanceof DiscoveryEvent.Purge purge) {
             applyPurge(purge);
-        } else if (event instanceof DiscoveryEvent.Change change) {
+        } else if (event instanceof DiscoveryEvent.EndpointChange change) {
             applyChange(change);
         }
     }
@@ -56,14 +56,15 @@
         }
     }
 
-    private void applyChange(DiscoveryEvent.Change change) {
-        List<EndpointInfo> endpoints =
-                change.entries().stream().map(DiscoveryEvent.Entry::endpoint).toList();
+    private void applyChange(DiscoveryEvent.EndpointChange change) {
+        List<EndpointInfo> endpoints = change.entries().stream()
+                .map(DiscoveryEvent.EndpointEntry::endpoint)
+                .toList();
         router.endpointsChanged(loop.nowUs(), change.complete(), endpoints);
         Set<String> removed = removedIds(change);
         removed.forEach(upstream::endpointRemoved);
         listedIds.removeAll(removed);
-        for (DiscoveryEvent.Entry entry : change.entries()) {
+        for (DiscoveryEvent.EndpointEntry entry : change.entries()) {
             EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() != EndpointState.REMOVED) {
                 listedIds.add(endpoint.id());
@@ -73,9 +74,9 @@
     }
 
     /** Ids of the endpoints that a change removes, either by their state or by their absence from a complete list. */
-    private Set<String> removedIds(DiscoveryEvent.Change change) {
+    private Set<String> removedIds(DiscoveryEvent.EndpointChange change) {
         Set<String> removed = change.complete() ? new HashSet<>(listedIds) : new HashSet<>();
-        for (DiscoveryEvent.Entry entry : change.entries()) {
+        for (DiscoveryEvent.EndpointEntry entry : change.entries()) {
             EndpointInfo endpoint = entry.endpoint();
             if (endpoint.state() == EndpointState.REMOVED) {
                 removed.add(endpoint.id());
--- a/src/main/java/petrelplank/proxy/SinkEventRecorder.java
+++ b/src/main/java/petrelplank/proxy/SinkEventRecorder.java
@@ -185,7 +185,7 @@
             boolean wholeGroup = purge.object() == null;
             record(new Event.Purged(
                     purge.index(), purge.object(), wholeGroup ? purge.group() : NO_GROUP, purge.unixMs()));
-        } else if (event instanceof DiscoveryEvent.Change change) {
+        } else if (event instanceof DiscoveryEvent.EndpointChange change) {
             record(new Event.EndpointsChanged(
                     change.index(),
                     change.complete(),
--- a/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
+++ b/src/test/java/petrelplank/discovery/DiscoveryEventDecoderTest.java
@@ -36,7 +36,7 @@
     @Property(seed = "31", tries = 200)
     void fragmentedEventsAreDecoded(@ForAll long cuts) {
         List<DiscoveryEvent> events = read(STREAM, cuts);
-        DiscoveryEvent.Change change = (DiscoveryEvent.Change) events.get(0);
+        DiscoveryEvent.EndpointChange change = (DiscoveryEvent.EndpointChange) events.get(0);
         assertEquals(EndpointState.DRAINING, change.entries().get(0).endpoint().state());
         assertEquals(5000, change.entries().get(0).endpoint().startedUs());
         assertEquals(4100, change.entries().get(0).address().getPort());
