--- a/src/main/java/petrelplank/settings/SettingsKeys.java
+++ b/src/main/java/petrelplank/settings/SettingsKeys.java
@@ -27,8 +27,8 @@
 
     /** Top level of the settings, see {@link petrelplank.routing.RouterSettings}. */
     static final class Settings {
-        static final String SELF = "self-index";
-        static final String GATEWAYS = "balancers";
+        static final String PROXY_INDEX = "self-index";
+        static final String PROXY_COUNT = "balancers";
         static final String ZONE = "zone";
         static final String ZONES = "localities";
         static final String KINDS = "kinds";
@@ -65,10 +65,10 @@
     /** Figures that hold on every platform, see {@link petrelplank.routing.PlatformRules}. */
     static final class Rule {
         static final String DRAIN_GRACE_US = "stop-sending-within-us";
-        static final String SLOW_START_FROM = "cold-from";
-        static final String SLOW_START_US = "warm-after-us";
+        static final String SLOW_START_INITIAL_FRACTION = "cold-from";
+        static final String SLOW_START_DURATION_US = "warm-after-us";
         static final String OVERLOAD_MULTIPLE = "fall-multiple";
-        static final String OVERLOAD_US = "fall-us";
+        static final String OVERLOAD_DURATION_US = "fall-us";
         static final String POLL_INTERVAL_US = "ask-every-us";
 
         private Rule() {}
@@ -76,12 +76,12 @@
 
     /** Facts of platforms with caches; arrays have an element for each zone or each service class. */
     static final class Family {
-        static final String ZONE_GATEWAYS = "crew-by-zone";
-        static final String ZONE_HUB = "hub-of";
-        static final String ZONE_LINK_KB_PER_SECOND = "zone-link-kb-per-s";
+        static final String PROXY_COUNT_BY_ZONE = "crew-by-zone";
+        static final String HUB_BY_ZONE = "hub-of";
+        static final String LINK_KB_PER_SECOND_BY_ZONE = "zone-link-kb-per-s";
         static final String PARENT_KIND = "upper-kind";
         static final String ORIGIN_KIND = "origin-kind";
-        static final String FLOW_KB_PER_SECOND = "flow-kb-per-s";
+        static final String MAX_RESPONSE_KB_PER_SECOND = "flow-kb-per-s";
         static final String CACHE_STATUS_DETAIL = "note-level";
         static final String SIBLING_FILLS = "neighbours";
         static final String COALESCING = "merges-fills";
@@ -90,11 +90,11 @@
         static final String STALE_IF_ERROR_US = "class-grace-us";
         static final String STALE_WEIGHT_FACTOR = "old-copy-worth";
         static final String WRITE = "class-write";
-        static final String PARENT_SLOW_START_FROM = "parent-cold-from";
-        static final String PARENT_SLOW_START_US = "parent-cold-us";
+        static final String PARENT_SLOW_START_INITIAL_FRACTION = "parent-cold-from";
+        static final String PARENT_SLOW_START_DURATION_US = "parent-cold-us";
         static final String PARENT_OVERLOAD_MULTIPLE = "parent-breaks-at";
         static final String ORIGIN_OVERLOAD_MULTIPLE = "root-fall-multiple";
-        static final String ORIGIN_OVERLOAD_US = "origin-over-for-us";
+        static final String ORIGIN_OVERLOAD_DURATION_US = "origin-over-for-us";
         static final String PURGE_GRACE_US = "notice-time-us";
         static final String PURGE_DONE_US = "purge-done-us";
 
--- a/src/main/java/petrelplank/settings/SettingsParser.java
+++ b/src/main/java/petrelplank/settings/SettingsParser.java
@@ -57,8 +57,10 @@
                     '"' + SettingsKeys.Config.FLOW_BYTES_PER_SECOND + "\" should be 0 or more, found "
                             + flowBytesPerSecond);
         }
-        double flowKbPerSecond = family(settings).number(Family.FLOW_KB_PER_SECOND, 0);
-        return flowKbPerSecond > 0 && flowBytesPerSecond > 0 ? flowBytesPerSecond / BYTES_PER_KB / flowKbPerSecond : 1;
+        double maxResponseKbPerSecond = family(settings).number(Family.MAX_RESPONSE_KB_PER_SECOND, 0);
+        return maxResponseKbPerSecond > 0 && flowBytesPerSecond > 0
+                ? flowBytesPerSecond / BYTES_PER_KB / maxResponseKbPerSecond
+                : 1;
     }
 
     private static JsonFields family(JsonFields settings) {
@@ -71,20 +73,20 @@
     }
 
     private RouterSettings parse() {
-        double flowKbPerSecond = family.number(Family.FLOW_KB_PER_SECOND, 0);
+        double maxResponseKbPerSecond = family.number(Family.MAX_RESPONSE_KB_PER_SECOND, 0);
         List<String> kinds = settings.texts(Settings.KINDS);
         List<String> reportFields = reportFields();
         return new RouterSettings(
-                (int) settings.integer(Settings.SELF),
-                (int) settings.integer(Settings.GATEWAYS),
+                (int) settings.integer(Settings.PROXY_INDEX),
+                (int) settings.integer(Settings.PROXY_COUNT),
                 settings.text(Settings.ZONE),
                 settings.texts(Settings.ZONES),
-                integers(Family.ZONE_GATEWAYS),
-                integers(Family.ZONE_HUB),
-                rates(Family.ZONE_LINK_KB_PER_SECOND),
+                integers(Family.PROXY_COUNT_BY_ZONE),
+                integers(Family.HUB_BY_ZONE),
+                rates(Family.LINK_KB_PER_SECOND_BY_ZONE),
                 kind(kinds, Family.PARENT_KIND),
                 kind(kinds, Family.ORIGIN_KIND),
-                flowKbPerSecond * sizeScale,
+                maxResponseKbPerSecond * sizeScale,
                 SettingsEnums.weightMeaning(settings.text(Settings.WEIGHT_MEANING, SettingsEnums.ABSENT)),
                 SettingsEnums.cacheStatusDetail(family.text(Family.CACHE_STATUS_DETAIL, SettingsEnums.ABSENT)),
                 reportFields,
@@ -159,15 +161,15 @@
     private PlatformRules platformRules() {
         return new PlatformRules(
                 rules.integer(Rule.DRAIN_GRACE_US),
-                rules.number(Rule.SLOW_START_FROM, 0),
-                rules.integer(Rule.SLOW_START_US),
+                rules.number(Rule.SLOW_START_INITIAL_FRACTION, 0),
+                rules.integer(Rule.SLOW_START_DURATION_US),
                 rules.number(Rule.OVERLOAD_MULTIPLE, 0),
-                rules.integer(Rule.OVERLOAD_US),
-                family.number(Family.PARENT_SLOW_START_FROM, 0),
-                family.integer(Family.PARENT_SLOW_START_US, 0),
+                rules.integer(Rule.OVERLOAD_DURATION_US),
+                family.number(Family.PARENT_SLOW_START_INITIAL_FRACTION, 0),
+                family.integer(Family.PARENT_SLOW_START_DURATION_US, 0),
                 family.number(Family.PARENT_OVERLOAD_MULTIPLE, 0),
                 family.number(Family.ORIGIN_OVERLOAD_MULTIPLE, 0),
-                family.integer(Family.ORIGIN_OVERLOAD_US, 0),
+                family.integer(Family.ORIGIN_OVERLOAD_DURATION_US, 0),
                 family.integer(Family.PURGE_GRACE_US, 0),
                 family.integer(Family.PURGE_DONE_US, 0),
                 rules.integer(Rule.POLL_INTERVAL_US, 0));
