--- a/src/main/java/petrelplank/cli/ProxyServer.java
+++ b/src/main/java/petrelplank/cli/ProxyServer.java
@@ -8,7 +8,7 @@
 import java.util.logging.Logger;
 import petrelplank.discovery.DiscoveryClient;
 import petrelplank.discovery.DiscoveryEventDecoder;
-import petrelplank.fastcgi.FastCgiAcceptor;
+import petrelplank.fastcgi.FastCgiListener;
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
@@ -34,7 +34,7 @@
     private final EventSink sink;
     private final EdgeProxy proxy;
     private final DiscoveryClient discovery;
-    private final FastCgiAcceptor clientAcceptor;
+    private final FastCgiListener clientListener;
     private final Readiness readiness;
     private final Warmup warmup;
     private final Shutdown shutdown;
@@ -55,16 +55,16 @@
         List<EndpointInfo> endpoints = applyKnownEvents(configuration.knownEvents());
         discovery = new DiscoveryClient(
                 loop, proxy, transport.discoveryConnector(), configuration.discoveryAddress(), configuration.seed());
-        clientAcceptor = new FastCgiAcceptor(
+        clientListener = new FastCgiListener(
                 loop,
                 proxy,
                 transport.acceptor(),
                 transport.clientBudget(),
                 (long) configuration.memoryMb() << BYTES_PER_MB_SHIFT,
                 configuration.sizeScale());
-        readiness = new Readiness(loop, proxy, discovery, clientAcceptor, transport.acceptor());
+        readiness = new Readiness(loop, proxy, discovery, clientListener, transport.acceptor());
         warmup = new Warmup(settings, endpoints, transport.acceptor());
-        shutdown = new Shutdown(loop, proxy, clientAcceptor, transport, readiness, settings);
+        shutdown = new Shutdown(loop, proxy, clientListener, transport, readiness, settings);
     }
 
     private EdgeProxy createProxy(Configuration configuration) {
@@ -74,7 +74,7 @@
                 configuration.maxStreamsPerConnection(),
                 Math.max(MIN_CONNECT_TIMEOUT_US, settings.connectTimeoutUs()),
                 configuration.idleTimeoutUs(),
-                ConnectionLimits.maxPerServer(settings.zoneGatewayCount()),
+                ConnectionLimits.maxPerServer(settings.zoneProxyCount()),
                 settings.permissions().hedging());
         return new EdgeProxy(
                 loop,
@@ -91,8 +91,8 @@
         List<EndpointInfo> endpoints = new ArrayList<>();
         for (JsonFields fields : knownEvents) {
             DiscoveryEvent event = DiscoveryEventDecoder.decode(fields);
-            proxy.onEvent(event);
-            if (event instanceof DiscoveryEvent.Change change && change.complete()) {
+            proxy.onDiscoveryEvent(event);
+            if (event instanceof DiscoveryEvent.EndpointChange change && change.complete()) {
                 change.entries().forEach(entry -> endpoints.add(entry.endpoint()));
             }
         }
@@ -101,8 +101,8 @@
 
     /** Starts to listen and to follow the discovery service. The proxy becomes ready some time after {@link #run}. */
     void open(InetSocketAddress address) throws IOException {
-        proxy.pause();
-        clientAcceptor.listen(address);
+        proxy.pauseRouting();
+        clientListener.listen(address);
         loop.post(discovery::start);
         loop.post(readiness::resumeAfterFirstDiscoveryEvent);
         warmup.start(() -> loop.post(readiness::becomeReadyOnceCaughtUp));
@@ -119,9 +119,9 @@
         List<DiscoveryEvent> events =
                 knownEvents.stream().map(DiscoveryEventDecoder::decode).toList();
         loop.postUrgent(() -> {
-            events.forEach(proxy::onEvent);
+            events.forEach(proxy::onDiscoveryEvent);
             LOG.info("SIGHUP: now following the discovery service at " + address + " from event "
-                    + proxy.lastEventIndex());
+                    + proxy.lastDiscoveryIndex());
             discovery.follow(address);
         });
     }
--- a/src/main/java/petrelplank/cli/Readiness.java
+++ b/src/main/java/petrelplank/cli/Readiness.java
@@ -2,7 +2,7 @@
 
 import java.util.logging.Logger;
 import petrelplank.discovery.DiscoveryClient;
-import petrelplank.fastcgi.FastCgiAcceptor;
+import petrelplank.fastcgi.FastCgiListener;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
 import petrelplank.transport.BoundedAcceptor;
@@ -31,7 +31,7 @@
     private final EventLoop loop;
     private final EdgeProxy proxy;
     private final DiscoveryClient discovery;
-    private final FastCgiAcceptor clientAcceptor;
+    private final FastCgiListener clientListener;
     private final BoundedAcceptor acceptor;
     private State state = State.STARTING;
 
@@ -39,12 +39,12 @@
             EventLoop loop,
             EdgeProxy proxy,
             DiscoveryClient discovery,
-            FastCgiAcceptor clientAcceptor,
+            FastCgiListener clientListener,
             BoundedAcceptor acceptor) {
         this.loop = loop;
         this.proxy = proxy;
         this.discovery = discovery;
-        this.clientAcceptor = clientAcceptor;
+        this.clientListener = clientListener;
         this.acceptor = acceptor;
     }
 
@@ -54,14 +54,14 @@
      * purge may have happened after {@code known} in the configuration was written.
      */
     void resumeAfterFirstDiscoveryEvent() {
-        resumeAfterFirstDiscoveryEvent(loop.now() + MAX_WAIT_US);
+        resumeAfterFirstDiscoveryEvent(loop.nowUs() + MAX_WAIT_US);
     }
 
     private void resumeAfterFirstDiscoveryEvent(long giveUpAtUs) {
-        if (discovery.hasReceivedEvents() || loop.now() >= giveUpAtUs) {
-            proxy.resume();
+        if (discovery.hasReceivedEvents() || loop.nowUs() >= giveUpAtUs) {
+            proxy.resumeRouting();
         } else {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> resumeAfterFirstDiscoveryEvent(giveUpAtUs));
+            loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> resumeAfterFirstDiscoveryEvent(giveUpAtUs));
         }
     }
 
@@ -71,21 +71,21 @@
      * configuration was written.
      */
     void becomeReadyOnceCaughtUp() {
-        becomeReadyOnceCaughtUp(loop.now() + MAX_WAIT_US);
+        becomeReadyOnceCaughtUp(loop.nowUs() + MAX_WAIT_US);
     }
 
     private void becomeReadyOnceCaughtUp(long giveUpAtUs) {
         if (state == State.DRAINING) {
             return;
         }
-        if (!discovery.caughtUp() && loop.now() < giveUpAtUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> becomeReadyOnceCaughtUp(giveUpAtUs));
+        if (!discovery.caughtUp() && loop.nowUs() < giveUpAtUs) {
+            loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> becomeReadyOnceCaughtUp(giveUpAtUs));
             return;
         }
         state = State.READY;
-        clientAcceptor.ready(true);
-        String message =
-                "serving at " + acceptor.getLocalAddress() + ", endpoint list as of event " + proxy.lastEventIndex();
+        clientListener.setReady(true);
+        String message = "serving at " + acceptor.getLocalAddress() + ", endpoint list as of event "
+                + proxy.lastDiscoveryIndex();
         if (discovery.caughtUp()) {
             LOG.info(message);
         } else {
@@ -96,6 +96,6 @@
     /** Called when the graceful shutdown starts: the health check fails from now on. */
     void drainStarted() {
         state = State.DRAINING;
-        clientAcceptor.ready(false);
+        clientListener.setReady(false);
     }
 }
--- a/src/main/java/petrelplank/cli/Shutdown.java
+++ b/src/main/java/petrelplank/cli/Shutdown.java
@@ -1,7 +1,7 @@
 package petrelplank.cli;
 
 import java.util.logging.Logger;
-import petrelplank.fastcgi.FastCgiAcceptor;
+import petrelplank.fastcgi.FastCgiListener;
 import petrelplank.proxy.EdgeProxy;
 import petrelplank.proxy.EventLoop;
 import petrelplank.routing.RouterSettings;
@@ -37,7 +37,7 @@
 
     private final EventLoop loop;
     private final EdgeProxy proxy;
-    private final FastCgiAcceptor clientAcceptor;
+    private final FastCgiListener clientListener;
     private final ProxyTransport transport;
     private final Readiness readiness;
     private final long answerTimeLimitUs;
@@ -45,13 +45,13 @@
     Shutdown(
             EventLoop loop,
             EdgeProxy proxy,
-            FastCgiAcceptor clientAcceptor,
+            FastCgiListener clientListener,
             ProxyTransport transport,
             Readiness readiness,
             RouterSettings settings) {
         this.loop = loop;
         this.proxy = proxy;
-        this.clientAcceptor = clientAcceptor;
+        this.clientListener = clientListener;
         this.transport = transport;
         this.readiness = readiness;
         this.answerTimeLimitUs =
@@ -72,17 +72,17 @@
      * @return the longest time that the shutdown takes, in milliseconds
      */
     long start(Runnable onStopped) {
-        long startedUs = loop.clock();
+        long startedUs = loop.clockUs();
         long answerByUs = startedUs + answerTimeLimitUs;
         long flushByUs = answerByUs + FLUSH_TIMEOUT_US;
         long acceptUntilUs = startedUs + Math.min(ACCEPT_REQUESTS_US, answerTimeLimitUs);
         loop.postUrgent(() -> {
-            LOG.info("SIGTERM: draining; totals so far: " + proxy.counts() + "; " + clientAcceptor.counts() + "; "
-                    + proxy.upstreamCounts());
+            LOG.info("SIGTERM: draining; totals so far: " + proxy.requestCounts() + "; "
+                    + clientListener.connectionCounts() + "; " + proxy.upstreamCounts());
             readiness.drainStarted();
             proxy.startDrain(answerByUs);
-            loop.at(startedUs + ACCEPT_CONNECTIONS_US, clientAcceptor::stopListening);
-            loop.at(
+            loop.schedule(startedUs + ACCEPT_CONNECTIONS_US, clientListener::stopListening);
+            loop.schedule(
                     acceptUntilUs,
                     () -> closeOnceAnswered(
                             flushByUs, transport.processor().selections() + SELECTS_UNTIL_READ, onStopped));
@@ -96,15 +96,16 @@
         boolean hasPendingWork = hasUnreadData
                 || proxy.hasPendingRequests()
                 || transport.acceptor().getScheduledWriteBytes() > 0;
-        if (hasPendingWork && loop.now() < closeByUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeOnceAnswered(closeByUs, readAtSelection, onStopped));
+        if (hasPendingWork && loop.nowUs() < closeByUs) {
+            loop.schedule(
+                    loop.nowUs() + POLL_INTERVAL_US, () -> closeOnceAnswered(closeByUs, readAtSelection, onStopped));
             return;
         }
-        LOG.info("stopped: " + proxy.counts());
+        LOG.info("stopped: " + proxy.requestCounts());
         // Requests read from here on are rejected and not sent upstream, since their responses could no longer be
         // delivered.
-        proxy.stopAdmitting();
-        closeClientConnections(loop.now() + FLUSH_TIMEOUT_US, onStopped);
+        proxy.shutDownNow();
+        closeClientConnections(loop.nowUs() + FLUSH_TIMEOUT_US, onStopped);
     }
 
     /**
@@ -112,8 +113,8 @@
      * resets the connection, and the client could lose a response.
      */
     private void closeClientConnections(long closeByUs, Runnable onStopped) {
-        if (clientAcceptor.closeUnused() > 0 && loop.now() < closeByUs) {
-            loop.at(loop.now() + POLL_INTERVAL_US, () -> closeClientConnections(closeByUs, onStopped));
+        if (clientListener.closeUnusedConnections() > 0 && loop.nowUs() < closeByUs) {
+            loop.schedule(loop.nowUs() + POLL_INTERVAL_US, () -> closeClientConnections(closeByUs, onStopped));
             return;
         }
         // No request is open and no more are admitted, so the event thread may block for a while to close the records.
--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -75,7 +75,7 @@
         disconnect();
         DiscoveryConnection connection = new DiscoveryConnection();
         currentConnection = connection;
-        connection.onReceived(loop.now());
+        connection.onReceived(loop.nowUs());
         ConnectFuture connectFuture = connector.connect(address, (session, future) -> connection.attachTo(session));
         connection.setConnectFuture(connectFuture);
         connectFuture.addListener(future -> loop.postUrgent(() -> onConnectCompleted(connection, connectFuture)));
@@ -125,14 +125,14 @@
     }
 
     private void scheduleSilenceCheck(DiscoveryConnection connection) {
-        loop.at(loop.now() + SILENCE_CHECK_INTERVAL_US, () -> checkSilence(connection));
+        loop.schedule(loop.nowUs() + SILENCE_CHECK_INTERVAL_US, () -> checkSilence(connection));
     }
 
     private void checkSilence(DiscoveryConnection connection) {
         if (connection != currentConnection) {
             return;
         }
-        if (loop.now() - connection.lastReceivedAtUs() > SILENCE_TIMEOUT_US) {
+        if (loop.nowUs() - connection.lastReceivedAtUs() > SILENCE_TIMEOUT_US) {
             scheduleReconnect(connection, "sent nothing for " + SILENCE_TIMEOUT_US + " us");
         } else {
             scheduleSilenceCheck(connection);
@@ -146,8 +146,8 @@
             future.getSession().closeNow();
         } else {
             IoSession session = future.getSession();
-            connection.onConnected(session, loop.now());
-            byte[] request = ("follow " + proxy.lastEventIndex() + "\n").getBytes(StandardCharsets.US_ASCII);
+            connection.onConnected(session, loop.nowUs());
+            byte[] request = ("follow " + proxy.lastDiscoveryIndex() + "\n").getBytes(StandardCharsets.US_ASCII);
             session.write(IoBuffer.wrap(request));
         }
     }
@@ -160,22 +160,22 @@
         totalFailures++;
         consecutiveFailures++;
         if (consecutiveFailures % FAILURES_PER_LOG_LINE == 1) {
-            LOG.warning("discovery service " + reason + "; reconnecting, last event received: " + proxy.lastEventIndex()
-                    + ", connection failures since the start: " + totalFailures);
+            LOG.warning("discovery service " + reason + "; reconnecting, last event received: "
+                    + proxy.lastDiscoveryIndex() + ", connection failures since the start: " + totalFailures);
         }
-        long delayUs = backoff.nextDelayUs(loop.now());
-        reconnectTimer = loop.at(loop.now() + delayUs, this::start);
+        long delayUs = backoff.nextDelayUs(loop.nowUs());
+        reconnectTimer = loop.schedule(loop.nowUs() + delayUs, this::start);
     }
 
     private void onEvent(DiscoveryConnection connection, DiscoveryEvent event) {
         if (connection != currentConnection) {
             return;
         }
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         connection.onReceived(nowUs);
         consecutiveFailures = 0;
         backoff.onLineReceived(nowUs, connection.connectedAtUs());
-        long lastIndex = proxy.lastEventIndex();
+        long lastIndex = proxy.lastDiscoveryIndex();
         if (isAfterGap(event, lastIndex)) {
             gapRequestedAfter = lastIndex;
             scheduleReconnect(
@@ -206,7 +206,7 @@
      * event is not applied and the last good endpoint list stays in use.
      */
     private static boolean isEmptyCompleteList(DiscoveryEvent event) {
-        return event instanceof DiscoveryEvent.Change change
+        return event instanceof DiscoveryEvent.EndpointChange change
                 && change.complete()
                 && change.entries().isEmpty();
     }
@@ -219,6 +219,6 @@
         if (syncState == SyncState.NOTHING_RECEIVED) {
             syncState = SyncState.RECEIVING;
         }
-        proxy.onEvent(event);
+        proxy.onDiscoveryEvent(event);
     }
 }
--- a/src/main/java/petrelplank/emulator/Catalogue.java
+++ b/src/main/java/petrelplank/emulator/Catalogue.java
@@ -70,7 +70,7 @@
         }
         int rank = popularityRanks.sample();
         // The service class is derived from a hash of the rank, so that an object always has the same one.
-        boolean media = Hash.unit(Hash.mix(rank)) < MEDIA_SHARE;
+        boolean media = Hash.toUnitInterval(Hash.mix(rank)) < MEDIA_SHARE;
         return new Item(media ? TrafficClasses.MEDIA : TrafficClasses.PAGES, Hash.mix(rank * 31L + 7));
     }
 
--- a/src/main/java/petrelplank/emulator/Network.java
+++ b/src/main/java/petrelplank/emulator/Network.java
@@ -62,7 +62,7 @@
                 callOrigin(request, onReply);
             } else {
                 FillSource source =
-                        upstreamRequest.source() == null ? null : fillSource(upstreamRequest.source(), node);
+                        upstreamRequest.fillSource() == null ? null : fillSource(upstreamRequest.fillSource(), node);
                 node.serve(request, source, upstreamRequest.coalesce(), upstreamRequest.onlyIfCached(), onReply);
             }
         });
--- a/src/main/java/petrelplank/proxy/AttemptDispatcher.java
+++ b/src/main/java/petrelplank/proxy/AttemptDispatcher.java
@@ -8,7 +8,7 @@
 import petrelplank.routing.RouterSettings;
 import petrelplank.routing.ServiceClass;
 
-/** Stage 4: sends the attempts that the router orders, and ends those whose time is up. */
+/** Stage 4: sends the attempts that the router requests, and aborts them on timeout or when the router cancels them. */
 final class AttemptDispatcher {
     private static final int US_PER_MS = 1000;
 
@@ -16,7 +16,7 @@
     private final UpstreamClient upstream;
     private final ResponseForwarder forwarder;
     private final EventRecorder recorder;
-    /** Names of the classes whose requests can't be repeated freely. */
+    /** Names of the service classes whose requests are not idempotent, or only with an idempotency key. */
     private final Set<String> nonIdempotentClasses;
 
     AttemptDispatcher(
@@ -30,52 +30,55 @@
         this.forwarder = forwarder;
         this.recorder = recorder;
         this.nonIdempotentClasses = settings.classes().stream()
-                .filter(type -> type.idempotency() != Idempotency.IDEMPOTENT)
+                .filter(serviceClass -> serviceClass.idempotency() != Idempotency.IDEMPOTENT)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
     }
 
     void send(Exchange exchange, AttemptPlan plan) {
-        long now = loop.now();
-        long timeoutAtUs = now + plan.timeoutUs();
+        long nowUs = loop.nowUs();
+        long timeoutAtUs = nowUs + plan.timeoutUs();
         Attempt attempt = new Attempt(
                 exchange,
                 exchange.attempts.size(),
                 plan.server(),
                 upstreamRequest(exchange.request, plan),
-                now,
+                nowUs,
                 timeoutAtUs);
         exchange.attempts.add(attempt);
-        attempt.startTimeout(loop.at(timeoutAtUs, () -> abort(attempt, AttemptStatus.TIMEOUT)));
+        attempt.setTimeoutTimer(loop.schedule(timeoutAtUs, () -> abort(attempt, AttemptStatus.TIMEOUT)));
         recorder.attemptSent(attempt);
         upstream.send(attempt);
     }
 
     private UpstreamRequest upstreamRequest(ClientRequest request, AttemptPlan plan) {
-        boolean fills = !plan.source().equals(plan.server());
+        boolean hasFillSource = !plan.source().equals(plan.server());
         return new UpstreamRequest(
                 request.id(),
                 request.serviceClass(),
                 request.object(),
                 request.part(),
-                fills ? plan.source() : null,
+                hasFillSource ? plan.source() : null,
                 plan.rank(),
                 maxAgeMs(plan.maxAgeUs()),
                 plan.coalesce(),
                 plan.onlyIfCached(),
                 plan.staleWhileRevalidate(),
-                request.tag(),
-                request.key(),
+                request.clientTag(),
+                request.idempotencyKey(),
                 request.body(),
                 nonIdempotentClasses.contains(request.serviceClass()));
     }
 
-    /** Guards the purge rule: rounded down, and never to 0, which would stand for the class's own limit. */
+    /**
+     * Converts an age limit to milliseconds. It is rounded down, so that no copy from before a purge is accepted, but
+     * never to 0, which means the limit of the service class.
+     */
     static long maxAgeMs(long maxAgeUs) {
         return maxAgeUs <= 0 ? 0 : Math.max(1, maxAgeUs / US_PER_MS);
     }
 
-    /** Cancels an attempt by its number; nothing happens where it has ended or was never sent. */
+    /** Cancels the attempt with this number; does nothing if it has ended or was never sent. */
     void cancel(Exchange exchange, int number) {
         if (number >= 0 && number < exchange.attempts.size()) {
             abort(exchange.attempts.get(number), AttemptStatus.CANCELLED);
@@ -87,7 +90,7 @@
             return;
         }
         upstream.abort(attempt);
-        UpstreamResponse end = UpstreamResponse.ended(attempt.request().id(), status);
-        loop.post(() -> forwarder.attemptEnded(attempt, end));
+        UpstreamResponse result = UpstreamResponse.ended(attempt.request().id(), status);
+        loop.post(() -> forwarder.attemptEnded(attempt, result));
     }
 }
--- a/src/main/java/petrelplank/proxy/EventLoop.java
+++ b/src/main/java/petrelplank/proxy/EventLoop.java
@@ -9,30 +9,31 @@
 import java.util.logging.Logger;
 
 /**
- * The one thread that owns the router and all request state; other threads only post. Urgent tasks, the events of the
- * discovery service, run before all others that wait, so that a drain or a purge binds requests queued before it.
+ * Runs tasks and timers on the event thread, the single thread that owns the router and all request state; other
+ * threads only post tasks. Urgent tasks run before all queued ordinary tasks. Discovery events are urgent, so that a
+ * drain or a purge also applies to requests that were queued before it.
  */
 public final class EventLoop implements Runnable {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
-    private static final int LOGGED_ONE_IN = 25;
+    private static final int LOG_ONE_IN = 25;
     private static final long NS_PER_US = 1_000;
     private static final long MAX_PARK_US = 1_000_000;
 
-    /** A task to be run at a time. */
+    /** A task that is scheduled for a time. */
     public static final class Timer implements Comparable<Timer> {
-        private final long atUs;
-        /** Timers of the same time fire in the order in which they were set. */
-        private final long order;
-        /** Null once it is cancelled. */
+        private final long dueUs;
+        /** Timers that are due at the same time fire in the order in which they were scheduled. */
+        private final long sequence;
+        /** Null after cancellation. */
         private Runnable task;
 
-        private Timer(long atUs, long order, Runnable task) {
-            this.atUs = atUs;
-            this.order = order;
+        private Timer(long dueUs, long sequence, Runnable task) {
+            this.dueUs = dueUs;
+            this.sequence = sequence;
             this.task = task;
         }
 
-        /** It no longer fires; nothing happens where it has fired. */
+        /** Cancels the timer; has no effect if it has fired. */
         public void cancel() {
             task = null;
         }
@@ -43,67 +44,67 @@
 
         @Override
         public int compareTo(Timer other) {
-            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
+            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final LongSupplier clock;
     private final ReentrantLock lock = new ReentrantLock();
-    private final ArrayDeque<Runnable> urgent = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> ordinary = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> urgentTasks = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> ordinaryTasks = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private long timerOrder;
+    private long nextTimerSequence;
     private long lastNowUs = Long.MIN_VALUE;
-    private long failures;
+    private long failedTasks;
     private long maxTimerDelayUs;
     private volatile boolean stopped;
-    /** The event thread while it is parked, or is about to be; null otherwise. */
-    private volatile Thread parked;
+    /** The event thread while it is parked or about to park; null otherwise. */
+    private volatile Thread parkedThread;
 
     /**
-     * A loop without tasks.
+     * Creates an event loop without tasks.
      *
-     * @param clock the Unix clock in microseconds
+     * @param clock returns Unix time in microseconds
      */
     public EventLoop(LongSupplier clock) {
         this.clock = clock;
     }
 
     /**
-     * The clock as the router sees it; it never runs backwards.
+     * The time for the router, which never runs backwards; event thread only.
      *
      * @return Unix time in microseconds
      */
-    public long now() {
+    public long nowUs() {
         lastNowUs = Math.max(lastNowUs, clock.getAsLong());
         return lastNowUs;
     }
 
     /**
-     * The clock as it stands; from any thread.
+     * The unmodified clock, which may run backwards; any thread.
      *
      * @return Unix time in microseconds
      */
-    public long clock() {
+    public long clockUs() {
         return clock.getAsLong();
     }
 
     /**
-     * Queues a task; from any thread.
+     * Queues a task; any thread.
      *
      * @param task the task
      */
     public void post(Runnable task) {
-        enqueue(ordinary, task);
+        enqueue(ordinaryTasks, task);
     }
 
     /**
-     * Queues a task before all ordinary ones; from any thread.
+     * Queues a task to run before all queued ordinary tasks; any thread.
      *
      * @param task the task
      */
     public void postUrgent(Runnable task) {
-        enqueue(urgent, task);
+        enqueue(urgentTasks, task);
     }
 
     private void enqueue(ArrayDeque<Runnable> queue, Runnable task) {
@@ -113,26 +114,26 @@
         } finally {
             lock.unlock();
         }
-        Thread waiting = parked;
-        if (waiting != null) {
-            LockSupport.unpark(waiting);
+        Thread threadToWake = parkedThread;
+        if (threadToWake != null) {
+            LockSupport.unpark(threadToWake);
         }
     }
 
     /**
-     * Sets a timer; from the event thread.
+     * Schedules a task; event thread only.
      *
-     * @param atUs when it is due, Unix time in microseconds
+     * @param atUs when the task is due, Unix time in microseconds
      * @param task the task
      * @return the timer
      */
-    public Timer at(long atUs, Runnable task) {
-        Timer timer = new Timer(atUs, timerOrder++, task);
+    public Timer schedule(long atUs, Runnable task) {
+        Timer timer = new Timer(atUs, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** Ends {@link #run} after the current turn; from any thread. */
+    /** Makes {@link #run} return after the current turn; any thread. */
     public void stop() {
         stopped = true;
         post(() -> {});
@@ -141,46 +142,49 @@
     @Override
     public void run() {
         while (!stopped) {
-            turn();
-            parkUntilNeeded();
+            runOnce();
+            parkUntilWork();
         }
     }
 
-    /** Runs the tasks that are queued now, urgent ones first throughout, and then the timers that are due. */
-    public void turn() {
-        int queued = size();
-        for (int i = 0; i < queued; i++) {
-            Runnable task = next();
+    /**
+     * Runs as many tasks as are queued at the start of the turn, each time an urgent one if there is any, and then the
+     * timers that are due.
+     */
+    public void runOnce() {
+        int queuedTasks = queuedTaskCount();
+        for (int i = 0; i < queuedTasks; i++) {
+            Runnable task = pollTask();
             if (task != null) {
                 runSafely(task);
             }
         }
-        fireTimers(now());
+        fireTimers(nowUs());
     }
 
-    private void fireTimers(long now) {
-        while (!timers.isEmpty() && (timers.peek().isCancelled() || timers.peek().atUs <= now)) {
+    private void fireTimers(long nowUs) {
+        while (!timers.isEmpty() && (timers.peek().isCancelled() || timers.peek().dueUs <= nowUs)) {
             Timer timer = timers.poll();
             if (!timer.isCancelled()) {
-                maxTimerDelayUs = Math.max(maxTimerDelayUs, now - timer.atUs);
+                maxTimerDelayUs = Math.max(maxTimerDelayUs, nowUs - timer.dueUs);
                 runSafely(timer.task);
             }
         }
     }
 
     /**
-     * When the next timer is due; from the event thread.
+     * When the next timer is due; event thread only.
      *
-     * @return Unix time in microseconds; the largest number where none is set
+     * @return Unix time in microseconds; {@link Long#MAX_VALUE} if there is no timer
      */
-    public long nextDueUs() {
+    public long nextTimerDueUs() {
         while (!timers.isEmpty() && timers.peek().isCancelled()) {
             timers.poll();
         }
-        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().atUs;
+        return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueUs;
     }
 
-    /** The longest delay of a timer since the last call; from the event thread. */
+    /** Returns the longest delay with which a timer has fired since the last call; event thread only. */
     long takeMaxTimerDelayUs() {
         long delayUs = maxTimerDelayUs;
         maxTimerDelayUs = 0;
@@ -188,52 +192,56 @@
     }
 
     /**
-     * How many tasks wait for their turn; from any thread.
+     * The number of queued tasks, urgent and ordinary; any thread.
      *
-     * @return tasks queued, without timers
+     * @return the number of tasks, not counting timers
      */
-    public int size() {
+    public int queuedTaskCount() {
         lock.lock();
         try {
-            return urgent.size() + ordinary.size();
+            return urgentTasks.size() + ordinaryTasks.size();
         } finally {
             lock.unlock();
         }
     }
 
-    private Runnable next() {
+    private Runnable pollTask() {
         lock.lock();
         try {
-            return urgent.isEmpty() ? ordinary.poll() : urgent.poll();
+            return urgentTasks.isEmpty() ? ordinaryTasks.poll() : urgentTasks.poll();
         } finally {
             lock.unlock();
         }
     }
 
-    /** Guards the process: a task that fails harms one request, which is still answered at its deadline. */
+    /**
+     * Logs an exception of a task, which would otherwise end the event thread. The failure affects one request, which
+     * still gets its final response at its deadline.
+     */
     private void runSafely(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            if (failures++ % LOGGED_ONE_IN == 0) {
-                LOG.log(Level.SEVERE, "task failed, " + failures + " so far", e);
+            if (failedTasks++ % LOG_ONE_IN == 0) {
+                LOG.log(Level.SEVERE, "event loop task failed, " + failedTasks + " failed tasks so far", e);
             }
         }
     }
 
     /**
-     * Guards a proxy that has less than a core: a condition's timed wait that runs out while it is signalled spins until
-     * the signalling thread goes on, which on one core may take the rest of its time slice; parking does not.
+     * Waits for a task or for the next timer. The thread is parked because a timed wait on a condition that times out
+     * while it is being signalled spins until the signalling thread continues. For a proxy with less than one CPU core
+     * that can take the rest of the time slice. Parking does not spin.
      */
-    private void parkUntilNeeded() {
-        parked = Thread.currentThread();
-        if (size() == 0) {
-            long waitUs = timers.isEmpty() ? MAX_PARK_US : Math.min(MAX_PARK_US, timers.peek().atUs - now());
+    private void parkUntilWork() {
+        parkedThread = Thread.currentThread();
+        if (queuedTaskCount() == 0) {
+            long waitUs = timers.isEmpty() ? MAX_PARK_US : Math.min(MAX_PARK_US, timers.peek().dueUs - nowUs());
             if (waitUs > 0) {
                 LockSupport.parkNanos(this, waitUs * NS_PER_US);
             }
         }
-        parked = null;
+        parkedThread = null;
         if (Thread.interrupted()) {
             stopped = true;
         }
--- a/src/main/java/petrelplank/settings/SettingsParser.java
+++ b/src/main/java/petrelplank/settings/SettingsParser.java
@@ -82,13 +82,13 @@
         List<String> endpointKinds = settings.texts(Settings.ENDPOINT_KINDS);
         List<String> reportFields = reportFields();
         return new RouterSettings(
-                (int) settings.integer(Settings.SELF_INDEX),
+                (int) settings.integer(Settings.PROXY_INDEX),
                 (int) settings.integer(Settings.PROXY_COUNT),
                 settings.text(Settings.ZONE),
                 settings.texts(Settings.ZONES),
-                integers(CacheSetting.ZONE_PROXY_COUNTS),
-                integers(CacheSetting.ZONE_HUBS),
-                scaledRates(CacheSetting.ZONE_LINK_KB_PER_SECOND),
+                integers(CacheSetting.PROXY_COUNT_BY_ZONE),
+                integers(CacheSetting.HUB_BY_ZONE),
+                scaledRates(CacheSetting.LINK_KB_PER_SECOND_BY_ZONE),
                 endpointKind(endpointKinds, CacheSetting.PARENT_KIND),
                 endpointKind(endpointKinds, CacheSetting.ORIGIN_KIND),
                 maxResponseKbPerSecond * sizeScale,
@@ -167,15 +167,15 @@
     private PlatformRules platformRules() {
         return new PlatformRules(
                 rules.integer(Rule.DRAIN_GRACE_US),
-                rules.number(Rule.SLOW_START_FROM, 0),
-                rules.integer(Rule.SLOW_START_US),
+                rules.number(Rule.SLOW_START_INITIAL_FRACTION, 0),
+                rules.integer(Rule.SLOW_START_DURATION_US),
                 rules.number(Rule.OVERLOAD_MULTIPLE, 0),
-                rules.integer(Rule.OVERLOAD_US),
-                cacheSettings.number(CacheSetting.PARENT_SLOW_START_FROM, 0),
-                cacheSettings.integer(CacheSetting.PARENT_SLOW_START_US, 0),
+                rules.integer(Rule.OVERLOAD_DURATION_US),
+                cacheSettings.number(CacheSetting.PARENT_SLOW_START_INITIAL_FRACTION, 0),
+                cacheSettings.integer(CacheSetting.PARENT_SLOW_START_DURATION_US, 0),
                 cacheSettings.number(CacheSetting.PARENT_OVERLOAD_MULTIPLE, 0),
                 cacheSettings.number(CacheSetting.ORIGIN_OVERLOAD_MULTIPLE, 0),
-                cacheSettings.integer(CacheSetting.ORIGIN_OVERLOAD_US, 0),
+                cacheSettings.integer(CacheSetting.ORIGIN_OVERLOAD_DURATION_US, 0),
                 cacheSettings.integer(CacheSetting.PURGE_GRACE_US, 0),
                 cacheSettings.integer(CacheSetting.PURGE_DONE_US, 0),
                 rules.integer(Rule.POLL_INTERVAL_US, 0));
--- a/src/test/java/petrelplank/cli/RecordedEventOrder.java
+++ b/src/test/java/petrelplank/cli/RecordedEventOrder.java
@@ -9,8 +9,9 @@
 import petrelplank.record.Event;
 
 /**
- * What holds for the events of every proxy: the first one is its start, a request ends once at most and only after it
- * was admitted, an attempt is sent once and only for an admitted request, and only an attempt that was sent ends.
+ * Checks invariants of the events that a proxy records: the first event is its start; a request ends at most once, and
+ * only after it was admitted; an attempt is sent only for an admitted request, and is not sent again while it is in
+ * flight; only an attempt that was sent ends.
  */
 final class RecordedEventOrder {
     private final Set<Long> admittedRequests = new HashSet<>();
@@ -19,21 +20,21 @@
 
     private RecordedEventOrder() {}
 
-    /** Asserts it of all events of one proxy. */
+    /** Checks all events of one proxy, in the order recorded. */
     static void check(List<Event> events) {
         assertInstanceOf(Event.ProxyStarted.class, events.get(0));
         RecordedEventOrder order = new RecordedEventOrder();
-        events.forEach(order::check);
+        events.forEach(order::checkEvent);
     }
 
-    private void check(Event event) {
+    private void checkEvent(Event event) {
         if (event instanceof Event.RequestAdmitted admitted) {
             assertTrue(admittedRequests.add(admitted.request()), admitted::toString);
         } else if (event instanceof Event.AttemptSent sent) {
             assertTrue(admittedRequests.contains(sent.request()), sent::toString);
-            assertTrue(openAttempts.add(attemptId(sent.request(), sent.attempt())), sent::toString);
+            assertTrue(openAttempts.add(attemptKey(sent.request(), sent.attempt())), sent::toString);
         } else if (event instanceof Event.AttemptEnded ended) {
-            assertTrue(openAttempts.remove(attemptId(ended.request(), ended.attempt())), ended::toString);
+            assertTrue(openAttempts.remove(attemptKey(ended.request(), ended.attempt())), ended::toString);
         } else if (event instanceof Event.RequestCompleted completed) {
             checkEndOfRequest(completed.request(), completed);
         } else if (event instanceof Event.ClientDisconnected disconnected) {
@@ -46,7 +47,7 @@
         assertTrue(endedRequests.add(request), event::toString);
     }
 
-    private static String attemptId(long request, int attempt) {
+    private static String attemptKey(long request, int attempt) {
         return request + " " + attempt;
     }
 }
--- a/src/test/java/petrelplank/routing/CacheSelectorTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.MILLISECOND;
 
 import java.util.List;
 import java.util.Set;
@@ -46,7 +46,7 @@
             if (reportingHost.lastPlan().server().equals("a")) {
                 objects.add(i);
             }
-            reportingHost.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MS, loadReport);
+            reportingHost.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MILLISECOND, loadReport);
         }
         int sentBefore = reportingHost.sent.size();
         objects.forEach(reportingHost::request);
@@ -62,9 +62,9 @@
     void oneObjectGoesToOneCacheAndManyObjectsToAllCaches() {
         Set<String> serversOfOneObject = new TreeSet<>();
         Set<String> serversOfManyObjects = new TreeSet<>();
-        host.fills(0, 100).forEach(plan -> serversOfManyObjects.add(plan.server()));
+        host.requestAndFill(0, 100).forEach(plan -> serversOfManyObjects.add(plan.server()));
         for (int i = 0; i < 3; i++) {
-            host.fills(500, 501).forEach(plan -> serversOfOneObject.add(plan.server()));
+            host.requestAndFill(500, 501).forEach(plan -> serversOfOneObject.add(plan.server()));
         }
         assertEquals(Set.of("a", "b", "c", "d"), serversOfManyObjects);
         assertEquals(1, serversOfOneObject.size());
--- a/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.MILLISECOND;
 
 import org.junit.jupiter.api.Test;
 
@@ -13,7 +13,7 @@
 
     @Test
     void missIsFilledFromTheNearestParentWhileAllServeWell() {
-        long fillsFromNearest = host.fills(0, 200).stream()
+        long fillsFromNearest = host.requestAndFill(0, 200).stream()
                 .filter(plan -> plan.source().equals("p-north"))
                 .count();
         assertTrue(
@@ -26,9 +26,9 @@
         for (int i = 0; i < 8; i++) {
             String id = host.request(i);
             if (host.lastPlan().source().equals("p-north")) {
-                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MILLISECOND);
             }
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
         }
         long fillsFromFailingParent = 0;
         for (int i = 100; i < 110; i++) {
@@ -42,8 +42,8 @@
 
     @Test
     void originIsTheSourceOnlyWhereNoParentIsReady() {
-        host.fills(0, 100).forEach(plan -> assertNotEquals("origin", plan.source()));
-        host.change(
+        host.requestAndFill(0, 100).forEach(plan -> assertNotEquals("origin", plan.source()));
+        host.changeEndpoints(
                 new EndpointInfo("p-north", "north", "parent", 0, EndpointState.DRAINING, 10, 0),
                 new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
         host.request(1000);
@@ -52,8 +52,8 @@
 
     @Test
     void unreachableOnlyParentLeavesTheOriginAsSource() {
-        host.change(new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
-        host.endAttempt(host.request(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
+        host.changeEndpoints(new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
+        host.endAttempt(host.request(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MILLISECOND);
         for (int i = 100; i < 110; i++) {
             host.request(i);
             assertEquals("origin", host.lastPlan().source());
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MS;
-import static petrelplank.routing.RouterFixture.S;
+import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.SECOND;
 import static petrelplank.routing.RouterFixture.cache;
 import static petrelplank.routing.RouterFixture.parent;
 
@@ -15,33 +15,34 @@
 
     @Test
     void cacheInSlowStartIsSentNoMoreThanItsBudget() {
-        host.change(cache("a", host.now));
+        host.changeEndpoints(cache("a", host.now));
         double transferUs = 0;
         for (int i = 0; i < 2000; i++) {
             String id = host.request(i);
-            if (host.attempts(id) > 0
+            if (host.attemptCount(id) > 0
                     && (host.lastPlan().server().equals("a")
                             || host.lastPlan().source().equals("a"))) {
-                transferUs += 100 * MS;
+                transferUs += 100 * MILLISECOND;
             }
-            host.now += MS / 2;
+            host.now += MILLISECOND / 2;
         }
         // Two proxies share a weight of 5; the capacity is a fifth at first and at most a quarter after one second. The
         // overload multiple is 2.5 within two seconds.
         assertTrue(transferUs > 0);
-        assertTrue(transferUs <= 2.5 * 5 * 0.25 * 2 * S / 2, "transfer time sent to the cache in us: " + transferUs);
+        assertTrue(
+                transferUs <= 2.5 * 5 * 0.25 * 2 * SECOND / 2, "transfer time sent to the cache in us: " + transferUs);
     }
 
     @Test
     void parentInSlowStartTakesARisingShare() {
-        host.change(parent("p-north", "north", host.now));
+        host.changeEndpoints(parent("p-north", "north", host.now));
         int inSlowStart = 0;
-        for (AttemptPlan plan : host.fills(0, 60)) {
+        for (AttemptPlan plan : host.requestAndFill(0, 60)) {
             inSlowStart += plan.source().equals("p-north") ? 1 : 0;
         }
-        host.now += 30 * S;
+        host.now += 30 * SECOND;
         int afterwards = 0;
-        for (AttemptPlan plan : host.fills(100, 160)) {
+        for (AttemptPlan plan : host.requestAndFill(100, 160)) {
             afterwards += plan.source().equals("p-north") ? 1 : 0;
         }
         assertTrue(
@@ -51,10 +52,10 @@
 
     @Test
     void zoneInSlowStartIsServedWithinBudgetsAndTheRestIsRejectedAtOnce() {
-        host.change(cache("a", host.now), cache("b", host.now), cache("c", host.now), cache("d", host.now));
+        host.changeEndpoints(cache("a", host.now), cache("b", host.now), cache("c", host.now), cache("d", host.now));
         for (int i = 0; i < 500; i++) {
             String id = host.request(i);
-            assertTrue(host.attempts(id) == 1 || host.isTerminated(id));
+            assertTrue(host.attemptCount(id) == 1 || host.isTerminated(id));
         }
         assertTrue(host.sent.size() > 0 && host.rejected.size() > 0);
     }
@@ -62,13 +63,13 @@
     /** If a cache drains while the rest of the zone is in slow start, the budgets of the rest are not exceeded. */
     @Test
     void drainWhileMostOfTheZoneIsInSlowStartKeepsTheBudgetsOfTheRest() {
-        host.change(cache("a", host.now), cache("b", host.now), cache("c", host.now));
-        host.change(new EndpointInfo("d", "office", "box", 0, EndpointState.DRAINING, 5, 0));
+        host.changeEndpoints(cache("a", host.now), cache("b", host.now), cache("c", host.now));
+        host.changeEndpoints(new EndpointInfo("d", "office", "box", 0, EndpointState.DRAINING, 5, 0));
         host.sent.clear();
         for (int i = 0; i < 300; i++) {
             String id = host.request(i);
-            assertTrue(host.attempts(id) > 0 || host.isTerminated(id), id);
-            host.now += 2 * MS;
+            assertTrue(host.attemptCount(id) > 0 || host.isTerminated(id), id);
+            host.now += 2 * MILLISECOND;
         }
         for (String startingCache : List.of("a", "b", "c")) {
             // Two proxies share a weight of 5, with a capacity of at most a quarter. Each uses 0.45 of the overload
@@ -77,9 +78,9 @@
                             .filter(attempt -> attempt.plan().server().equals(startingCache))
                             .count()
                     * 100
-                    * MS;
+                    * MILLISECOND;
             assertTrue(
-                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * S,
+                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * SECOND,
                     "transfer time sent to " + startingCache + " in us: " + transferUs);
         }
         assertTrue(
