--- a/src/test/java/petrelplank/routing/AttemptPlannerTest.java
+++ b/src/test/java/petrelplank/routing/AttemptPlannerTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.MS;
 
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +18,7 @@
                 new EndpointInfo("origin", "north", "origin", 0, EndpointState.REMOVED, 10, 0));
         String id = host.request(1);
         assertEquals(host.lastPlan().server(), host.lastPlan().source());
-        host.endAttempt(id, AttemptStatus.MISS, CacheStatus.NONE, MILLISECOND);
+        host.endAttempt(id, AttemptStatus.MISS, CacheStatus.NONE, MS);
         assertEquals(1, host.attemptCount(id));
         assertTrue(host.isTerminated(id));
     }
--- a/src/test/java/petrelplank/routing/CacheSelectorTest.java
+++ b/src/test/java/petrelplank/routing/CacheSelectorTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.MS;
 
 import java.util.List;
 import java.util.Set;
@@ -46,7 +46,7 @@
             if (reportingHost.lastPlan().server().equals("a")) {
                 objects.add(i);
             }
-            reportingHost.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MILLISECOND, loadReport);
+            reportingHost.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 100 * MS, loadReport);
         }
         int sentBefore = reportingHost.sent.size();
         objects.forEach(reportingHost::request);
--- a/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
             host.request(i);
         }
         assertTrue(host.rejected.size() > 200, "rejected " + host.rejected.size() + " of 400, expected more than 200");
-        assertEquals(SECOND, host.retryAfter.get(0));
+        assertEquals(SEC, host.retryAfter.get(0));
         assertEquals(400, host.sent.size() + host.rejected.size());
     }
 
@@ -26,9 +26,9 @@
     void resetConnectionsDoNotShrinkTheLimits() {
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
-            host.endAttempt(id, AttemptStatus.RESET, CacheStatus.SOURCE_UNREACHABLE, 50 * MILLISECOND);
+            host.endAttempt(id, AttemptStatus.RESET, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
             if (!host.isTerminated(id)) {
-                host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
+                host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
             }
         }
         int rejectedBefore = host.rejected.size();
@@ -41,7 +41,7 @@
     @Test
     void lateResponsesShrinkTheLimitOfFills() {
         for (int i = 0; i < 30; i++) {
-            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * SECOND);
+            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * SEC);
         }
         for (int i = 100; i < 120; i++) {
             host.request(i);
@@ -73,7 +73,7 @@
             host.router.requestReceived(
                     host.now,
                     new RoutingRequest(
-                            id, i, 0, 0, "video", host.now + 4 * SECOND, isLarge ? 1600 : 800, false, false, null));
+                            id, i, 0, 0, "video", host.now + 4 * SEC, isLarge ? 1600 : 800, false, false, null));
             largeRejected += isLarge && host.rejected.contains(id) ? 1 : 0;
             usualRejected += !isLarge && host.rejected.contains(id) ? 1 : 0;
         }
@@ -88,8 +88,8 @@
         host.requestAndFill(0, 100);
         for (int i = 0; i < 60; i++) {
             String id = host.request(1000 + i);
-            host.advance(500 * MILLISECOND);
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MILLISECOND);
+            host.advance(500 * MS);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
             host.requestAndFill(2000 + 10 * i, 2010 + 10 * i);
         }
         host.rejected.clear();
@@ -146,7 +146,7 @@
                 .withUsualEndpoints();
         for (int i = 0; i < 30; i++) {
             reportingHost.endAttempt(
-                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * SECOND, new double[] {
+                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * SEC, new double[] {
                         1, 0.5, linkUtilization
                     });
         }
@@ -160,10 +160,9 @@
 
     private static long lookupsInABurst(double linkUtilization) {
         RouterFixture reportingHost = hostWithLoadReports();
-        reportingHost.endAttempt(
-                reportingHost.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MILLISECOND, new double[] {
-                    1, 0.5, linkUtilization
-                });
+        reportingHost.endAttempt(reportingHost.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {
+            1, 0.5, linkUtilization
+        });
         int sentBefore = reportingHost.sent.size();
         for (int i = 10; i < 30; i++) {
             reportingHost.request(i);
@@ -177,10 +176,10 @@
         RouterFixture reportingHost = new RouterFixture().withUsualEndpoints();
         for (int i = 0; i < 30; i++) {
             reportingHost.endAttempt(
-                    reportingHost.request("video", i, 0, 4 * SECOND, 0),
+                    reportingHost.request("video", i, 0, 4 * SEC, 0),
                     AttemptStatus.OK,
                     CacheStatus.FILLED,
-                    1200 * MILLISECOND,
+                    1200 * MS,
                     null,
                     sizeKb);
         }
@@ -214,8 +213,7 @@
                 .withUsualEndpoints();
         for (int i = 0; i < 200; i++) {
             reportingHost.endAttempt(
-                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.HIT, 2 * SECOND, new double[] {20, 0.5, 0.5
-                    });
+                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.HIT, 2 * SEC, new double[] {20, 0.5, 0.5});
         }
         int sentBefore = reportingHost.sent.size();
         for (int i = 1000; i < 1100; i++) {
@@ -229,7 +227,7 @@
     @Test
     void writesAreNotSubjectToTheLimitOfFills() {
         for (int i = 0; i < 80; i++) {
-            host.request("note", i, 0, 3 * SECOND);
+            host.request("note", i, 0, 3 * SEC);
         }
         assertEquals(80, host.sent.size());
     }
--- a/src/test/java/petrelplank/routing/CopyLocationsTest.java
+++ b/src/test/java/petrelplank/routing/CopyLocationsTest.java
@@ -1,7 +1,7 @@
 package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.MS;
 import static petrelplank.routing.RouterFixture.cache;
 
 import org.junit.jupiter.api.Test;
@@ -14,8 +14,8 @@
     void restartedCacheHoldsNoCopies() {
         String id = host.request(1);
         String holder = host.lastPlan().server();
-        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
-        host.now += MILLISECOND;
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
+        host.now += MS;
         host.changeEndpoints(cache(holder, host.now));
         for (int i = 0; i < 20; i++) {
             host.request(1);
--- a/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
+++ b/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.MS;
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -29,7 +29,7 @@
             }
             assertFalse(host.isTerminated(id), id);
             served++;
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MILLISECOND);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
         }
         assertEquals(60, served);
         assertTrue(
--- a/src/test/java/petrelplank/routing/EndpointRegistryTest.java
+++ b/src/test/java/petrelplank/routing/EndpointRegistryTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 import static petrelplank.routing.RouterFixture.cache;
 import static petrelplank.routing.RouterFixture.parent;
 
@@ -58,9 +58,9 @@
         String id = host.request(1);
         host.changeEndpoints(
                 new EndpointInfo("b", "office", "box", 0, EndpointState.REMOVED, 5, 0), cache("b", host.now));
-        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         Set<String> servers = new TreeSet<>();
-        host.now += 20 * SECOND;
+        host.now += 20 * SEC;
         host.requestAndFill(0, 200).forEach(plan -> servers.add(plan.server()));
         assertEquals(Set.of("a", "b", "c", "d"), servers);
     }
--- a/src/test/java/petrelplank/routing/FailureAttributionTest.java
+++ b/src/test/java/petrelplank/routing/FailureAttributionTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.MS;
 
 import java.util.Set;
 import java.util.TreeSet;
@@ -15,7 +15,7 @@
     @Test
     void unreachableSourceIsNotTheCachesFault() {
         for (int i = 0; i < 6; i++) {
-            host.endAttempt(host.request(i), AttemptStatus.ERROR, CacheStatus.SOURCE_UNREACHABLE, 50 * MILLISECOND);
+            host.endAttempt(host.request(i), AttemptStatus.ERROR, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
         }
         Set<String> servers = new TreeSet<>();
         for (int i = 100; i < 130; i++) {
--- a/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
+++ b/src/test/java/petrelplank/routing/FillSourceSelectorTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
+import static petrelplank.routing.RouterFixture.MS;
 
 import org.junit.jupiter.api.Test;
 
@@ -26,9 +26,9 @@
         for (int i = 0; i < 8; i++) {
             String id = host.request(i);
             if (host.lastPlan().source().equals("p-north")) {
-                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MILLISECOND);
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
             }
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         }
         long fillsFromFailingParent = 0;
         for (int i = 100; i < 110; i++) {
@@ -53,7 +53,7 @@
     @Test
     void unreachableOnlyParentLeavesTheOriginAsSource() {
         host.changeEndpoints(new EndpointInfo("p-south", "south", "parent", 0, EndpointState.REMOVED, 10, 0));
-        host.endAttempt(host.request(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MILLISECOND);
+        host.endAttempt(host.request(0), AttemptStatus.REJECTED, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
         for (int i = 100; i < 110; i++) {
             host.request(i);
             assertEquals("origin", host.lastPlan().source());
--- a/src/test/java/petrelplank/routing/LoadReportsTest.java
+++ b/src/test/java/petrelplank/routing/LoadReportsTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -41,7 +41,7 @@
                 .withUsualEndpoints();
         for (int i = 0; i < 30; i++) {
             reportingHost.endAttempt(
-                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * SECOND, new double[] {
+                    reportingHost.request(i), AttemptStatus.OK, CacheStatus.FILLED, 2 * SEC, new double[] {
                         shareUsed, 0.5
                     });
         }
@@ -67,10 +67,9 @@
                 List.of(field, "x0", "x1")));
         reportingHost.router.endpointsChanged(
                 reportingHost.now, true, List.of(new EndpointInfo("a", "office", "box", 0, EndpointState.UP, 60, 0)));
-        reportingHost.endAttempt(
-                reportingHost.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MILLISECOND, new double[] {
-                    reportedValue, 0.5, 0.5
-                });
+        reportingHost.endAttempt(reportingHost.request(1), AttemptStatus.OK, CacheStatus.HIT, 100 * MS, new double[] {
+            reportedValue, 0.5, 0.5
+        });
         int sentBefore = reportingHost.sent.size();
         for (int i = 0; i < 50; i++) {
             reportingHost.request(i);
--- a/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
+++ b/src/test/java/petrelplank/routing/OriginCallMonitorTest.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -61,14 +61,14 @@
                     id,
                     AttemptStatus.OK,
                     fromOrigin ? CacheStatus.FILLED_FROM_ORIGIN : CacheStatus.FILLED,
-                    (fromOrigin ? slowUs : usualUs) + 10 * MILLISECOND,
-                    10 * MILLISECOND);
+                    (fromOrigin ? slowUs : usualUs) + 10 * MS,
+                    10 * MS);
         }
     }
 
     @Test
     void slowFillsBehindAnEarlyFirstByteCutTheOriginsShare() {
-        fills(2 * SECOND, 110 * MILLISECOND);
+        fills(2 * SEC, 110 * MS);
         assertThat(withheldFromOriginOfTen()).isGreaterThanOrEqualTo(4);
         assertThat(host.logLines).anyMatch(line -> line.startsWith("origin overloaded"));
         assertThat(host.logLines).as("no parent is ejected").noneMatch(line -> line.startsWith("ejected: p-"));
@@ -76,7 +76,7 @@
 
     @Test
     void fillsFromTheOriginAtTheUsualPaceCutNothing() {
-        fills(110 * MILLISECOND, 110 * MILLISECOND);
+        fills(110 * MS, 110 * MS);
         assertThat(withheldFromOriginOfTen()).isZero();
     }
 
@@ -84,7 +84,7 @@
     @Test
     void congestionOfTheZonesOwnLinkIsNotTheOriginsFault() {
         linkUtilization = 6;
-        fills(900 * MILLISECOND, 900 * MILLISECOND);
+        fills(900 * MS, 900 * MS);
         assertThat(host.logLines).noneMatch(line -> line.startsWith("origin overloaded"));
     }
 
@@ -110,12 +110,12 @@
                 String otherRequest = host.request(1000 + 40 * i + j);
                 boolean sameRoute = host.lastPlan().server().equals(server)
                         && host.lastPlan().source().equals(source);
-                endAttempt(otherRequest, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND, 10 * MILLISECOND);
+                endAttempt(otherRequest, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS, 10 * MS);
                 if (sameRoute) {
                     break;
                 }
             }
-            host.now = Math.max(host.now, sentUs + 3900 * MILLISECOND);
+            host.now = Math.max(host.now, sentUs + 3900 * MS);
             host.router.attemptEnded(
                     host.now,
                     new AttemptOutcome(
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +18,7 @@
                         WeightMeaning.NOMINAL, CacheStatusDetail.HITS, RouterFixture.permissions()))
                 .withUsualEndpoints();
         for (int i = 100; i < 103; i++) {
-            hitsOnlyHost.endAttempt(hitsOnlyHost.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MILLISECOND);
+            hitsOnlyHost.endAttempt(hitsOnlyHost.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
         }
         int withheld = 0;
         int writes = 0;
@@ -31,11 +31,11 @@
                                     .equals(hitsOnlyHost.lastPlan().server())
                     ? 1
                     : 0;
-            writes += hitsOnlyHost.attemptCount(hitsOnlyHost.request("note", i, 0, 3 * SECOND)) > 0 ? 1 : 0;
+            writes += hitsOnlyHost.attemptCount(hitsOnlyHost.request("note", i, 0, 3 * SEC)) > 0 ? 1 : 0;
         }
         assertTrue(withheld >= 10, "misses that may not call the origin: " + withheld + " of 20, expected at least 10");
         assertEquals(20, writes);
-        hitsOnlyHost.now += 60 * SECOND;
+        hitsOnlyHost.now += 60 * SEC;
         hitsOnlyHost.request(5000);
         assertFalse(hitsOnlyHost.lastPlan().onlyIfCached());
     }
@@ -49,7 +49,7 @@
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
             while (!host.isTerminated(id)) {
-                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 2 * MILLISECOND);
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 2 * MS);
             }
         }
         assertTrue(onlyIfCachedOfTenRequests(1000) >= 8);
@@ -57,15 +57,15 @@
         for (int i = 100; i < 160; i++) {
             String id = host.request(i);
             if (host.lastPlan().onlyIfCached()) {
-                host.endAttempt(id, AttemptStatus.MISS, CacheStatus.SOURCE_MISS, MILLISECOND);
+                host.endAttempt(id, AttemptStatus.MISS, CacheStatus.SOURCE_MISS, MS);
             }
             if (!host.isTerminated(id)) {
-                host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MILLISECOND);
+                host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MS);
             }
         }
         assertTrue(
-                host.now - startUs < 3 * SECOND,
-                "recovery took us " + (host.now - startUs) + ", expected less than " + 3 * SECOND);
+                host.now - startUs < 3 * SEC,
+                "recovery took us " + (host.now - startUs) + ", expected less than " + 3 * SEC);
         assertEquals(0, onlyIfCachedOfTenRequests(2000));
     }
 
@@ -75,21 +75,21 @@
      */
     @Test
     void waitOfMoreThanHalfTheObjectiveIsTakenForAQueueAtTheOrigin() {
-        assertEquals(0, onlyIfCachedAfterWaitsOf(150 * MILLISECOND));
-        assertTrue(onlyIfCachedAfterWaitsOf(350 * MILLISECOND) >= 4);
+        assertEquals(0, onlyIfCachedAfterWaitsOf(150 * MS));
+        assertTrue(onlyIfCachedAfterWaitsOf(350 * MS) >= 4);
     }
 
     @Test
     void writesContinueHoweverOverloadedTheOriginIs() {
         for (int i = 0; i < 200; i++) {
-            host.now += 20 * MILLISECOND;
+            host.now += 20 * MS;
             String id = host.request(i);
             while (!host.isTerminated(id)) {
-                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 5 * MILLISECOND);
+                host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 5 * MS);
             }
         }
         for (int i = 1000; i < 1020; i++) {
-            assertEquals(1, host.attemptCount(host.request("note", i, 0, 3 * SECOND)));
+            assertEquals(1, host.attemptCount(host.request("note", i, 0, 3 * SEC)));
         }
     }
 
@@ -109,14 +109,14 @@
         for (int i = 0; i < 40; i++) {
             String id = host.request(i);
             if (!host.lastPlan().onlyIfCached()) {
-                host.now += waitUs + 100 * MILLISECOND;
+                host.now += waitUs + 100 * MS;
                 host.router.attemptEnded(
                         host.now,
                         new AttemptOutcome(
                                 id,
                                 0,
                                 AttemptStatus.OK,
-                                waitUs + 100 * MILLISECOND,
+                                waitUs + 100 * MS,
                                 true,
                                 CacheStatus.FILLED_FROM_ORIGIN,
                                 waitUs,
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import java.util.List;
 import java.util.Set;
@@ -19,15 +19,15 @@
     void unreachableCacheIsEjectedAtOnceAndGetsAHealthCheckAfterAPause() {
         String id = host.request(1);
         String unreachable = host.lastPlan().server();
-        host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, MILLISECOND);
+        host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, MS);
         assertEquals(2, host.attemptCount(id));
         assertNotEquals(unreachable, host.lastPlan().server());
-        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         for (int i = 100; i < 130; i++) {
             host.request(i);
             assertNotEquals(unreachable, host.lastPlan().server());
         }
-        host.now += 2 * SECOND;
+        host.now += 2 * SEC;
         int healthChecks = 0;
         for (int i = 200; i < 230; i++) {
             host.request(i);
@@ -43,19 +43,18 @@
             host.request(1);
         }
         String cache = host.lastPlan().server();
-        host.now += 50 * MILLISECOND;
+        host.now += 50 * MS;
         for (int i = 0; i < 10; i++) {
             host.router.attemptEnded(
                     host.now,
-                    new AttemptOutcome(
-                            "r" + i, 0, AttemptStatus.RESET, 50 * MILLISECOND, false, CacheStatus.NONE, 0, null, 0));
+                    new AttemptOutcome("r" + i, 0, AttemptStatus.RESET, 50 * MS, false, CacheStatus.NONE, 0, null, 0));
         }
         assertEquals(List.of(), host.logLines);
         for (int i = 0; i < 2; i++) {
-            host.now += 50 * MILLISECOND;
+            host.now += 50 * MS;
             String id = host.request(1);
             assertEquals(cache, host.lastPlan().server());
-            host.endAttempt(id, AttemptStatus.RESET, CacheStatus.NONE, 50 * MILLISECOND);
+            host.endAttempt(id, AttemptStatus.RESET, CacheStatus.NONE, 50 * MS);
         }
         assertEquals(1, host.logLines.size(), host.logLines.toString());
     }
@@ -66,7 +65,7 @@
         for (int i = 0; i < 8; i++) {
             String id = host.request(i);
             for (int j = 0; j < 3; j++) {
-                host.endAttempt(id, AttemptStatus.ERROR, CacheStatus.NONE, MILLISECOND);
+                host.endAttempt(id, AttemptStatus.ERROR, CacheStatus.NONE, MS);
             }
             assertTrue(host.isTerminated(id));
             assertEquals(3, host.attemptCount(id));
@@ -81,13 +80,13 @@
     @Test
     void failedConnectDoesNotEjectACacheThatAnswersOthers() {
         for (int i = 0; i < 20; i++) {
-            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.HIT, 20 * MILLISECOND);
+            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
         }
         String id = host.request(7);
         String fullCache = host.lastPlan().server();
         host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
-        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 20 * MILLISECOND);
-        host.endAttempt(host.request(7), AttemptStatus.OK, CacheStatus.HIT, 20 * MILLISECOND);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 20 * MS);
+        host.endAttempt(host.request(7), AttemptStatus.OK, CacheStatus.HIT, 20 * MS);
         assertEquals(fullCache, host.lastPlan().server());
         assertEquals(List.of(), host.logLines);
     }
--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,8 +17,8 @@
     void requestsAreRoutedAfterAClockJumpOfMinutes() {
         host.requestAndFill(0, 50);
         String id = host.request(1);
-        host.now += 600 * SECOND;
-        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, MILLISECOND);
+        host.now += 600 * SEC;
+        host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, MS);
         assertTrue(host.isTerminated(id));
         assertEquals(50, host.requestAndFill(100, 150).size());
     }
@@ -54,16 +54,16 @@
                         new EndpointInfo("a", "z", "box", 0, EndpointState.UP, 0, 0)));
         String id = minimal.request(1);
         assertEquals("a", minimal.lastPlan().server());
-        minimal.endAttempt(id, AttemptStatus.OK, CacheStatus.NONE, 100 * MILLISECOND);
+        minimal.endAttempt(id, AttemptStatus.OK, CacheStatus.NONE, 100 * MS);
         assertFalse(minimal.isTerminated(id));
     }
 
     @Test
     void eventsAfterTheFinalAnswerAreIgnored() {
         String id = host.request(1);
-        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MILLISECOND);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
         int actionsBefore = host.actions.size();
-        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MILLISECOND);
+        host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
         host.router.clientDisconnected(host.now, id);
         host.router.timerFired(host.now, 99);
         assertEquals(actionsBefore, host.actions.size());
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -6,13 +6,13 @@
 
 /** A router whose host records its actions, with a clock and methods that script events. */
 final class RouterFixture extends RecordingActions {
-    static final long MILLISECOND = 1000;
-    static final long SECOND = 1000 * MILLISECOND;
+    static final long MS = 1000;
+    static final long SEC = 1000 * MS;
     static final ServiceClass VIDEO = new ServiceClass(
             "video",
-            400 * MILLISECOND,
+            400 * MS,
             2,
-            6 * SECOND,
+            6 * SEC,
             2,
             0.15,
             Idempotency.IDEMPOTENT,
@@ -25,29 +25,29 @@
             false);
     static final ServiceClass FILE = new ServiceClass(
             "file",
-            400 * MILLISECOND,
+            400 * MS,
             2,
-            3 * SECOND,
+            3 * SEC,
             1,
             0.2,
             Idempotency.IDEMPOTENT,
             IdempotencyScope.ALL,
             0,
             false,
-            12 * SECOND,
-            20 * SECOND,
+            12 * SEC,
+            20 * SEC,
             0.7,
             false);
     static final ServiceClass NOTE = new ServiceClass(
             "note",
-            600 * MILLISECOND,
+            600 * MS,
             0,
-            3 * SECOND,
+            3 * SEC,
             3,
             0,
             Idempotency.IDEMPOTENT_WITH_KEY,
             IdempotencyScope.ALL,
-            3 * SECOND,
+            3 * SEC,
             false,
             0,
             0,
@@ -55,30 +55,18 @@
             true);
 
     Router router;
-    long now = 100 * SECOND;
+    long now = 100 * SEC;
     private int nextId;
     /** The tenant of all further requests; null for none. */
     String tenant;
 
     static RoutingPermissions permissions() {
-        return new RoutingPermissions(8, false, true, false, false, true, SECOND, true, true, SiblingFillPolicy.ANY);
+        return new RoutingPermissions(8, false, true, false, false, true, SEC, true, true, SiblingFillPolicy.ANY);
     }
 
     static PlatformRules rules() {
         return new PlatformRules(
-                2 * SECOND,
-                0.2,
-                16 * SECOND,
-                2.5,
-                2 * SECOND,
-                0.07,
-                20 * SECOND,
-                2,
-                0,
-                0,
-                SECOND / 2,
-                6 * SECOND,
-                10 * SECOND);
+                2 * SEC, 0.2, 16 * SEC, 2.5, 2 * SEC, 0.07, 20 * SEC, 2, 0, 0, SEC / 2, 6 * SEC, 10 * SEC);
     }
 
     static RouterSettings settings(WeightMeaning weights, CacheStatusDetail detail, RoutingPermissions permissions) {
@@ -111,7 +99,7 @@
                 detail,
                 reportFields,
                 false,
-                400 * MILLISECOND,
+                400 * MS,
                 List.of(VIDEO, FILE, NOTE),
                 permissions,
                 rules(),
@@ -157,7 +145,7 @@
     }
 
     String request(long object) {
-        return request("video", object, 0, 4 * SECOND);
+        return request("video", object, 0, 4 * SEC);
     }
 
     String request(String serviceClass, long object, int group, long timeoutUs) {
@@ -216,7 +204,7 @@
                         latencyUs,
                         status == AttemptStatus.OK,
                         cacheStatus,
-                        cacheStatus == CacheStatus.FILLED ? 10 * MILLISECOND : 0,
+                        cacheStatus == CacheStatus.FILLED ? 10 * MS : 0,
                         load,
                         sizeKb));
     }
@@ -228,7 +216,7 @@
             String id = request(i);
             if (attemptCount(id) > 0) {
                 plans.add(lastPlan());
-                endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
+                endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
             }
         }
         return plans;
--- a/src/test/java/petrelplank/routing/SlowSourceDetectorTest.java
+++ b/src/test/java/petrelplank/routing/SlowSourceDetectorTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,8 +19,7 @@
             String id = host.request(i);
             boolean fromSlowParent = host.lastPlan().source().equals("p-north");
             fillsFromSlowParent += fromSlowParent ? 1 : 0;
-            host.endAttempt(
-                    id, AttemptStatus.OK, CacheStatus.FILLED, fromSlowParent ? 500 * MILLISECOND : 120 * MILLISECOND);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, fromSlowParent ? 500 * MS : 120 * MS);
         }
         assertTrue(
                 fillsFromSlowParent < 40,
@@ -32,9 +31,9 @@
     void largeObjectsOfUnknownSizeDoNotMakeAParentSlow() {
         int fillsFromNearest = 0;
         for (int i = 0; i < 60; i++) {
-            String id = host.request("video", i, 0, 4 * SECOND, 0);
+            String id = host.request("video", i, 0, 4 * SEC, 0);
             fillsFromNearest += host.lastPlan().source().equals("p-north") ? 1 : 0;
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 500 * MILLISECOND);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 500 * MS);
         }
         assertTrue(
                 fillsFromNearest > 50,
@@ -50,16 +49,10 @@
     void slowParentIsAvoidedWhereOnlyResponsesTellSizes() {
         int fillsFromSlowParent = 0;
         for (int i = 0; i < 60; i++) {
-            String id = host.request("video", i, 0, 4 * SECOND, 0);
+            String id = host.request("video", i, 0, 4 * SEC, 0);
             boolean fromSlowParent = host.lastPlan().source().equals("p-north");
             fillsFromSlowParent += fromSlowParent ? 1 : 0;
-            host.endAttempt(
-                    id,
-                    AttemptStatus.OK,
-                    CacheStatus.FILLED,
-                    fromSlowParent ? 600 * MILLISECOND : 120 * MILLISECOND,
-                    null,
-                    800);
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, fromSlowParent ? 600 * MS : 120 * MS, null, 800);
         }
         assertTrue(
                 fillsFromSlowParent < 40,
@@ -67,9 +60,9 @@
         int fillsFromNearest = 0;
         RouterFixture hostWithLargeObjects = new RouterFixture().withUsualEndpoints();
         for (int i = 0; i < 60; i++) {
-            String id = hostWithLargeObjects.request("video", i, 0, 4 * SECOND, 0);
+            String id = hostWithLargeObjects.request("video", i, 0, 4 * SEC, 0);
             fillsFromNearest += hostWithLargeObjects.lastPlan().source().equals("p-north") ? 1 : 0;
-            hostWithLargeObjects.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 600 * MILLISECOND, null, 4000);
+            hostWithLargeObjects.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 600 * MS, null, 4000);
         }
         assertTrue(
                 fillsFromNearest > 50,
--- a/src/test/java/petrelplank/routing/SlowStartFleetTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartFleetTest.java
@@ -15,18 +15,18 @@
  * arrive at the cache in any window of the rule's length are compared with what the rule allows at the window's end.
  */
 class SlowStartFleetTest {
-    private static final long MILLISECOND = RouterFixture.MILLISECOND;
-    private static final long SECOND = RouterFixture.SECOND;
+    private static final long MS = RouterFixture.MS;
+    private static final long SEC = RouterFixture.SEC;
     private static final String STARTING_CACHE = "a";
     private static final double WEIGHT = 40;
-    private static final long TRANSFER_US = 100 * MILLISECOND;
-    private static final long STEP_DURATION_US = 5 * MILLISECOND;
+    private static final long TRANSFER_US = 100 * MS;
+    private static final long STEP_DURATION_US = 5 * MS;
     private static final int STEPS = 1000;
     private static final int REQUESTS_PER_STEP = 24;
 
     private final SplittableRandom random = new SplittableRandom(11);
     private final Deque<Long> attemptTimesInWindow = new ArrayDeque<>();
-    private final long startedUs = 100 * SECOND;
+    private final long startedUs = 100 * SEC;
     private int attemptsSent;
     private double worstExcess = Double.NEGATIVE_INFINITY;
 
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 import static petrelplank.routing.RouterFixture.cache;
 import static petrelplank.routing.RouterFixture.parent;
 
@@ -22,15 +22,14 @@
             if (host.attemptCount(id) > 0
                     && (host.lastPlan().server().equals("a")
                             || host.lastPlan().source().equals("a"))) {
-                transferUs += 100 * MILLISECOND;
+                transferUs += 100 * MS;
             }
-            host.now += MILLISECOND / 2;
+            host.now += MS / 2;
         }
         // Two proxies share a weight of 5; the capacity is a fifth at first and at most a quarter after one second. The
         // overload multiple is 2.5 within two seconds.
         assertTrue(transferUs > 0);
-        assertTrue(
-                transferUs <= 2.5 * 5 * 0.25 * 2 * SECOND / 2, "transfer time sent to the cache in us: " + transferUs);
+        assertTrue(transferUs <= 2.5 * 5 * 0.25 * 2 * SEC / 2, "transfer time sent to the cache in us: " + transferUs);
     }
 
     @Test
@@ -40,7 +39,7 @@
         for (AttemptPlan plan : host.requestAndFill(0, 60)) {
             inSlowStart += plan.source().equals("p-north") ? 1 : 0;
         }
-        host.now += 30 * SECOND;
+        host.now += 30 * SEC;
         int afterwards = 0;
         for (AttemptPlan plan : host.requestAndFill(100, 160)) {
             afterwards += plan.source().equals("p-north") ? 1 : 0;
@@ -69,7 +68,7 @@
         for (int i = 0; i < 300; i++) {
             String id = host.request(i);
             assertTrue(host.attemptCount(id) > 0 || host.isTerminated(id), id);
-            host.now += 2 * MILLISECOND;
+            host.now += 2 * MS;
         }
         for (String startingCache : List.of("a", "b", "c")) {
             // Two proxies share a weight of 5, with a capacity of at most a quarter. Each uses 0.45 of the overload
@@ -78,9 +77,9 @@
                             .filter(attempt -> attempt.plan().server().equals(startingCache))
                             .count()
                     * 100
-                    * MILLISECOND;
+                    * MS;
             assertTrue(
-                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * SECOND,
+                    transferUs <= 0.45 * 2.5 * 0.25 * 5 / 2 * 2.6 * SEC,
                     "transfer time sent to " + startingCache + " in us: " + transferUs);
         }
         assertTrue(
--- a/src/test/java/petrelplank/routing/TenantQuotasTest.java
+++ b/src/test/java/petrelplank/routing/TenantQuotasTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static petrelplank.routing.RouterFixture.MILLISECOND;
-import static petrelplank.routing.RouterFixture.SECOND;
+import static petrelplank.routing.RouterFixture.MS;
+import static petrelplank.routing.RouterFixture.SEC;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -82,8 +82,8 @@
         host.tenant = "small";
         for (int i = 0; i < 200; i++) {
             String id = host.request(i);
-            host.now += 20 * MILLISECOND;
-            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MILLISECOND);
+            host.now += 20 * MS;
+            host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
         }
         assertThat(host.rejected).isEmpty();
     }
@@ -94,7 +94,7 @@
         assertThat(servedRatioAfterABurst(0))
                 .as("served requests over those of the other tenant, right after the burst")
                 .isLessThan(0.8);
-        assertThat(servedRatioAfterABurst(60 * SECOND)).isGreaterThan(0.9);
+        assertThat(servedRatioAfterABurst(60 * SEC)).isGreaterThan(0.9);
     }
 
     /** Served requests of a tenant after a burst of 300 and a pause, divided by those of another tenant. */
@@ -102,7 +102,7 @@
         RouterFixture host = new RouterFixture(settings(60, 0.1)).withUsualEndpoints();
         host.tenant = "small";
         for (int i = 0; i < 300; i++) {
-            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.HIT, MILLISECOND);
+            host.endAttempt(host.request(i), AttemptStatus.OK, CacheStatus.HIT, MS);
         }
         host.now += pauseUs;
         int[] sent = new int[2];
