--- a/src/main/java/petrelplank/routing/PlatformRules.java
+++ b/src/main/java/petrelplank/routing/PlatformRules.java
@@ -38,14 +38,14 @@
         SettingChecks.require(drainGraceUs >= 0, "stop-sending-within-us (must be 0 or more)", drainGraceUs);
         SettingChecks.require(
                 slowStartInitialFraction >= 0 && slowStartInitialFraction <= 1,
-                "cold-from (must be between 0 and 1)",
+                "cold-from (must be 0 to 1)",
                 slowStartInitialFraction);
         SettingChecks.require(slowStartDurationUs >= 0, "warm-after-us (must be 0 or more)", slowStartDurationUs);
         SettingChecks.require(overloadMultiple >= 0, "fall-multiple (must be 0 or more)", overloadMultiple);
         SettingChecks.require(overloadDurationUs >= 0, "fall-us (must be 0 or more)", overloadDurationUs);
         SettingChecks.require(
                 parentSlowStartInitialFraction >= 0 && parentSlowStartInitialFraction <= 1,
-                "parent-cold-from (must be between 0 and 1)",
+                "parent-cold-from (must be 0 to 1)",
                 parentSlowStartInitialFraction);
         SettingChecks.require(
                 parentSlowStartDurationUs >= 0, "parent-cold-us (must be 0 or more)", parentSlowStartDurationUs);
