--- a/src/main/java/petrelplank/emulator/BundledScenarios.java
+++ b/src/main/java/petrelplank/emulator/BundledScenarios.java
@@ -6,7 +6,7 @@
 import petrelplank.yaml.Section;
 import petrelplank.yaml.Yaml;
 
-/** The scenarios that come with the program. */
+/** The scenarios that are bundled with the program as resources. */
 public final class BundledScenarios {
     private static final String FOLDER = "/petrelplank/emulator/";
     private static final List<String> INCIDENTS = List.of(
@@ -22,7 +22,7 @@
             "stopped-origin");
     private static final List<String> FLEET_INCIDENTS = List.of("fleet-join", "fleet-list", "fleet-zone");
 
-    /** Names that scenarios had in earlier versions; they go on working. */
+    /** Maps scenario names of earlier versions to the current ones, so that existing command lines keep working. */
     private static final Map<String, String> ALIASES =
             Map.of("silent-hub", "silent-parent", "slow-stock", "slow-origin", "stock-over", "stopped-origin");
 
@@ -42,25 +42,25 @@
     }
 
     /**
-     * The names of the incidents of a small fleet, a single kind of fault each.
+     * Returns the names of the incidents of a small fleet. Each isolates one failure mode.
      *
-     * @return in alphabetical order
+     * @return the names in alphabetical order
      */
     public static List<String> incidents() {
         return INCIDENTS;
     }
 
     /**
-     * The names of the incidents of a fleet of many proxies, several faults each.
+     * Returns the names of the incidents of a fleet of many proxies. Each combines several faults.
      *
-     * @return in alphabetical order
+     * @return the names in alphabetical order
      */
     public static List<String> fleetIncidents() {
         return FLEET_INCIDENTS;
     }
 
     /**
-     * The names of all bundled scenarios.
+     * Returns the names of all bundled scenarios.
      *
      * @return the incidents of a small fleet, then those of a fleet of many proxies
      */
--- a/src/main/java/petrelplank/emulator/DiscoveryService.java
+++ b/src/main/java/petrelplank/emulator/DiscoveryService.java
@@ -10,7 +10,7 @@
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.EndpointState;
 
-/** Publishes the endpoint list and purges to the proxies, as numbered events that arrive a while later. */
+/** Publishes endpoint changes and purges to the proxies as numbered events, each with a random delivery delay. */
 final class DiscoveryService {
     private static final long MIN_DELIVERY_US = 30_000;
     private static final int DELIVERY_SPREAD_US = 200_000;
@@ -23,7 +23,7 @@
     private final Map<String, EmulatedProxy> subscribers = new LinkedHashMap<>();
     private long heldUntilUs;
 
-    /** Lists the origin and all caches as up; no proxy has subscribed yet. */
+    /** Creates the service with a first event that lists the origin and all caches as up; no proxy is subscribed. */
     DiscoveryService(EventScheduler clock, UniformRandomProvider random, GroundTruthRecorder truth, CacheFleet caches) {
         this.clock = clock;
         this.random = random;
@@ -58,13 +58,16 @@
         return events.size() + 1;
     }
 
-    /** A proxy that has started receives all events so far at once; it takes the place of one of the same name. */
+    /**
+     * Subscribes a newly started proxy and immediately delivers all earlier events to it. It replaces an earlier
+     * subscriber of the same name, so that a restarted proxy takes over the subscription.
+     */
     void subscribe(EmulatedProxy proxy) {
         subscribers.put(proxy.name(), proxy);
         events.forEach(event -> deliver(proxy, event));
     }
 
-    /** Until a time, nothing is delivered. */
+    /** Delays the delivery of events published from now on until after the given time. */
     void holdUntil(long untilUs) {
         heldUntilUs = untilUs;
     }
@@ -89,7 +92,10 @@
         }
     }
 
-    /** Delivers what the proxy lacks up to an event: in order, although a later event may arrive first. */
+    /**
+     * Delivers all events up to {@code index} that the proxy has not received yet, in order. Delivery delays are
+     * random, so a later event may become due before an earlier one.
+     */
     private void deliverUpTo(EmulatedProxy proxy, long index) {
         long lastIndex = proxy.lastEventIndex();
         if (index > lastIndex) {
--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -15,9 +15,9 @@
 import petrelplank.record.EventSink;
 import petrelplank.routing.RouterSettings;
 
-/** One run of a proxy: the production pipeline and routing, on simulated time and an emulated network. */
+/** One incarnation of a proxy: the production pipeline and routing on simulated time and an emulated network. */
 final class EmulatedProxy implements UpstreamClient {
-    /** Carries attempts to servers. */
+    /** Transmits attempts to servers over the emulated network. */
     @FunctionalInterface
     interface AttemptTransport {
         void send(EmulatedProxy from, Attempt attempt);
@@ -41,7 +41,7 @@
     /**
      * Starts the proxy.
      *
-     * @param sink takes its records; {@link EventSink#NONE} where none are kept
+     * @param sink receives the proxy's records; {@link EventSink#NONE} discards them
      */
     EmulatedProxy(
             EventScheduler clock,
@@ -72,7 +72,7 @@
         return identity.zone();
     }
 
-    /** The proxy's own clock. */
+    /** Returns the time of the proxy's own clock, which may be offset from simulated time. */
     long clockUs() {
         return clock.nowUs() + identity.clockOffsetUs();
     }
@@ -97,7 +97,7 @@
         runLoop();
     }
 
-    /** A server's response arrived; ignored where the proxy has aborted the attempt or has been killed. */
+    /** Handles a server's response. It is ignored if the proxy has aborted the attempt or has been killed. */
     void onResponse(Attempt attempt, UpstreamResponse response) {
         Long sentUs = alive ? sentUsByAttempt.remove(attempt) : null;
         if (sentUs != null) {
@@ -107,13 +107,13 @@
         }
     }
 
-    /** Ends it at once: its open requests are lost. */
+    /** Kills the proxy immediately; its open requests are lost. */
     void kill() {
         alive = false;
         sink.close();
     }
 
-    /** Shuts it down in order. */
+    /** Shuts the proxy down gracefully, unless it has been killed. */
     void finish() {
         if (alive) {
             proxy.recordStopped();
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Runs all tasks of the event loop that are queued or due, and schedules the next turn. */
+    /** Runs all queued or due tasks of the event loop, then schedules a turn for the next timer. */
     private void runLoop() {
         do {
             loop.turn();
--- a/src/main/java/petrelplank/emulator/Fault.java
+++ b/src/main/java/petrelplank/emulator/Fault.java
@@ -5,19 +5,20 @@
 /**
  * A fault that a scenario injects.
  *
- * @param kind what goes wrong
- * @param startUs when, from the start of the emulation
- * @param durationUs for how long
- * @param servers the servers, proxies or zones that it is injected into; empty where the kind names none
- * @param share the share of requests, groups, bytes or capacity, or the multiple of time or load
+ * @param kind the kind of fault
+ * @param startUs start time, relative to the start of the emulation
+ * @param durationUs how long the fault lasts
+ * @param servers the affected servers, proxies or zones; empty if the kind affects the whole fleet
+ * @param share the magnitude: depending on the kind, a share of the requests, groups or capacity, or a multiple of
+ *     the usual time or load
  */
 public record Fault(FaultKind kind, long startUs, long durationUs, List<String> servers, double share) {
-    /** When it starts, in Unix time. */
+    /** Returns the start time as Unix time. */
     long startUnixUs() {
         return EventScheduler.START_US + startUs;
     }
 
-    /** When it ends, in Unix time. */
+    /** Returns the end time as Unix time. */
     long endUnixUs() {
         return startUnixUs() + durationUs;
     }
--- a/src/main/java/petrelplank/emulator/FaultInjector.java
+++ b/src/main/java/petrelplank/emulator/FaultInjector.java
@@ -3,8 +3,8 @@
 import petrelplank.routing.Hash;
 
 /**
- * Schedules the faults of a scenario, and notes them in the ground truth: all but the planned changes of the fleet,
- * and outside load, which the origin notes where it stops under it.
+ * Schedules the faults of a scenario and records them in the ground truth. Two groups are not recorded here: planned
+ * changes of the fleet are no faults, and outside load is recorded by the origin, and only if it stops under it.
  */
 final class FaultInjector {
     private static final int HOT_OBJECT_SEED_OFFSET = 77;
--- a/src/main/java/petrelplank/emulator/FaultKind.java
+++ b/src/main/java/petrelplank/emulator/FaultKind.java
@@ -6,40 +6,40 @@
 
 /** The kinds of faults that a scenario can inject. */
 public enum FaultKind {
-    /** A server accepts requests and answers none. */
+    /** A server accepts requests and never responds. */
     SILENT("silent", Target.SERVERS, Share.FRACTION),
-    /** A server fails a share of its requests at once. */
+    /** A server fails a share of its requests immediately. */
     FAST_FAILURES("fast-failures", Target.SERVERS, Share.FRACTION),
-    /** A share of the groups is purged at once. */
+    /** A share of the object groups is purged at the same time. */
     PURGE("purge", Target.FLEET, Share.FRACTION),
-    /** A new object draws a share of the requests for media. */
+    /** A new object receives a share of the requests for media. */
     HOT_OBJECT("hot-object", Target.FLEET, Share.FRACTION),
-    /** The origin takes a multiple of its usual time. */
+    /** The origin takes a multiple of its usual response time. */
     SLOW_ORIGIN("slow-stock", Target.FLEET, Share.MULTIPLE),
-    /** Proxies are killed, and start again at the end. */
+    /** Proxies are killed, and restarted when the fault ends. */
     RESTART("restart", Target.SERVERS, Share.FRACTION),
-    /** A cache drains, and is removed at the end. */
+    /** A cache drains, and is removed when the fault ends. */
     DRAIN("drain", Target.SERVERS, Share.FRACTION),
-    /** Servers vanish without notice; at the end they return cold, and are listed a while later. */
+    /** Servers fail without notice; when the fault ends they return with cold caches, and are listed later. */
     LOST("lost", Target.SERVERS, Share.FRACTION),
-    /** Servers are replaced one by one: a new one starts cold, the old one drains. */
+    /** Servers are replaced one after the other: the new one starts with a cold cache while the old one drains. */
     REPLACE("replace", Target.SERVERS, Share.FRACTION),
-    /** The discovery service delivers nothing, and everything at once at the end. */
+    /** The discovery service delivers nothing until the fault ends, and then all delayed events in one burst. */
     LATE_DISCOVERY("late-list", Target.FLEET, Share.FRACTION),
-    /** Other clients call the origin, at a multiple of its capacity. */
+    /** Clients outside the fleet send calls to the origin at a multiple of its capacity. */
     OUTSIDE_LOAD("outside-load", Target.FLEET, Share.MULTIPLE),
-    /** The link into a zone has a share of its capacity. */
+    /** The link into a zone is reduced to a share of its capacity. */
     CROWDED_LINK("crowded-link", Target.SERVERS, Share.FRACTION);
 
-    /** What a fault is injected into. */
+    /** What a kind of fault affects. */
     private enum Target {
         /** Named servers, proxies or zones. */
         SERVERS,
-        /** Something that there is one of; no server is named. */
+        /** The fleet as a whole, or a component that exists once, such as the origin; no server is named. */
         FLEET
     }
 
-    /** What the number of a fault means, with its default and its bound. */
+    /** How the magnitude of a fault is interpreted, with its default and its upper bound. */
     private enum Share {
         FRACTION(1, 1),
         MULTIPLE(5, 100);
@@ -63,12 +63,12 @@
         this.share = share;
     }
 
-    /** The name in scenario files and in the ground truth. */
+    /** Returns the name used in scenario files and in the ground truth. */
     String label() {
         return label;
     }
 
-    /** Whether a fault of this kind names the servers that it is injected into. */
+    /** Returns whether a fault of this kind must name the servers, proxies or zones that it affects. */
     boolean namesServers() {
         return target == Target.SERVERS;
     }
--- a/src/main/java/petrelplank/emulator/GroundTruth.java
+++ b/src/main/java/petrelplank/emulator/GroundTruth.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What happened in an emulation, seen at the clients' and the servers' ends. Jackson writes it as JSON; where a key
- * differs from the component's name it stands in an annotation. Figures of a second are held under its Unix time.
+ * What happened in an emulation, as observed by the clients and the servers. Jackson writes it as JSON; an annotation
+ * gives the key where it differs from the component's name. Maps by second are keyed by Unix time in seconds.
  *
  * @param total all requests
  * @param seconds requests by second
@@ -14,14 +14,14 @@
  * @param zones requests by the proxy's zone
  * @param servers attempts by server
  * @param origin calls that reached the origin, by second
- * @param purges by a purge's event number: when the proxies were notified of it
- * @param drains by server: when the proxies were notified that it drains or is gone
- * @param incarnations the runs of the proxies, in the order of their starts
+ * @param purges when the proxies were notified of each purge, by the index of its event
+ * @param drains when the proxies were notified that a server is draining or gone, by server
+ * @param incarnations the incarnations of the proxies, ordered by start
  * @param unanswered requests without a final response
- * @param lateSends attempts sent to a draining server after the grace time
- * @param stalePurgedCopies responses with a copy from before a purge, sent for after its grace time
- * @param faults what went wrong
- * @param repeatedWrites writes that ran more than once
+ * @param lateSends attempts sent to, or filled from, a draining or removed server after the grace time
+ * @param stalePurgedCopies responses with a copy from before a purge, for attempts sent after the purge grace time
+ * @param faults the injected faults and their consequences
+ * @param repeatedWrites writes that the origin executed more than once
  * @param scenario the scenario's name
  * @param seed of all random numbers
  */
@@ -43,16 +43,16 @@
         String scenario,
         long seed) {
     /**
-     * Requests and how they ended.
+     * Numbers of client requests by outcome.
      *
-     * @param asked requests sent
-     * @param served those answered with the object
-     * @param notModified those answered that the client's copy is valid
-     * @param rejected those rejected, with the promise that nothing ran
-     * @param failed those that failed without such a promise
-     * @param inTime those answered within the latency objective and the deadline
-     * @param weightAsked priority weight of the requests
-     * @param weightEarned priority weight of the answers, less for late ones
+     * @param asked requests that clients sent
+     * @param served requests answered with the object
+     * @param notModified requests answered with "not modified": the client's copy is still valid
+     * @param rejected requests rejected with the guarantee that nothing was executed
+     * @param failed requests that failed without that guarantee
+     * @param inTime requests answered within both the latency objective and the deadline
+     * @param weightAsked total priority weight of the requests
+     * @param weightEarned total priority weight of the successful responses, reduced for late ones
      */
     public record Requests(
             long asked,
@@ -65,16 +65,16 @@
             @JsonProperty("worthEarned") double weightEarned) {}
 
     /**
-     * Attempts at one server and how they ended.
+     * Numbers of attempts at one server by outcome, and their response times.
      *
      * @param sent attempts sent
-     * @param aborted those that the proxy aborted
-     * @param ok those that succeeded
-     * @param error those that failed
-     * @param rejected those that the server rejected
-     * @param miss those that the server had no copy for
-     * @param reset those whose connection broke
-     * @param connectFailed those that found no connection
+     * @param aborted attempts that the proxy aborted
+     * @param ok attempts that succeeded
+     * @param error attempts that failed
+     * @param rejected attempts that the server rejected
+     * @param miss attempts for an object that the server had no copy of
+     * @param reset attempts whose connection was reset
+     * @param connectFailed attempts for which no connection could be established
      * @param medianMs median response time
      * @param percentile99Ms 99th percentile of the response time
      */
@@ -93,50 +93,50 @@
     /**
      * Calls that reached the origin in one second.
      *
-     * @param calls all of them
-     * @param failed those that failed
+     * @param calls all calls
+     * @param failed calls that failed
      */
     public record OriginCalls(long calls, long failed) {}
 
     /**
-     * When the proxies were notified of an event, each by its own clock.
+     * When the proxies were notified of an event, each measured by the proxy's own clock.
      *
-     * @param count how many were
-     * @param firstUs when the first one was; 0 where none was
-     * @param lastUs when the last one was; 0 where none was
+     * @param count how many notifications were delivered
+     * @param firstUs time of the earliest notification; 0 if there was none
+     * @param lastUs time of the latest notification; 0 if there was none
      */
     public record Notifications(@JsonProperty("told") int count, long firstUs, long lastUs) {}
 
     /**
-     * A run of a proxy's process.
+     * One incarnation of a proxy: a run of its process from start to end, timed by its own clock.
      *
-     * @param proxy the proxy
-     * @param startedUs when it started
-     * @param end how it ended
-     * @param endedUs when it ended
+     * @param proxy the proxy's name
+     * @param startedUs when the process started
+     * @param end how the process ended
+     * @param endedUs when the process ended
      */
     public record Incarnation(@JsonProperty("front") String proxy, long startedUs, End end, long endedUs) {
         /** How a proxy's process ended. */
         public enum End {
-            /** It ran until the end of the emulation, and shut down in order. */
+            /** It ran until the end of the emulation and shut down gracefully. */
             @JsonProperty("finished")
             FINISHED,
-            /** It was killed. */
+            /** It was killed by a fault. */
             @JsonProperty("killed")
             KILLED
         }
     }
 
     /**
-     * A fault that was injected, or that followed from one.
+     * The period of a fault that was injected, or of one that an injected fault caused.
      *
-     * @param kind its kind, as in scenario files, or {@link #ORIGIN_STOPPED}
-     * @param servers where
-     * @param fromUs when it began
-     * @param toUs when it ended
+     * @param kind the kind as in scenario files, or {@link #ORIGIN_STOPPED}
+     * @param servers the affected servers, proxies or zones; empty if the fault affects the whole fleet
+     * @param fromUs when the fault began, in Unix time
+     * @param toUs when the fault ended, in Unix time
      */
     public record FaultPeriod(String kind, List<String> servers, long fromUs, long toUs) {
-        /** The kind of an origin that stopped under overload. */
+        /** The kind of the fault that follows when the origin stops under overload. */
         public static final String ORIGIN_STOPPED = "stock-stopped";
     }
 }
--- a/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
+++ b/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
@@ -16,13 +16,13 @@
 import petrelplank.routing.ServiceClass;
 
 /**
- * Writes the {@link GroundTruth} down while the emulation runs. It knows nothing of records and shares no code with
- * the analysis, whose figures tests compare with it.
+ * Collects the {@link GroundTruth} while the emulation runs. It doesn't read the proxies' records and shares no code
+ * with the analysis of them, so that tests can check the figures of the analysis against it independently.
  */
 final class GroundTruthRecorder {
     private static final long SECOND_US = 1_000_000;
 
-    /** Counts of the origin's calls in a second. */
+    /** Counters of the calls that reached the origin in one second. */
     private static final class OriginCounters {
         private long calls;
         private long failed;
@@ -32,7 +32,7 @@
         }
     }
 
-    /** A run of a proxy; {@code end} is null while it is under way. */
+    /** The state of one incarnation of a proxy; {@code end} is null while the process runs. */
     private static final class ProxyRun {
         private final String proxy;
         private final long startedUs;
@@ -102,7 +102,7 @@
         requestCounters(proxy, serviceClass).forEach(counters -> counters.requested(serviceClass));
     }
 
-    /** A client took the final response, {@code bytes} of the object with it. */
+    /** Records that a client received the final response, with {@code bytes} bytes of the object. */
     void responded(EmulatedProxy proxy, ServiceClass serviceClass, long bytes, ClientResponse.Kind kind, long tookUs) {
         proxyRuns.get(proxy).openRequests--;
         boolean successful = kind == ClientResponse.Kind.SERVED || kind == ClientResponse.Kind.NOT_MODIFIED;
@@ -155,18 +155,18 @@
         notifications.notified(proxy, event);
     }
 
-    /** A write ran at the origin. */
+    /** Records that the origin executed a write; executions are counted by request to detect repeated ones. */
     void writeExecuted(String requestId) {
         writes.merge(requestId, 1, Integer::sum);
     }
 
     void faultInjected(Fault fault) {
-        // A purge takes no time, whatever a scenario says.
+        // A purge is instantaneous: the duration given in a scenario doesn't apply to it.
         long endUs = fault.kind() == FaultKind.PURGE ? fault.startUnixUs() : fault.endUnixUs();
         faults.add(new GroundTruth.FaultPeriod(fault.kind().label(), fault.servers(), fault.startUnixUs(), endUs));
     }
 
-    /** Load from outside is a fault of the fleet only where the origin stops under it. */
+    /** Records outside load as a fault. Called only if the origin stops under it; otherwise it is no fault. */
     void outsideLoadStoppedOrigin(long fromUs, long toUs) {
         faults.add(
                 new GroundTruth.FaultPeriod(FaultKind.OUTSIDE_LOAD.label(), List.of(ServerNames.ORIGIN), fromUs, toUs));
@@ -177,7 +177,7 @@
                 GroundTruth.FaultPeriod.ORIGIN_STOPPED, List.of(ServerNames.ORIGIN), fromUs, toUs));
     }
 
-    /** All that was written down. */
+    /** Returns the ground truth collected so far. */
     GroundTruth truth(String scenario, long seed) {
         return new GroundTruth(
                 total.totals(),
--- a/src/main/java/petrelplank/emulator/NotificationLog.java
+++ b/src/main/java/petrelplank/emulator/NotificationLog.java
@@ -9,7 +9,10 @@
 import petrelplank.proxy.DiscoveryEvent;
 import petrelplank.routing.EndpointState;
 
-/** When each proxy was notified of purges and drains, by its own clock, and what it may no longer do since then. */
+/**
+ * Records when each proxy was notified of purges and drains, measured by its own clock, and detects sends and copies
+ * that violate the grace times that start with these notifications.
+ */
 final class NotificationLog {
     private static final class ProxyLog {
         private final Map<String, Long> drainsUs = new HashMap<>();
@@ -44,13 +47,16 @@
         }
     }
 
-    /** Whether a proxy has known for longer than the grace time that a server drains or is gone. */
+    /** Returns whether the drain grace time has passed since the proxy learned that the server is draining or gone. */
     boolean isLateFor(EmulatedProxy proxy, String server) {
         Long notifiedUs = proxies.get(proxy).drainsUs.get(server);
         return notifiedUs != null && proxy.clockUs() - notifiedUs > ProxySettings.DRAIN_GRACE_US;
     }
 
-    /** Whether a copy is from before a purge that the proxy had known for longer than the grace time. */
+    /**
+     * Returns whether a copy is older than a purge of it that the proxy had been notified of for longer than the
+     * purge grace time when it sent the attempt.
+     */
     boolean isPurged(EmulatedProxy proxy, long object, int group, long createdMs, long sentUs) {
         for (Map.Entry<DiscoveryEvent.Purge, Long> entry :
                 proxies.get(proxy).purgesUs.entrySet()) {
--- a/src/main/java/petrelplank/emulator/ProxyFleet.java
+++ b/src/main/java/petrelplank/emulator/ProxyFleet.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import petrelplank.routing.Hash;
 
-/** The proxies of a fleet: the latest run of each. */
+/** The proxies of a fleet. Holds the latest incarnation of each, which may have been killed. */
 final class ProxyFleet {
     private static final long SEED_FACTOR = 1_000_003;
 
@@ -73,7 +73,7 @@
         truth.proxyKilled(proxy);
     }
 
-    /** Starts a proxy again, under its old name and in its old zone. */
+    /** Starts a new incarnation of a proxy under the same name and in the same zone. */
     void restart(String name) {
         start(name, proxies.get(name).zone());
     }
--- a/src/main/java/petrelplank/emulator/ProxyIdentity.java
+++ b/src/main/java/petrelplank/emulator/ProxyIdentity.java
@@ -1,11 +1,11 @@
 package petrelplank.emulator;
 
 /**
- * Who a run of an emulated proxy is.
+ * Identifies one incarnation of an emulated proxy.
  *
- * @param name the proxy's name, the same after a restart
- * @param zone its zone
- * @param incarnation a random number of this run; it seeds the proxy's decisions too
- * @param clockOffsetUs how far the proxy's clock is ahead of simulated time
+ * @param name the proxy's name, which stays the same after a restart
+ * @param zone the proxy's zone
+ * @param incarnation the random number of this incarnation, which also seeds the proxy's random decisions
+ * @param clockOffsetUs how far the proxy's clock is ahead of simulated time; negative if it is behind
  */
 record ProxyIdentity(String name, String zone, long incarnation, long clockOffsetUs) {}
--- a/src/main/java/petrelplank/emulator/ProxySettings.java
+++ b/src/main/java/petrelplank/emulator/ProxySettings.java
@@ -11,13 +11,13 @@
 import petrelplank.routing.Tenant;
 import petrelplank.routing.WeightMeaning;
 
-/** The settings that the platform would give to a proxy of the emulated fleet. */
+/** Builds the settings that the platform would provide to a proxy of the emulated fleet. */
 final class ProxySettings {
     static final long DRAIN_GRACE_US = 1_000_000;
     static final long PURGE_GRACE_US = 500_000;
     static final String ORIGIN_KIND = "central";
     private static final long CONNECT_TIMEOUT_US = 100_000;
-    /** Requests in flight at the server, and the use of the link into its zone: see {@link Network}. */
+    /** Load values in responses: requests in flight, and utilization of the zone's link; see {@link Network}. */
     private static final List<String> REPORT_FIELDS = List.of("concurrent", "x1");
 
     private static final int MAX_ATTEMPTS = 6;
@@ -27,7 +27,7 @@
     private static final long OVERLOAD_US = 1_500_000;
     private static final long PURGE_DONE_US = 6_000_000;
     private static final long POLL_INTERVAL_US = 10_000_000;
-    /** The emulated fleet has no tenants, so that no request is over a quota. */
+    /** The emulated fleet has no tenants, so no request exceeds a quota. */
     private static final List<Tenant> NO_TENANTS = List.of();
 
     private static final double OVER_QUOTA_WEIGHT_FACTOR = 0;
--- a/src/main/java/petrelplank/emulator/PurgeService.java
+++ b/src/main/java/petrelplank/emulator/PurgeService.java
@@ -2,7 +2,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Purges objects and groups: notifies the proxies, and drops the copies that caches hold a while later. */
+/** Purges objects and groups: notifies the proxies, and deletes the cached copies after a random delay. */
 final class PurgeService {
     private static final long MIN_DELAY_US = 50_000;
     private static final int DELAY_SPREAD_US = 2_000_000;
@@ -27,7 +27,7 @@
         this.discovery = discovery;
     }
 
-    /** Purges single objects in the ordinary course, as popular as those that clients ask for. */
+    /** Starts the background purges of single objects, drawn with the same popularity as client requests. */
     void startOrdinaryPurges(double perSecond, long endUs) {
         if (perSecond > 0) {
             Runnable purge = () -> purge(PurgeTarget.ofObject(catalogue.draw().object()));
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Purges the first groups, up to a share of all. */
+    /** Purges the given share of all groups, in order from the first. */
     void purgeGroups(double share) {
         for (int group = 0; group < Math.round(share * catalogue.groups()); group++) {
             purge(PurgeTarget.ofGroup(group));
@@ -43,7 +43,7 @@
     }
 
     private void purge(PurgeTarget target) {
-        // Events of the discovery service tell the time in milliseconds.
+        // Purge events carry milliseconds, so caches must use the same truncated time.
         long unixMs = clock.nowUs() / MS;
         discovery.publishPurge(target, unixMs);
         for (CacheNode node : caches.nodes()) {
--- a/src/main/java/petrelplank/emulator/Scenario.java
+++ b/src/main/java/petrelplank/emulator/Scenario.java
@@ -8,16 +8,16 @@
 import petrelplank.yaml.Yaml;
 
 /**
- * What is emulated: a fleet, its load and the faults that are injected.
+ * Describes an emulation: a fleet, its load and the faults that are injected.
  *
  * @param name a short name
- * @param title what happens, for people
+ * @param title a one-line description for users
  * @param lengthUs how long clients send requests, in simulated time
  * @param topology the size of the fleet
- * @param workload requests and ordinary purges
- * @param capacity what servers and links can do
- * @param clockSpreadUs the proxies' clocks are apart by up to this
- * @param faults what goes wrong
+ * @param workload client requests and background purges
+ * @param capacity the capacity of servers and links
+ * @param clockSpreadUs the maximum difference between the clocks of two proxies
+ * @param faults the faults to inject
  */
 public record Scenario(
         String name,
@@ -28,19 +28,20 @@
         Capacity capacity,
         long clockSpreadUs,
         List<Fault> faults) {
-    /** The scenario played where none is named. */
+    /** The name of the scenario that runs if the user names none. */
     public static final String FIRST = "silent-parent";
 
-    /** When the last request is sent, in Unix time. */
+    /** Returns the Unix time at which clients stop sending requests. */
     long endUnixUs() {
         return EventScheduler.START_US + lengthUs;
     }
 
     /**
-     * The same faults, caches and load with another number of proxies: each sees more or less of them.
+     * Returns a copy with another number of proxies. Faults, caches and total load stay the same, so each proxy
+     * handles a larger or smaller part of the load.
      *
-     * @param proxies in each edge zone, from 1
-     * @return the scenario
+     * @param proxies the number of proxies in each edge zone, at least 1
+     * @return the modified scenario
      */
     public Scenario withProxiesPerZone(int proxies) {
         return new Scenario(
@@ -48,11 +49,12 @@
     }
 
     /**
-     * A bundled scenario or one from a file.
+     * Loads a bundled scenario or reads one from a file.
      *
-     * @param nameOrFile its name, or a YAML file
-     * @return the scenario; YamlException says what is wrong
-     * @throws IOException where the file can't be read
+     * @param nameOrFile the name of a bundled scenario, or the path of a YAML file
+     * @return the scenario
+     * @throws IOException if the file doesn't exist or can't be read
+     * @throws petrelplank.yaml.YamlException if the file is not a valid scenario
      */
     public static Scenario of(String nameOrFile) throws IOException {
         if (BundledScenarios.contains(nameOrFile)) {
@@ -60,17 +62,18 @@
         }
         Path file = Path.of(nameOrFile);
         if (!Files.isRegularFile(file)) {
-            throw new IOException(nameOrFile + ": no such file, and no bundled scenario (there are "
+            throw new IOException(nameOrFile + ": neither a bundled scenario nor an existing file (bundled scenarios: "
                     + String.join(", ", BundledScenarios.all()) + ")");
         }
         return of(Yaml.read(file));
     }
 
     /**
-     * A scenario from a YAML mapping.
+     * Reads a scenario from a YAML mapping.
      *
-     * @param mapping the file's mapping
-     * @return the scenario; YamlException says what is wrong
+     * @param mapping the top-level mapping of the file
+     * @return the scenario
+     * @throws petrelplank.yaml.YamlException if the mapping is not a valid scenario
      */
     public static Scenario of(Section mapping) {
         return new ScenarioParser(mapping).parse();
--- a/src/main/java/petrelplank/emulator/ScenarioParser.java
+++ b/src/main/java/petrelplank/emulator/ScenarioParser.java
@@ -6,8 +6,8 @@
 import petrelplank.yaml.YamlException;
 
 /**
- * Reads a scenario from YAML, with a default for all but its name. Keys are read in a fixed order, so that of several
- * mistakes in a file the same one is always reported.
+ * Reads a scenario from YAML. Every key except the name has a default. Keys are read in a fixed order, so that a file
+ * with several errors always reports the same one.
  */
 final class ScenarioParser {
     private static final long SECOND_US = 1_000_000;
@@ -22,7 +22,11 @@
         this.mapping = mapping;
     }
 
-    /** The scenario; YamlException says what is wrong, and where. */
+    /**
+     * Reads the scenario.
+     *
+     * @throws YamlException with the position and the reason if the mapping is not a valid scenario
+     */
     Scenario parse() {
         String name = mapping.text("name");
         String title = mapping.text("title", name);
@@ -80,7 +84,8 @@
         List<String> servers = section.texts("servers");
         for (String server : servers) {
             if (!topology.contains(server)) {
-                throw section.wrong("servers", "no server is called " + server);
+                throw section.wrong(
+                        "servers", "expected a server, proxy or edge zone of this topology, found " + server);
             }
         }
         if (kind.namesServers() == servers.isEmpty()) {
@@ -95,7 +100,7 @@
         return section.wrong(
                 "servers",
                 kind.namesServers()
-                        ? "a trouble of this kind names at least one"
-                        : "a trouble of this kind names none");
+                        ? "expected at least one name for this kind of fault, found none"
+                        : "expected no names for this kind of fault, found at least one");
     }
 }
--- a/src/main/java/petrelplank/emulator/ServerNames.java
+++ b/src/main/java/petrelplank/emulator/ServerNames.java
@@ -1,6 +1,6 @@
 package petrelplank.emulator;
 
-/** Names of the zones, proxies and servers of an emulated fleet; all are counted from 1. */
+/** Builds the names of the zones, proxies and servers of an emulated fleet. All numbers start at 1. */
 final class ServerNames {
     static final String ORIGIN = "central-stock";
 
@@ -26,7 +26,7 @@
         return "hub-box-" + number + "." + hubZone(hub);
     }
 
-    /** The name of the server that takes another one's place. */
+    /** Returns the name of the server that replaces the given one. */
     static String successor(String server) {
         return server + "-new";
     }
--- a/src/main/java/petrelplank/emulator/SimulatedFleet.java
+++ b/src/main/java/petrelplank/emulator/SimulatedFleet.java
@@ -4,18 +4,18 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * All parts of an emulated fleet at rest, wired together.
+ * The components of an emulated fleet, connected to each other.
  *
- * @param scenario what is emulated
- * @param seed of all random numbers
- * @param clock simulated time
- * @param truth what happens
- * @param catalogue what clients ask for
+ * @param scenario the emulated scenario
+ * @param seed the seed of all random numbers
+ * @param clock the scheduler, which also keeps simulated time
+ * @param truth collects the ground truth
+ * @param catalogue the objects that clients request
  * @param origin the origin
- * @param caches caches and parent caches
+ * @param caches the caches and parent caches
  * @param discovery the discovery service
  * @param proxies the proxies
- * @param purges purges objects
+ * @param purges the service that purges objects and groups
  * @param clients the clients
  */
 record SimulatedFleet(
@@ -30,13 +30,16 @@
         ProxyFleet proxies,
         PurgeService purges,
         ClientLoad clients) {
-    /** Far apart, so that the generators of one seed are not those of another one. */
+    /**
+     * The offsets are far apart, so that a generator of one scenario seed doesn't coincide with a generator of another
+     * scenario seed close to it.
+     */
     private static final long NETWORK_SEED_OFFSET = 1_000_000_007L;
 
     private static final long CATALOGUE_SEED_OFFSET = 2_000_000_014L;
     private static final long ORIGIN_SEED_OFFSET = 3_000_000_021L;
 
-    /** Builds a fleet whose caches are warm and whose proxies have started. */
+    /** Builds a fleet with warm caches and started proxies; no client request or fault is scheduled yet. */
     static SimulatedFleet build(Scenario scenario, long seed, SinkFactory sinks) {
         EventScheduler clock = new EventScheduler();
         UniformRandomProvider random = random(seed);
--- a/src/main/java/petrelplank/emulator/Simulation.java
+++ b/src/main/java/petrelplank/emulator/Simulation.java
@@ -1,11 +1,11 @@
 package petrelplank.emulator;
 
 /**
- * Plays a scenario in simulated time. The proxies are the production code; clients, caches, parent caches, the origin
- * and the discovery service are models. The same scenario and seed give the same run.
+ * Runs a scenario in simulated time. The proxies run the production code; clients, caches, parent caches, the origin
+ * and the discovery service are models. The same scenario and seed produce the same run.
  */
 public final class Simulation {
-    /** Time after the last request, so that all requests come to their ends. */
+    /** Simulated time that the run continues after the last request, so that all requests can complete. */
     private static final long TAIL_US = 8_000_000;
 
     private final Scenario scenario;
@@ -13,11 +13,11 @@
     private final SimulatedFleet fleet;
 
     /**
-     * A fleet at rest.
+     * Creates a fleet that is ready to run.
      *
-     * @param scenario what is emulated
-     * @param seed of all random numbers
-     * @param sinks makes the sink for the records of each run of a proxy
+     * @param scenario the scenario to run
+     * @param seed the seed of all random numbers
+     * @param sinks creates the record sink of each incarnation of a proxy
      */
     public Simulation(Scenario scenario, long seed, SinkFactory sinks) {
         this.scenario = scenario;
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Plays the scenario to its end.
+     * Runs the scenario to its end.
      *
-     * @return what happened
+     * @return the ground truth of the run
      */
     public GroundTruth run() {
         Workload workload = scenario.workload();
@@ -41,18 +41,18 @@
     }
 
     /**
-     * How many requests clients have sent so far.
+     * Returns the number of requests that clients have sent so far.
      *
-     * @return the count
+     * @return the number of requests
      */
     public long requests() {
         return fleet.clients().requests();
     }
 
     /**
-     * How many tasks have run in simulated time so far.
+     * Returns the number of scheduled tasks that have run so far.
      *
-     * @return the count
+     * @return the number of tasks
      */
     public long tasksRun() {
         return fleet.clock().tasksRun();
--- a/src/main/java/petrelplank/emulator/SinkFactory.java
+++ b/src/main/java/petrelplank/emulator/SinkFactory.java
@@ -2,15 +2,15 @@
 
 import petrelplank.record.EventSink;
 
-/** Makes the sink that takes the records of one run of a proxy. */
+/** Creates the sink that receives the records of one incarnation of a proxy. */
 @FunctionalInterface
 public interface SinkFactory {
     /**
-     * A sink for a run that starts now.
+     * Creates the sink of an incarnation that is about to start.
      *
      * @param proxy the proxy's name
-     * @param incarnation the run's random number
-     * @return the sink; {@link EventSink#NONE} where no records are kept
+     * @param incarnation the random number of the incarnation
+     * @return the sink; {@link EventSink#NONE} to discard the records
      */
     EventSink create(String proxy, long incarnation);
 }
--- a/src/main/java/petrelplank/emulator/Topology.java
+++ b/src/main/java/petrelplank/emulator/Topology.java
@@ -1,17 +1,17 @@
 package petrelplank.emulator;
 
 /**
- * The size of a fleet. Zones at the edge hold proxies and caches; hubs are the zones of the parent caches. Hubs form a
- * ring, and the origin is at the first one.
+ * The size of a fleet. Edge zones contain proxies and caches; hub zones contain parent caches. The hubs form a ring,
+ * and the origin is in the first hub.
  *
- * @param edgeZones zones at the edge
- * @param proxiesPerZone proxies in each zone at the edge
- * @param cachesPerZone caches in each zone at the edge
- * @param hubs hub zones
- * @param parentsPerHub parent caches in each hub
+ * @param edgeZones the number of edge zones
+ * @param proxiesPerZone the number of proxies in each edge zone
+ * @param cachesPerZone the number of caches in each edge zone
+ * @param hubs the number of hub zones
+ * @param parentsPerHub the number of parent caches in each hub zone
  */
 public record Topology(int edgeZones, int proxiesPerZone, int cachesPerZone, int hubs, int parentsPerHub) {
-    /** All proxies of the fleet. */
+    /** Returns the number of proxies in the whole fleet. */
     int proxies() {
         return edgeZones * proxiesPerZone;
     }
@@ -20,7 +20,7 @@
         return new Topology(edgeZones, proxies, cachesPerZone, hubs, parentsPerHub);
     }
 
-    /** Whether a name is that of an edge zone, a proxy, a cache or a parent cache of this fleet. */
+    /** Returns whether the name is that of an edge zone, proxy, cache or parent cache of this fleet. */
     boolean contains(String name) {
         for (int zone = 1; zone <= edgeZones; zone++) {
             if (name.equals(ServerNames.edgeZone(zone)) || containsInZone(zone, name)) {
--- a/src/test/java/petrelplank/emulator/FleetIncidents.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidents.java
@@ -10,25 +10,26 @@
 import petrelplank.record.EventSink;
 
 /**
- * Plays the incidents of a fleet of many proxies, and measures what was earned by the number of proxies. Run as a
- * program it prints the curve of {@code docs/fleet.md}, for the numbers of proxies in each zone that it is given.
+ * Runs the incidents of a fleet of many proxies and measures the earned share of the priority weight for different
+ * numbers of proxies. Run as a program it prints the curve of {@code docs/fleet.md} for the given numbers of proxies
+ * in each zone.
  */
 final class FleetIncidents {
-    /** Held, since the platform forgets the level of a logger that nobody holds. */
+    /** A strong reference: java.util.logging holds loggers weakly, and a collected logger loses its level. */
     private static final Logger PROXY_LOGGER = Logger.getLogger("petrelplank.proxy");
 
-    /** Seconds with fewer than one request in so many don't count as the worst second. */
+    /** A second can only be the worst one if at least one in this many of all requests was sent in it. */
     private static final int MIN_REQUESTS_DIVISOR = 100;
 
     private FleetIncidents() {}
 
     /**
-     * What one run came to.
+     * The result of one run.
      *
-     * @param earned priority weight earned over that of all requests
-     * @param worstSecond the same of the worst second with 1 in 100 of the requests or more
-     * @param violations requests without a response, sends to servers that drain, copies from before a purge, and
-     *     writes that ran more than once
+     * @param earned the priority weight earned, divided by the weight of all requests
+     * @param worstSecond the lowest such quotient of any second that had at least 1 in 100 of the requests
+     * @param violations requests without a response, sends to draining servers after the grace time, copies from
+     *     before a purge after its grace time, and writes that were executed more than once
      */
     record Result(double earned, double worstSecond, long violations) {}
 
@@ -55,8 +56,8 @@
     /**
      * Prints the curve.
      *
-     * @param args seeds, then numbers of proxies in each zone
-     * @throws IOException where a scenario can't be read
+     * @param args the number of seeds, then one or more numbers of proxies in each zone
+     * @throws IOException if a scenario can't be read
      */
     public static void main(String[] args) throws IOException {
         int seeds = Integer.parseInt(args[0]);
--- a/src/test/java/petrelplank/emulator/FleetIncidentsTest.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidentsTest.java
@@ -6,7 +6,10 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Incidents at 15 proxies and 60 caches; the bounds lie between what this version and the one before earned. */
+/**
+ * Guards against a regression of the routing under incidents of a fleet with 15 proxies and 60 caches. Each bound lies
+ * between what the version that introduced it earned and what the version before it earned.
+ */
 class FleetIncidentsTest {
     private static void earnsAtLeast(String scenario, int proxiesPerZone, double minimum) throws IOException {
         FleetIncidents.Result result = FleetIncidents.play(scenario, proxiesPerZone, 1);
--- a/src/test/java/petrelplank/emulator/ScenarioParserTest.java
+++ b/src/test/java/petrelplank/emulator/ScenarioParserTest.java
@@ -56,11 +56,14 @@
         String fault = "name: a\nlength: 10s\ntroubles:\n  - kind: ";
         isRejected(
                 fault + "silent\n    servers: [box-9.branch1]\n",
-                "5:14: troubles[0].servers: no server is called box-9.branch1");
-        isRejected(fault + "silent\n", "4:5: troubles[0].servers: a trouble of this kind names at least one");
+                "5:14: troubles[0].servers: expected a server, proxy or edge zone of this topology, "
+                        + "found box-9.branch1");
+        isRejected(
+                fault + "silent\n",
+                "4:5: troubles[0].servers: expected at least one name for this kind of fault, found none");
         isRejected(
                 fault + "purge\n    servers: [box-1.branch1]\n",
-                "5:14: troubles[0].servers: a trouble of this kind names none");
+                "5:14: troubles[0].servers: expected no names for this kind of fault, found at least one");
         isRejected(fault + "purge\n    share: 2\n", "5:12: troubles[0].share: should be from 0.0 to 1.0, found 2");
         isRejected(
                 fault + "purge\n    at: 11s\n", "5:9: troubles[0].at: should be from 0.0 to 10000.0 ms, found 11000.0");
