--- a/src/main/java/petrelplank/emulator/DiscoveryService.java
+++ b/src/main/java/petrelplank/emulator/DiscoveryService.java
@@ -12,16 +12,16 @@
 
 /** Publishes endpoint changes and purges to the proxies as numbered events, each with a random delivery delay. */
 final class DiscoveryService {
-    private static final long MIN_DELIVERY_US = 30_000;
-    private static final int DELIVERY_SPREAD_US = 200_000;
-    private static final int ANY_PORT = 1;
+    private static final long MIN_DELIVERY_DELAY_US = 30_000;
+    private static final int DELIVERY_JITTER_US = 200_000;
+    private static final int UNUSED_PORT = 1;
 
     private final EventScheduler clock;
     private final UniformRandomProvider random;
     private final GroundTruthRecorder truth;
     private final List<DiscoveryEvent> events = new ArrayList<>();
     private final Map<String, EmulatedProxy> subscribers = new LinkedHashMap<>();
-    private long heldUntilUs;
+    private long deliveryPausedUntilUs;
 
     /** Creates the service with a first event that lists the origin and all caches as up; no proxy is subscribed. */
     DiscoveryService(EventScheduler clock, UniformRandomProvider random, GroundTruthRecorder truth, CacheFleet caches) {
@@ -38,7 +38,7 @@
         CacheSpec spec = node.spec();
         return new DiscoveryEvent.Entry(
                 new EndpointInfo(spec.id(), spec.zone(), spec.kind(), 0, state, spec.weight(), node.startedUs()),
-                InetSocketAddress.createUnresolved(spec.id(), ANY_PORT));
+                InetSocketAddress.createUnresolved(spec.id(), UNUSED_PORT));
     }
 
     private static DiscoveryEvent.Entry originEntry() {
@@ -51,7 +51,7 @@
                         EndpointState.UP,
                         1,
                         0),
-                InetSocketAddress.createUnresolved(ServerNames.ORIGIN, ANY_PORT));
+                InetSocketAddress.createUnresolved(ServerNames.ORIGIN, UNUSED_PORT));
     }
 
     private int nextIndex() {
@@ -68,8 +68,8 @@
     }
 
     /** Delays the delivery of events published from now on until after the given time. */
-    void holdUntil(long untilUs) {
-        heldUntilUs = untilUs;
+    void pauseDeliveryUntil(long untilUs) {
+        deliveryPausedUntilUs = untilUs;
     }
 
     void publishState(EndpointState state, List<CacheNode> nodes) {
@@ -85,10 +85,10 @@
     private void publish(DiscoveryEvent event) {
         events.add(event);
         for (EmulatedProxy proxy : subscribers.values()) {
-            long heldUs = Math.max(0, heldUntilUs - clock.nowUs());
+            long pauseUs = Math.max(0, deliveryPausedUntilUs - clock.nowUs());
             clock.after(
-                    heldUs + MIN_DELIVERY_US + random.nextInt(DELIVERY_SPREAD_US),
-                    () -> deliverUpTo(proxy, event.index()));
+                    pauseUs + MIN_DELIVERY_DELAY_US + random.nextInt(DELIVERY_JITTER_US),
+                    () -> deliverMissingEvents(proxy, event.index()));
         }
     }
 
@@ -96,7 +96,7 @@
      * Delivers all events up to {@code index} that the proxy has not received yet, in order. Delivery delays are
      * random, so a later event may become due before an earlier one.
      */
-    private void deliverUpTo(EmulatedProxy proxy, long index) {
+    private void deliverMissingEvents(EmulatedProxy proxy, long index) {
         long lastIndex = proxy.lastEventIndex();
         if (index > lastIndex) {
             events.stream()
@@ -108,7 +108,7 @@
 
     private void deliver(EmulatedProxy proxy, DiscoveryEvent event) {
         if (proxy.isAlive()) {
-            truth.notified(proxy, event);
+            truth.eventDelivered(proxy, event);
             proxy.onDiscoveryEvent(event);
         }
     }
--- a/src/main/java/petrelplank/emulator/EmulatedProxy.java
+++ b/src/main/java/petrelplank/emulator/EmulatedProxy.java
@@ -24,7 +24,7 @@
     }
 
     private static final int MAX_OPEN_REQUESTS = 2_048;
-    private static final long NO_TURN = Long.MAX_VALUE;
+    private static final long NO_TURN_SCHEDULED = Long.MAX_VALUE;
 
     private final EventScheduler clock;
     private final ProxyIdentity identity;
@@ -36,7 +36,7 @@
     private final Map<Attempt, Long> sentUsByAttempt = new HashMap<>();
     private ResponseForwarder forwarder;
     private boolean alive = true;
-    private long nextTurnUs = NO_TURN;
+    private long nextTurnUs = NO_TURN_SCHEDULED;
 
     /**
      * Starts the proxy.
@@ -136,7 +136,7 @@
         nextTurnUs = turnUs;
         clock.at(turnUs, () -> {
             if (nextTurnUs == turnUs) {
-                nextTurnUs = NO_TURN;
+                nextTurnUs = NO_TURN_SCHEDULED;
             }
             if (alive) {
                 runLoop();
--- a/src/main/java/petrelplank/emulator/FaultInjector.java
+++ b/src/main/java/petrelplank/emulator/FaultInjector.java
@@ -22,13 +22,13 @@
     void scheduleAll() {
         for (Fault fault : fleet.scenario().faults()) {
             schedule(fault);
-            if (isNoted(fault.kind())) {
+            if (isRecordedOnInjection(fault.kind())) {
                 fleet.truth().faultInjected(fault);
             }
         }
     }
 
-    private static boolean isNoted(FaultKind kind) {
+    private static boolean isRecordedOnInjection(FaultKind kind) {
         return kind != FaultKind.DRAIN && kind != FaultKind.REPLACE && kind != FaultKind.OUTSIDE_LOAD;
     }
 
@@ -43,17 +43,17 @@
             case RESTART -> restartProxies(fault);
             case PURGE -> clock.at(fault.startUnixUs(), () -> fleet.purges().purgeGroups(fault.share()));
             case HOT_OBJECT -> addHotObject(fault);
-            case SLOW_ORIGIN -> slowOrigin(fault);
-            case OUTSIDE_LOAD -> loadOrigin(fault);
+            case SLOW_ORIGIN -> slowDownOrigin(fault);
+            case OUTSIDE_LOAD -> addOutsideLoad(fault);
             case LATE_DISCOVERY ->
-                clock.at(fault.startUnixUs(), () -> fleet.discovery().holdUntil(fault.endUnixUs()));
+                clock.at(fault.startUnixUs(), () -> fleet.discovery().pauseDeliveryUntil(fault.endUnixUs()));
             default -> throw new IllegalStateException(fault.kind().toString());
         }
     }
 
     private void restartProxies(Fault fault) {
         for (String name : fault.servers()) {
-            during(
+            scheduleStartAndEnd(
                     fault,
                     () -> fleet.proxies().kill(name),
                     () -> fleet.proxies().restart(name));
@@ -63,21 +63,21 @@
     private void addHotObject(Fault fault) {
         long object = Hash.mix(fleet.seed() + HOT_OBJECT_SEED_OFFSET);
         Catalogue catalogue = fleet.catalogue();
-        during(fault, () -> catalogue.startHotObject(object, fault.share()), catalogue::endHotObject);
+        scheduleStartAndEnd(fault, () -> catalogue.startHotObject(object, fault.share()), catalogue::endHotObject);
     }
 
-    private void slowOrigin(Fault fault) {
+    private void slowDownOrigin(Fault fault) {
         OriginServer origin = fleet.origin();
-        during(fault, () -> origin.setSlowdown(fault.share()), () -> origin.setSlowdown(1));
+        scheduleStartAndEnd(fault, () -> origin.setSlowdown(fault.share()), () -> origin.setSlowdown(1));
     }
 
-    private void loadOrigin(Fault fault) {
+    private void addOutsideLoad(Fault fault) {
         OriginServer origin = fleet.origin();
         double callsPerSecond = fault.share() * fleet.scenario().capacity().originPerSecond();
-        during(fault, () -> origin.startOutsideLoad(callsPerSecond), origin::endOutsideLoad);
+        scheduleStartAndEnd(fault, () -> origin.startOutsideLoad(callsPerSecond), origin::endOutsideLoad);
     }
 
-    private void during(Fault fault, Runnable onStart, Runnable onEnd) {
+    private void scheduleStartAndEnd(Fault fault, Runnable onStart, Runnable onEnd) {
         clock.at(fault.startUnixUs(), onStart);
         clock.at(fault.endUnixUs(), onEnd);
     }
--- a/src/main/java/petrelplank/emulator/FaultKind.java
+++ b/src/main/java/petrelplank/emulator/FaultKind.java
@@ -7,29 +7,29 @@
 /** The kinds of faults that a scenario can inject. */
 public enum FaultKind {
     /** A server accepts requests and never responds. */
-    SILENT("silent", Target.SERVERS, Share.FRACTION),
+    SILENT("silent", Target.SERVERS, MagnitudeUnit.FRACTION),
     /** A server fails a share of its requests immediately. */
-    FAST_FAILURES("fast-failures", Target.SERVERS, Share.FRACTION),
+    FAST_FAILURES("fast-failures", Target.SERVERS, MagnitudeUnit.FRACTION),
     /** A share of the object groups is purged at the same time. */
-    PURGE("purge", Target.FLEET, Share.FRACTION),
+    PURGE("purge", Target.FLEET, MagnitudeUnit.FRACTION),
     /** A new object receives a share of the requests for media. */
-    HOT_OBJECT("hot-object", Target.FLEET, Share.FRACTION),
+    HOT_OBJECT("hot-object", Target.FLEET, MagnitudeUnit.FRACTION),
     /** The origin takes a multiple of its usual response time. */
-    SLOW_ORIGIN("slow-stock", Target.FLEET, Share.MULTIPLE),
+    SLOW_ORIGIN("slow-stock", Target.FLEET, MagnitudeUnit.MULTIPLE),
     /** Proxies are killed, and restarted when the fault ends. */
-    RESTART("restart", Target.SERVERS, Share.FRACTION),
+    RESTART("restart", Target.SERVERS, MagnitudeUnit.FRACTION),
     /** A cache drains, and is removed when the fault ends. */
-    DRAIN("drain", Target.SERVERS, Share.FRACTION),
+    DRAIN("drain", Target.SERVERS, MagnitudeUnit.FRACTION),
     /** Servers fail without notice; when the fault ends they return with cold caches, and are listed later. */
-    LOST("lost", Target.SERVERS, Share.FRACTION),
+    LOST("lost", Target.SERVERS, MagnitudeUnit.FRACTION),
     /** Servers are replaced one after the other: the new one starts with a cold cache while the old one drains. */
-    REPLACE("replace", Target.SERVERS, Share.FRACTION),
+    REPLACE("replace", Target.SERVERS, MagnitudeUnit.FRACTION),
     /** The discovery service delivers nothing until the fault ends, and then all delayed events in one burst. */
-    LATE_DISCOVERY("late-list", Target.FLEET, Share.FRACTION),
+    LATE_DISCOVERY("late-list", Target.FLEET, MagnitudeUnit.FRACTION),
     /** Clients outside the fleet send calls to the origin at a multiple of its capacity. */
-    OUTSIDE_LOAD("outside-load", Target.FLEET, Share.MULTIPLE),
+    OUTSIDE_LOAD("outside-load", Target.FLEET, MagnitudeUnit.MULTIPLE),
     /** The link into a zone is reduced to a share of its capacity. */
-    CROWDED_LINK("crowded-link", Target.SERVERS, Share.FRACTION);
+    CROWDED_LINK("crowded-link", Target.SERVERS, MagnitudeUnit.FRACTION);
 
     /** What a kind of fault affects. */
     private enum Target {
@@ -40,27 +40,27 @@
     }
 
     /** How the magnitude of a fault is interpreted, with its default and its upper bound. */
-    private enum Share {
+    private enum MagnitudeUnit {
         FRACTION(1, 1),
         MULTIPLE(5, 100);
 
-        private final double byDefault;
-        private final double maximum;
+        private final double defaultValue;
+        private final double maximumValue;
 
-        Share(double byDefault, double maximum) {
-            this.byDefault = byDefault;
-            this.maximum = maximum;
+        MagnitudeUnit(double defaultValue, double maximumValue) {
+            this.defaultValue = defaultValue;
+            this.maximumValue = maximumValue;
         }
     }
 
     private final String label;
     private final Target target;
-    private final Share share;
+    private final MagnitudeUnit magnitudeUnit;
 
-    FaultKind(String label, Target target, Share share) {
+    FaultKind(String label, Target target, MagnitudeUnit magnitudeUnit) {
         this.label = label;
         this.target = target;
-        this.share = share;
+        this.magnitudeUnit = magnitudeUnit;
     }
 
     /** Returns the name used in scenario files and in the ground truth. */
@@ -73,12 +73,12 @@
         return target == Target.SERVERS;
     }
 
-    double defaultShare() {
-        return share.byDefault;
+    double defaultMagnitude() {
+        return magnitudeUnit.defaultValue;
     }
 
-    double maximumShare() {
-        return share.maximum;
+    double maximumMagnitude() {
+        return magnitudeUnit.maximumValue;
     }
 
     static Set<String> labels() {
--- a/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
+++ b/src/main/java/petrelplank/emulator/GroundTruthRecorder.java
@@ -33,14 +33,14 @@
     }
 
     /** The state of one incarnation of a proxy; {@code end} is null while the process runs. */
-    private static final class ProxyRun {
+    private static final class IncarnationState {
         private final String proxy;
         private final long startedUs;
         private long openRequests;
         private GroundTruth.Incarnation.End end;
         private long endedUs;
 
-        ProxyRun(String proxy, long startedUs) {
+        IncarnationState(String proxy, long startedUs) {
             this.proxy = proxy;
             this.startedUs = startedUs;
         }
@@ -58,9 +58,9 @@
     private final Map<String, AttemptCounters> servers = new TreeMap<>();
     private final Map<Long, OriginCounters> origin = new TreeMap<>();
     private final NotificationLog notifications = new NotificationLog();
-    private final Map<EmulatedProxy, ProxyRun> proxyRuns = new LinkedHashMap<>();
+    private final Map<EmulatedProxy, IncarnationState> incarnations = new LinkedHashMap<>();
     private final List<GroundTruth.FaultPeriod> faults = new ArrayList<>();
-    private final Map<String, Integer> writes = new HashMap<>();
+    private final Map<String, Integer> executionsByWrite = new HashMap<>();
     private long lateSends;
     private long stalePurgedCopies;
     private long unanswered;
@@ -70,8 +70,8 @@
     }
 
     void proxyStarted(EmulatedProxy proxy) {
-        proxyRuns.put(proxy, new ProxyRun(proxy.name(), proxy.clockUs()));
-        notifications.started(proxy);
+        incarnations.put(proxy, new IncarnationState(proxy.name(), proxy.clockUs()));
+        notifications.proxyStarted(proxy);
     }
 
     void proxyFinished(EmulatedProxy proxy) {
@@ -83,10 +83,10 @@
     }
 
     private void proxyEnded(EmulatedProxy proxy, GroundTruth.Incarnation.End end) {
-        ProxyRun run = proxyRuns.get(proxy);
-        run.end = end;
-        run.endedUs = proxy.clockUs();
-        unanswered += run.openRequests;
+        IncarnationState incarnation = incarnations.get(proxy);
+        incarnation.end = end;
+        incarnation.endedUs = proxy.clockUs();
+        unanswered += incarnation.openRequests;
     }
 
     private List<RequestCounters> requestCounters(EmulatedProxy proxy, ServiceClass serviceClass) {
@@ -98,19 +98,21 @@
     }
 
     void requested(EmulatedProxy proxy, ServiceClass serviceClass) {
-        proxyRuns.get(proxy).openRequests++;
+        incarnations.get(proxy).openRequests++;
         requestCounters(proxy, serviceClass).forEach(counters -> counters.requested(serviceClass));
     }
 
     /** Records that a client received the final response, with {@code bytes} bytes of the object. */
-    void responded(EmulatedProxy proxy, ServiceClass serviceClass, long bytes, ClientResponse.Kind kind, long tookUs) {
-        proxyRuns.get(proxy).openRequests--;
+    void responded(
+            EmulatedProxy proxy, ServiceClass serviceClass, long bytes, ClientResponse.Kind kind, long latencyUs) {
+        incarnations.get(proxy).openRequests--;
         boolean successful = kind == ClientResponse.Kind.SERVED || kind == ClientResponse.Kind.NOT_MODIFIED;
         double transferUs = bytes / (TrafficClasses.FLOW_KB_PER_SECOND * TrafficClasses.KIB) * 1e6;
         double objectiveUs = serviceClass.latencyObjectiveUs() + serviceClass.objectiveSizeFactor() * transferUs;
-        boolean inTime = successful && tookUs <= Math.min(serviceClass.deadlineUs(), objectiveUs);
-        double earned = successful ? serviceClass.priorityWeight() * (inTime ? 1 : serviceClass.lateWeightFactor()) : 0;
-        requestCounters(proxy, serviceClass).forEach(counters -> counters.responded(kind, inTime, earned));
+        boolean inTime = successful && latencyUs <= Math.min(serviceClass.deadlineUs(), objectiveUs);
+        double weightEarned =
+                successful ? serviceClass.priorityWeight() * (inTime ? 1 : serviceClass.lateWeightFactor()) : 0;
+        requestCounters(proxy, serviceClass).forEach(counters -> counters.responded(kind, inTime, weightEarned));
     }
 
     private AttemptCounters attemptCounters(String server) {
@@ -119,24 +121,25 @@
 
     void attemptSent(EmulatedProxy proxy, Attempt attempt) {
         attemptCounters(attempt.server()).sent();
-        lateSends += notifications.isLateFor(proxy, attempt.server()) ? 1 : 0;
+        lateSends += notifications.isDrainGraceOver(proxy, attempt.server()) ? 1 : 0;
         String source = attempt.request().source();
-        lateSends += source != null && notifications.isLateFor(proxy, source) ? 1 : 0;
+        lateSends += source != null && notifications.isDrainGraceOver(proxy, source) ? 1 : 0;
     }
 
     void attemptAborted(String server) {
         attemptCounters(server).aborted();
     }
 
-    void attemptEnded(EmulatedProxy proxy, Attempt attempt, UpstreamResponse response, long tookUs) {
+    void attemptEnded(EmulatedProxy proxy, Attempt attempt, UpstreamResponse response, long latencyUs) {
         boolean successful = response.status() == AttemptStatus.OK;
         if (successful && response.bornMs() > 0) {
             long object = Long.parseUnsignedLong(attempt.request().object(), 16);
-            long sentUs = proxy.clockUs() - tookUs;
-            boolean purged = notifications.isPurged(proxy, object, catalogue.group(object), response.bornMs(), sentUs);
-            stalePurgedCopies += purged ? 1 : 0;
+            long sentUs = proxy.clockUs() - latencyUs;
+            boolean stale =
+                    notifications.violatesPurgeGrace(proxy, object, catalogue.group(object), response.bornMs(), sentUs);
+            stalePurgedCopies += stale ? 1 : 0;
         }
-        attemptCounters(attempt.server()).ended(response.status(), tookUs);
+        attemptCounters(attempt.server()).ended(response.status(), latencyUs);
         if (reachedOrigin(attempt, response)) {
             OriginCounters counters =
                     origin.computeIfAbsent(proxy.clockUs() / SECOND_US, second -> new OriginCounters());
@@ -151,13 +154,13 @@
                 || attempt.server().equals(ServerNames.ORIGIN);
     }
 
-    void notified(EmulatedProxy proxy, DiscoveryEvent event) {
-        notifications.notified(proxy, event);
+    void eventDelivered(EmulatedProxy proxy, DiscoveryEvent event) {
+        notifications.eventDelivered(proxy, event);
     }
 
     /** Records that the origin executed a write; executions are counted by request to detect repeated ones. */
     void writeExecuted(String requestId) {
-        writes.merge(requestId, 1, Integer::sum);
+        executionsByWrite.merge(requestId, 1, Integer::sum);
     }
 
     void faultInjected(Fault fault) {
@@ -178,7 +181,7 @@
     }
 
     /** Returns the ground truth collected so far. */
-    GroundTruth truth(String scenario, long seed) {
+    GroundTruth toGroundTruth(String scenario, long seed) {
         return new GroundTruth(
                 total.totals(),
                 totals(seconds, RequestCounters::totals),
@@ -188,19 +191,21 @@
                 totals(origin, OriginCounters::totals),
                 notifications.purges(),
                 notifications.drains(),
-                proxyRuns.values().stream().map(ProxyRun::totals).toList(),
+                incarnations.values().stream().map(IncarnationState::totals).toList(),
                 unanswered,
                 lateSends,
                 stalePurgedCopies,
                 List.copyOf(faults),
-                writes.values().stream().filter(times -> times > 1).count(),
+                executionsByWrite.values().stream()
+                        .filter(executions -> executions > 1)
+                        .count(),
                 scenario,
                 seed);
     }
 
     private static <K, C, T> Map<K, T> totals(Map<K, C> counters, Function<C, T> toTotals) {
         Map<K, T> totals = new LinkedHashMap<>();
-        counters.forEach((key, one) -> totals.put(key, toTotals.apply(one)));
+        counters.forEach((key, counter) -> totals.put(key, toTotals.apply(counter)));
         return totals;
     }
 }
--- a/src/main/java/petrelplank/emulator/NotificationLog.java
+++ b/src/main/java/petrelplank/emulator/NotificationLog.java
@@ -15,41 +15,43 @@
  */
 final class NotificationLog {
     private static final class ProxyLog {
-        private final Map<String, Long> drainsUs = new HashMap<>();
-        private final Map<DiscoveryEvent.Purge, Long> purgesUs = new LinkedHashMap<>();
+        private final Map<String, Long> drainNotifiedUs = new HashMap<>();
+        private final Map<DiscoveryEvent.Purge, Long> purgeNotifiedUs = new LinkedHashMap<>();
     }
 
     private final Map<EmulatedProxy, ProxyLog> proxies = new HashMap<>();
-    private final Map<Long, List<Long>> purges = new TreeMap<>();
-    private final Map<String, List<Long>> drains = new TreeMap<>();
+    private final Map<Long, List<Long>> purgeTimesUs = new TreeMap<>();
+    private final Map<String, List<Long>> drainTimesUs = new TreeMap<>();
 
-    void started(EmulatedProxy proxy) {
+    void proxyStarted(EmulatedProxy proxy) {
         proxies.put(proxy, new ProxyLog());
     }
 
-    void notified(EmulatedProxy proxy, DiscoveryEvent event) {
+    void eventDelivered(EmulatedProxy proxy, DiscoveryEvent event) {
         if (event instanceof DiscoveryEvent.Purge purge) {
-            proxies.get(proxy).purgesUs.put(purge, proxy.clockUs());
-            purges.computeIfAbsent(purge.index(), index -> new ArrayList<>()).add(proxy.clockUs());
+            proxies.get(proxy).purgeNotifiedUs.put(purge, proxy.clockUs());
+            purgeTimesUs
+                    .computeIfAbsent(purge.index(), index -> new ArrayList<>())
+                    .add(proxy.clockUs());
         } else if (event instanceof DiscoveryEvent.Change change) {
             for (DiscoveryEvent.Entry entry : change.entries()) {
-                listed(proxy, entry.endpoint().id(), entry.endpoint().state());
+                endpointListed(proxy, entry.endpoint().id(), entry.endpoint().state());
             }
         }
     }
 
-    private void listed(EmulatedProxy proxy, String server, EndpointState state) {
-        Map<String, Long> drainsUs = proxies.get(proxy).drainsUs;
+    private void endpointListed(EmulatedProxy proxy, String server, EndpointState state) {
+        Map<String, Long> drainNotifiedUs = proxies.get(proxy).drainNotifiedUs;
         if (state == EndpointState.UP) {
-            drainsUs.remove(server);
-        } else if (drainsUs.putIfAbsent(server, proxy.clockUs()) == null) {
-            drains.computeIfAbsent(server, id -> new ArrayList<>()).add(proxy.clockUs());
+            drainNotifiedUs.remove(server);
+        } else if (drainNotifiedUs.putIfAbsent(server, proxy.clockUs()) == null) {
+            drainTimesUs.computeIfAbsent(server, id -> new ArrayList<>()).add(proxy.clockUs());
         }
     }
 
     /** Returns whether the drain grace time has passed since the proxy learned that the server is draining or gone. */
-    boolean isLateFor(EmulatedProxy proxy, String server) {
-        Long notifiedUs = proxies.get(proxy).drainsUs.get(server);
+    boolean isDrainGraceOver(EmulatedProxy proxy, String server) {
+        Long notifiedUs = proxies.get(proxy).drainNotifiedUs.get(server);
         return notifiedUs != null && proxy.clockUs() - notifiedUs > ProxySettings.DRAIN_GRACE_US;
     }
 
@@ -57,9 +59,9 @@
      * Returns whether a copy is older than a purge of it that the proxy had been notified of for longer than the
      * purge grace time when it sent the attempt.
      */
-    boolean isPurged(EmulatedProxy proxy, long object, int group, long createdMs, long sentUs) {
+    boolean violatesPurgeGrace(EmulatedProxy proxy, long object, int group, long createdMs, long sentUs) {
         for (Map.Entry<DiscoveryEvent.Purge, Long> entry :
-                proxies.get(proxy).purgesUs.entrySet()) {
+                proxies.get(proxy).purgeNotifiedUs.entrySet()) {
             DiscoveryEvent.Purge purge = entry.getKey();
             if (new PurgeTarget(purge.object(), purge.group()).matches(object, group)
                     && createdMs < purge.unixMs()
@@ -71,21 +73,21 @@
     }
 
     Map<Long, GroundTruth.Notifications> purges() {
-        return totals(purges);
+        return totals(purgeTimesUs);
     }
 
     Map<String, GroundTruth.Notifications> drains() {
-        return totals(drains);
+        return totals(drainTimesUs);
     }
 
-    private static <K> Map<K, GroundTruth.Notifications> totals(Map<K, List<Long>> timesByKey) {
+    private static <K> Map<K, GroundTruth.Notifications> totals(Map<K, List<Long>> timesUsByKey) {
         Map<K, GroundTruth.Notifications> totals = new LinkedHashMap<>();
-        timesByKey.forEach((key, times) -> totals.put(
+        timesUsByKey.forEach((key, timesUs) -> totals.put(
                 key,
                 new GroundTruth.Notifications(
-                        times.size(),
-                        times.stream().mapToLong(Long::longValue).min().orElse(0),
-                        times.stream().mapToLong(Long::longValue).max().orElse(0))));
+                        timesUs.size(),
+                        timesUs.stream().mapToLong(Long::longValue).min().orElse(0),
+                        timesUs.stream().mapToLong(Long::longValue).max().orElse(0))));
         return totals;
     }
 }
--- a/src/main/java/petrelplank/emulator/ProxyFleet.java
+++ b/src/main/java/petrelplank/emulator/ProxyFleet.java
@@ -17,7 +17,7 @@
     private final GroundTruthRecorder truth;
     private final SinkFactory sinks;
     private final Map<String, EmulatedProxy> proxies = new LinkedHashMap<>();
-    private int starts;
+    private int startCount;
 
     ProxyFleet(
             EventScheduler clock,
@@ -45,7 +45,7 @@
     }
 
     private void start(String name, String zone) {
-        long incarnation = Hash.mix(seed * SEED_FACTOR + ++starts);
+        long incarnation = Hash.mix(seed * SEED_FACTOR + ++startCount);
         EmulatedProxy proxy = new EmulatedProxy(
                 clock,
                 new ProxyIdentity(name, zone, incarnation, clockOffsetUs(incarnation)),
--- a/src/main/java/petrelplank/emulator/PurgeService.java
+++ b/src/main/java/petrelplank/emulator/PurgeService.java
@@ -4,9 +4,9 @@
 
 /** Purges objects and groups: notifies the proxies, and deletes the cached copies after a random delay. */
 final class PurgeService {
-    private static final long MIN_DELAY_US = 50_000;
-    private static final int DELAY_SPREAD_US = 2_000_000;
-    private static final long MS = 1_000;
+    private static final long MIN_CACHE_PURGE_DELAY_US = 50_000;
+    private static final int CACHE_PURGE_JITTER_US = 2_000_000;
+    private static final long US_PER_MS = 1_000;
 
     private final EventScheduler clock;
     private final UniformRandomProvider random;
@@ -28,7 +28,7 @@
     }
 
     /** Starts the background purges of single objects, drawn with the same popularity as client requests. */
-    void startOrdinaryPurges(double perSecond, long endUs) {
+    void startBackgroundPurges(double perSecond, long endUs) {
         if (perSecond > 0) {
             Runnable purge = () -> purge(PurgeTarget.ofObject(catalogue.draw().object()));
             new PoissonProcess(clock, random, perSecond, 0, endUs, purge).start();
@@ -44,12 +44,12 @@
 
     private void purge(PurgeTarget target) {
         // Purge events carry milliseconds, so caches must use the same truncated time.
-        long unixMs = clock.nowUs() / MS;
+        long unixMs = clock.nowUs() / US_PER_MS;
         discovery.publishPurge(target, unixMs);
         for (CacheNode node : caches.nodes()) {
             clock.after(
-                    MIN_DELAY_US + random.nextInt(DELAY_SPREAD_US),
-                    () -> node.storage().purge(target, unixMs * MS));
+                    MIN_CACHE_PURGE_DELAY_US + random.nextInt(CACHE_PURGE_JITTER_US),
+                    () -> node.storage().purge(target, unixMs * US_PER_MS));
         }
     }
 }
--- a/src/main/java/petrelplank/emulator/ScenarioParser.java
+++ b/src/main/java/petrelplank/emulator/ScenarioParser.java
@@ -65,8 +65,8 @@
                 mapping.durationUs("central-time", 40_000, 100, 60 * SECOND_US));
     }
 
-    private int integer(String key, long byDefault, long minimum, long maximum) {
-        return (int) mapping.whole(key, byDefault, minimum, maximum);
+    private int integer(String key, long defaultValue, long minimum, long maximum) {
+        return (int) mapping.whole(key, defaultValue, minimum, maximum);
     }
 
     private List<Fault> faults(long lengthUs, Topology topology) {
@@ -91,7 +91,7 @@
         if (kind.namesServers() == servers.isEmpty()) {
             throw wrongNumberOfServers(section, kind);
         }
-        double share = section.number("share", kind.defaultShare(), 0, kind.maximumShare());
+        double share = section.number("share", kind.defaultMagnitude(), 0, kind.maximumMagnitude());
         section.done();
         return new Fault(kind, startUs, durationUs, servers, share);
     }
--- a/src/main/java/petrelplank/emulator/Simulation.java
+++ b/src/main/java/petrelplank/emulator/Simulation.java
@@ -6,7 +6,7 @@
  */
 public final class Simulation {
     /** Simulated time that the run continues after the last request, so that all requests can complete. */
-    private static final long TAIL_US = 8_000_000;
+    private static final long COMPLETION_PERIOD_US = 8_000_000;
 
     private final Scenario scenario;
     private final long seed;
@@ -34,10 +34,10 @@
         Workload workload = scenario.workload();
         new FaultInjector(fleet).scheduleAll();
         fleet.clients().start(workload.requestsPerSecond(), scenario.endUnixUs());
-        fleet.purges().startOrdinaryPurges(workload.purgesPerSecond(), scenario.endUnixUs());
-        fleet.clock().runUntil(scenario.endUnixUs() + TAIL_US);
+        fleet.purges().startBackgroundPurges(workload.purgesPerSecond(), scenario.endUnixUs());
+        fleet.clock().runUntil(scenario.endUnixUs() + COMPLETION_PERIOD_US);
         fleet.proxies().finishAll();
-        return fleet.truth().truth(scenario.name(), seed);
+        return fleet.truth().toGroundTruth(scenario.name(), seed);
     }
 
     /**
--- a/src/test/java/petrelplank/emulator/FleetIncidents.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidents.java
@@ -19,37 +19,37 @@
     private static final Logger PROXY_LOGGER = Logger.getLogger("petrelplank.proxy");
 
     /** A second can only be the worst one if at least one in this many of all requests was sent in it. */
-    private static final int MIN_REQUESTS_DIVISOR = 100;
+    private static final int WORST_SECOND_REQUESTS_DIVISOR = 100;
 
     private FleetIncidents() {}
 
     /**
      * The result of one run.
      *
-     * @param earned the priority weight earned, divided by the weight of all requests
-     * @param worstSecond the lowest such quotient of any second that had at least 1 in 100 of the requests
+     * @param earnedShare the priority weight earned, divided by the weight of all requests
+     * @param worstSecondShare the lowest such quotient of any second that had at least 1 in 100 of the requests
      * @param violations requests without a response, sends to draining servers after the grace time, copies from
      *     before a purge after its grace time, and writes that were executed more than once
      */
-    record Result(double earned, double worstSecond, long violations) {}
+    record Result(double earnedShare, double worstSecondShare, long violations) {}
 
-    static Result play(String scenarioName, int proxiesPerZone, long seed) throws IOException {
+    static Result run(String scenarioName, int proxiesPerZone, long seed) throws IOException {
         PROXY_LOGGER.setLevel(Level.OFF);
         Scenario scenario = Scenario.of(scenarioName).withProxiesPerZone(proxiesPerZone);
         GroundTruth truth = new Simulation(scenario, seed, (proxy, incarnation) -> EventSink.NONE).run();
-        double worstSecond = truth.seconds().values().stream()
-                .filter(second ->
-                        MIN_REQUESTS_DIVISOR * second.asked() >= truth.total().asked())
-                .mapToDouble(FleetIncidents::earned)
+        double worstSecondShare = truth.seconds().values().stream()
+                .filter(second -> WORST_SECOND_REQUESTS_DIVISOR * second.asked()
+                        >= truth.total().asked())
+                .mapToDouble(FleetIncidents::earnedShare)
                 .min()
                 .orElse(1);
         return new Result(
-                earned(truth.total()),
-                Math.min(1, worstSecond),
+                earnedShare(truth.total()),
+                Math.min(1, worstSecondShare),
                 truth.unanswered() + truth.lateSends() + truth.stalePurgedCopies() + truth.repeatedWrites());
     }
 
-    private static double earned(GroundTruth.Requests requests) {
+    private static double earnedShare(GroundTruth.Requests requests) {
         return requests.weightEarned() / requests.weightAsked();
     }
 
@@ -71,18 +71,18 @@
     private static void print(String scenario, int proxiesPerZone, int seeds) throws IOException {
         List<Result> results = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
-            results.add(play(scenario, proxiesPerZone, seed));
+            results.add(run(scenario, proxiesPerZone, seed));
         }
-        results.sort(Comparator.comparingDouble(Result::earned));
+        results.sort(Comparator.comparingDouble(Result::earnedShare));
         System.out.printf(
                 Locale.ROOT,
                 "%-12s %4d proxies: earned %.4f to %.4f, median %.4f, worst second %.3f, violations %d%n",
                 scenario,
                 3 * proxiesPerZone,
-                results.get(0).earned(),
-                results.get(seeds - 1).earned(),
-                results.get(seeds / 2).earned(),
-                results.stream().mapToDouble(Result::worstSecond).min().orElse(0),
+                results.get(0).earnedShare(),
+                results.get(seeds - 1).earnedShare(),
+                results.get(seeds / 2).earnedShare(),
+                results.stream().mapToDouble(Result::worstSecondShare).min().orElse(0),
                 results.stream().mapToLong(Result::violations).sum());
     }
 }
--- a/src/test/java/petrelplank/emulator/FleetIncidentsTest.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidentsTest.java
@@ -11,25 +11,26 @@
  * between what the version that introduced it earned and what the version before it earned.
  */
 class FleetIncidentsTest {
-    private static void earnsAtLeast(String scenario, int proxiesPerZone, double minimum) throws IOException {
-        FleetIncidents.Result result = FleetIncidents.play(scenario, proxiesPerZone, 1);
+    private static void assertEarnedShareAtLeast(String scenario, int proxiesPerZone, double minimumShare)
+            throws IOException {
+        FleetIncidents.Result result = FleetIncidents.run(scenario, proxiesPerZone, 1);
         assertEquals(0, result.violations(), scenario);
-        assertTrue(result.earned() >= minimum, scenario + " earned " + result.earned());
+        assertTrue(result.earnedShare() >= minimumShare, scenario + " earned " + result.earnedShare());
     }
 
     @Test
     void hubZoneIsLostWhileAllCopiesArePurgedAndTheOriginIsSlow() throws IOException {
-        earnsAtLeast("fleet-zone", 5, 0.82);
-        earnsAtLeast("fleet-zone", 16, 0.79);
+        assertEarnedShareAtLeast("fleet-zone", 5, 0.82);
+        assertEarnedShareAtLeast("fleet-zone", 16, 0.79);
     }
 
     @Test
     void mostCachesAreReplacedWhileAllCopiesArePurged() throws IOException {
-        earnsAtLeast("fleet-join", 5, 0.96);
+        assertEarnedShareAtLeast("fleet-join", 5, 0.96);
     }
 
     @Test
     void cachesAreReplacedWhileDiscoveryIsLateAndThenDeliversInOneBurst() throws IOException {
-        earnsAtLeast("fleet-list", 5, 0.9995);
+        assertEarnedShareAtLeast("fleet-list", 5, 0.9995);
     }
 }
--- a/src/test/java/petrelplank/emulator/ScenarioParserTest.java
+++ b/src/test/java/petrelplank/emulator/ScenarioParserTest.java
@@ -14,13 +14,13 @@
         return Scenario.of(Yaml.read("file.yaml", text));
     }
 
-    private static void isRejected(String text, String message) {
-        YamlException mistake = assertThrows(YamlException.class, () -> parse(text));
-        assertEquals("file.yaml:" + message, mistake.getMessage());
+    private static void assertRejected(String text, String positionAndMessage) {
+        YamlException exception = assertThrows(YamlException.class, () -> parse(text));
+        assertEquals("file.yaml:" + positionAndMessage, exception.getMessage());
     }
 
     @Test
-    void whatIsNotSetHasADefault() {
+    void missingKeysGetDefaultValues() {
         Scenario scenario = parse("name: small\n");
         assertEquals("small", scenario.title());
         assertEquals(40_000_000, scenario.lengthUs());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void faultsHaveDefaultsByTheirKind() {
+    void faultDefaultsDependOnTheKind() {
         Scenario scenario = parse("name: faults\nlength: 20s\ntroubles:\n  - servers: [hub-box-1.hub2]\n"
                 + "  - kind: slow-stock\n    at: 3s\n    for: 2s\n");
         assertEquals(
@@ -43,34 +43,34 @@
     }
 
     @Test
-    void aMistakeIsReportedWithItsPlaceAndItsRule() {
-        isRejected("title: none\n", "1:1: name: is missing");
-        isRejected("name: a\nother: 1\n", "2:1: other: is not a known key");
-        isRejected("name: a\nbranches: 0\n", "2:11: branches: should be from 1 to 200, found 0");
-        isRejected(
+    void errorMessageNamesPositionAndRule() {
+        assertRejected("title: none\n", "1:1: name: is missing");
+        assertRejected("name: a\nother: 1\n", "2:1: other: is not a known key");
+        assertRejected("name: a\nbranches: 0\n", "2:11: branches: should be from 1 to 200, found 0");
+        assertRejected(
                 "name: a\ncentral-time: 1h\n", "2:15: central-time: should be from 0.1 to 60000.0 ms, found 3600000.0");
     }
 
     @Test
-    void aMistakeOfAFaultIsReportedWithItsPlaceAndItsRule() {
+    void errorMessageOfAFaultNamesPositionAndRule() {
         String fault = "name: a\nlength: 10s\ntroubles:\n  - kind: ";
-        isRejected(
+        assertRejected(
                 fault + "silent\n    servers: [box-9.branch1]\n",
                 "5:14: troubles[0].servers: expected a server, proxy or edge zone of this topology, "
                         + "found box-9.branch1");
-        isRejected(
+        assertRejected(
                 fault + "silent\n",
                 "4:5: troubles[0].servers: expected at least one name for this kind of fault, found none");
-        isRejected(
+        assertRejected(
                 fault + "purge\n    servers: [box-1.branch1]\n",
                 "5:14: troubles[0].servers: expected no names for this kind of fault, found at least one");
-        isRejected(fault + "purge\n    share: 2\n", "5:12: troubles[0].share: should be from 0.0 to 1.0, found 2");
-        isRejected(
+        assertRejected(fault + "purge\n    share: 2\n", "5:12: troubles[0].share: should be from 0.0 to 1.0, found 2");
+        assertRejected(
                 fault + "purge\n    at: 11s\n", "5:9: troubles[0].at: should be from 0.0 to 10000.0 ms, found 11000.0");
     }
 
     @Test
-    void earlierNamesOfBundledScenariosStillWork() throws IOException {
+    void aliasesOfBundledScenariosResolve() throws IOException {
         assertEquals(Scenario.of("silent-parent"), Scenario.of("silent-hub"));
         assertEquals(Scenario.of("slow-origin"), Scenario.of("slow-stock"));
         assertEquals(Scenario.of("stopped-origin"), Scenario.of("stock-over"));
