--- a/src/main/java/petrelplank/emulator/FaultKind.java
+++ b/src/main/java/petrelplank/emulator/FaultKind.java
@@ -24,7 +24,7 @@
     LOST("lost", Target.SERVERS, MagnitudeUnit.FRACTION),
     /** Servers are replaced one after the other: the new one starts with a cold cache while the old one drains. */
     REPLACE("replace", Target.SERVERS, MagnitudeUnit.FRACTION),
-    /** The discovery service delivers nothing until the fault ends, and then all delayed events in one burst. */
+    /** Discovery events published during the fault are held back until it ends, and then delivered in one burst. */
     LATE_DISCOVERY("late-list", Target.FLEET, MagnitudeUnit.FRACTION),
     /** Clients outside the fleet send calls to the origin at a multiple of its capacity. */
     OUTSIDE_LOAD("outside-load", Target.FLEET, MagnitudeUnit.MULTIPLE),
--- a/src/main/java/petrelplank/emulator/GroundTruth.java
+++ b/src/main/java/petrelplank/emulator/GroundTruth.java
@@ -6,7 +6,8 @@
 
 /**
  * What happened in an emulation, as observed by the clients and the servers. Jackson writes it as JSON; an annotation
- * gives the key where it differs from the component's name. Maps by second are keyed by Unix time in seconds.
+ * gives the key where it differs from the component's name. Maps by second are keyed by Unix time in
+ * seconds, measured by the proxy's clock.
  *
  * @param total all requests
  * @param seconds requests by second
--- a/src/test/java/petrelplank/emulator/FleetIncidentsTest.java
+++ b/src/test/java/petrelplank/emulator/FleetIncidentsTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a regression of the routing under incidents of a fleet with 15 proxies and 60 caches. Each bound lies
- * between what the version that introduced it earned and what the version before it earned.
+ * Guards against a regression of the routing under incidents of a fleet with 15 proxies, or 48 in one
+ * case, and 60 caches. Each bound lies between what the version that introduced it earned and what the version before
+ * it earned.
  */
 class FleetIncidentsTest {
     private static void assertEarnedShareAtLeast(String scenario, int proxiesPerZone, double minimumShare)
