--- a/src/main/java/petrelplank/emulator/DiscoveryService.java
+++ b/src/main/java/petrelplank/emulator/DiscoveryService.java
@@ -10,20 +10,20 @@
 import petrelplank.routing.EndpointInfo;
 import petrelplank.routing.EndpointState;
 
-/** Publishes the endpoint list and purges to the proxies, as numbered events that arrive a while later. */
+/** Publishes endpoint changes and purges to the proxies as numbered events, each with a random delivery delay. */
 final class DiscoveryService {
-    private static final long MIN_DELIVERY_US = 30_000;
-    private static final int DELIVERY_SPREAD_US = 200_000;
-    private static final int ANY_PORT = 1;
+    private static final long MIN_DELIVERY_DELAY_US = 30_000;
+    private static final int DELIVERY_JITTER_US = 200_000;
+    private static final int UNUSED_PORT = 1;
 
     private final EventScheduler clock;
     private final UniformRandomProvider random;
     private final GroundTruthRecorder truth;
     private final List<DiscoveryEvent> events = new ArrayList<>();
     private final Map<String, EmulatedProxy> subscribers = new LinkedHashMap<>();
-    private long heldUntilUs;
+    private long deliveryPausedUntilUs;
 
-    /** Lists the origin and all caches as up; no proxy has subscribed yet. */
+    /** Creates the service with a first event that lists the origin and all caches as up; no proxy is subscribed. */
     DiscoveryService(EventScheduler clock, UniformRandomProvider random, GroundTruthRecorder truth, CacheFleet caches) {
         this.clock = clock;
         this.random = random;
@@ -38,7 +38,7 @@
         CacheSpec spec = node.spec();
         return new DiscoveryEvent.EndpointEntry(
                 new EndpointInfo(spec.id(), spec.zone(), spec.kind(), 0, state, spec.weight(), node.startedUs()),
-                InetSocketAddress.createUnresolved(spec.id(), ANY_PORT));
+                InetSocketAddress.createUnresolved(spec.id(), UNUSED_PORT));
     }
 
     private static DiscoveryEvent.EndpointEntry originEntry() {
@@ -51,22 +51,25 @@
                         EndpointState.UP,
                         1,
                         0),
-                InetSocketAddress.createUnresolved(ServerNames.ORIGIN, ANY_PORT));
+                InetSocketAddress.createUnresolved(ServerNames.ORIGIN, UNUSED_PORT));
     }
 
     private int nextIndex() {
         return events.size() + 1;
     }
 
-    /** A proxy that has started receives all events so far at once; it takes the place of one of the same name. */
+    /**
+     * Subscribes a newly started proxy and immediately delivers all earlier events to it. It replaces an earlier
+     * subscriber of the same name, so that a restarted proxy takes over the subscription.
+     */
     void subscribe(EmulatedProxy proxy) {
         subscribers.put(proxy.name(), proxy);
         events.forEach(event -> deliver(proxy, event));
     }
 
-    /** Until a time, nothing is delivered. */
-    void holdUntil(long untilUs) {
-        heldUntilUs = untilUs;
+    /** Delays the delivery of events published from now on until after the given time. */
+    void pauseDeliveryUntil(long untilUs) {
+        deliveryPausedUntilUs = untilUs;
     }
 
     void publishState(EndpointState state, List<CacheNode> nodes) {
@@ -82,15 +85,18 @@
     private void publish(DiscoveryEvent event) {
         events.add(event);
         for (EmulatedProxy proxy : subscribers.values()) {
-            long heldUs = Math.max(0, heldUntilUs - clock.nowUs());
+            long pauseUs = Math.max(0, deliveryPausedUntilUs - clock.nowUs());
             clock.after(
-                    heldUs + MIN_DELIVERY_US + random.nextInt(DELIVERY_SPREAD_US),
-                    () -> deliverUpTo(proxy, event.index()));
+                    pauseUs + MIN_DELIVERY_DELAY_US + random.nextInt(DELIVERY_JITTER_US),
+                    () -> deliverMissingEvents(proxy, event.index()));
         }
     }
 
-    /** Delivers what the proxy lacks up to an event: in order, although a later event may arrive first. */
-    private void deliverUpTo(EmulatedProxy proxy, long index) {
+    /**
+     * Delivers all events up to {@code index} that the proxy has not received yet, in order. Delivery delays are
+     * random, so a later event may become due before an earlier one.
+     */
+    private void deliverMissingEvents(EmulatedProxy proxy, long index) {
         long lastIndex = proxy.lastEventIndex();
         if (index > lastIndex) {
             events.stream()
@@ -102,7 +108,7 @@
 
     private void deliver(EmulatedProxy proxy, DiscoveryEvent event) {
         if (proxy.isAlive()) {
-            truth.notified(proxy, event);
+            truth.eventDelivered(proxy, event);
             proxy.onDiscoveryEvent(event);
         }
     }
--- a/src/main/java/petrelplank/emulator/ProxyFleet.java
+++ b/src/main/java/petrelplank/emulator/ProxyFleet.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import petrelplank.routing.Hash;
 
-/** The proxies of a fleet: the latest run of each. */
+/** The proxies of a fleet. Holds the latest incarnation of each, which may have been killed. */
 final class ProxyFleet {
     private static final long SEED_FACTOR = 1_000_003;
 
@@ -17,7 +17,7 @@
     private final GroundTruthRecorder truth;
     private final SinkFactory sinks;
     private final Map<String, EmulatedProxy> proxies = new LinkedHashMap<>();
-    private int starts;
+    private int startCount;
 
     ProxyFleet(
             EventScheduler clock,
@@ -45,7 +45,7 @@
     }
 
     private void start(String name, String zone) {
-        long incarnation = Hash.mix(seed * SEED_FACTOR + ++starts);
+        long incarnation = Hash.mix(seed * SEED_FACTOR + ++startCount);
         EmulatedProxy proxy = new EmulatedProxy(
                 clock,
                 new ProxyIdentity(name, zone, incarnation, clockOffsetUs(incarnation)),
@@ -73,7 +73,7 @@
         truth.proxyKilled(proxy);
     }
 
-    /** Starts a proxy again, under its old name and in its old zone. */
+    /** Starts a new incarnation of a proxy under the same name and in the same zone. */
     void restart(String name) {
         start(name, proxies.get(name).zone());
     }
