--- a/src/main/java/petrelplank/record/ComponentWriter.java
+++ b/src/main/java/petrelplank/record/ComponentWriter.java
@@ -12,16 +12,16 @@
 import java.util.function.ToLongFunction;
 import org.apache.avro.io.Encoder;
 
-/** Encodes one component of a Java record; primitive components are not boxed. */
+/** Encodes one component of a Java record. Primitive components are encoded without boxing. */
 interface ComponentWriter {
-    /** Reads the component from {@code source} and encodes it. */
+    /** Reads the component's value from the record {@code source} and encodes it. */
     void write(Object source, Encoder encoder) throws IOException;
 
     /**
-     * The writer of a component.
+     * Creates the writer of a component.
      *
      * @param accessor the component's accessor method
-     * @param codec encodes the value where it is not primitive
+     * @param codec encodes the value if its type is not primitive
      */
     @SuppressWarnings("unchecked")
     static ComponentWriter of(Method accessor, ValueCodec codec) {
@@ -44,8 +44,8 @@
     }
 
     /**
-     * The accessor as an ordinary lambda. The proxy runs on the quick compiler alone, which does not optimize
-     * {@link Method#invoke}.
+     * Wraps the accessor in a lambda. Reflection is too slow here: the proxy runs with the C1 compiler only, which does
+     * not optimize {@link Method#invoke}.
      */
     private static <T> T getter(Class<T> functionalType, String methodName, Class<?> result, Method accessor) {
         try {
--- a/src/main/java/petrelplank/record/DirectSink.java
+++ b/src/main/java/petrelplank/record/DirectSink.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes events in the caller's thread: for emulated proxies, whose clock stands still meanwhile. */
+/**
+ * Writes events synchronously in the caller's thread. Used for emulated proxies: their simulated clock does not advance
+ * while a file is written.
+ */
 public final class DirectSink implements EventSink {
     private final String proxy;
     private final long incarnation;
@@ -11,11 +14,11 @@
     private long nextNumber;
 
     /**
-     * Creates a sink; its first file is made with the first event.
+     * Creates a sink. The first file is created when the first event is recorded.
      *
-     * @param settings where and how to write
+     * @param settings where and how the files are written
      * @param proxy the proxy's name
-     * @param incarnation the random number of this incarnation
+     * @param incarnation the random number that identifies this incarnation
      */
     public DirectSink(RecordSettings settings, String proxy, long incarnation) {
         this.proxy = proxy;
--- a/src/main/java/petrelplank/record/Entry.java
+++ b/src/main/java/petrelplank/record/Entry.java
@@ -1,13 +1,13 @@
 package petrelplank.record;
 
 /**
- * An event with its position in an incarnation. A gap in the numbers is a loss; a number that comes twice is the same
- * event.
+ * An event and its sequence number within one incarnation (one run) of a proxy. A gap in the sequence numbers means
+ * that events were lost; two entries with the same number are copies of the same event.
  *
  * @param proxy the proxy's name
- * @param incarnation a random number, new with each start of the proxy
- * @param number consecutive in an incarnation, from 0
- * @param unixUs when, by the proxy's clock
+ * @param incarnation a random number that the proxy chooses at each start
+ * @param number the sequence number within the incarnation, from 0
+ * @param unixUs time of the event by the proxy's clock, in Unix microseconds
  * @param event the event
  */
 @StoredName("Entry")
--- a/src/main/java/petrelplank/record/EnumCodec.java
+++ b/src/main/java/petrelplank/record/EnumCodec.java
@@ -7,7 +7,7 @@
 import org.apache.avro.Schema;
 import org.apache.avro.io.Encoder;
 
-/** Constants of an enum by their stored names. */
+/** Encodes the constants of a Java enum as an Avro enum whose symbols are the stored names. */
 final class EnumCodec implements ValueCodec {
     private final Schema schema;
     private final Map<String, Object> constantsByStoredName = new LinkedHashMap<>();
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -6,24 +6,24 @@
 import petrelplank.routing.TerminationReason;
 
 /**
- * A fact that a proxy records, as the proxy knew it at the time. The types here make the schema of record files, in
- * the order of {@link StoredEventOrder}; the meaning of a component never changes.
- * Times are Unix microseconds and durations microseconds unless a name says otherwise; a request is named by its id,
- * 16 hex digits as a number.
+ * An event in a proxy, recorded with what the proxy knew at the time. The schema of record files is derived from these
+ * types, in the order of {@link StoredEventOrder}, so the meaning of a component never changes.
+ * Times are in Unix microseconds and durations in microseconds, unless the name gives another unit. A request is
+ * identified by its id, 16 hex digits that are stored as a number.
  */
 public sealed interface Event {
     /**
      * A new incarnation of a proxy started.
      *
      * @param zone the proxy's zone
-     * @param zones all zones, those of parents included
+     * @param zones all zones, including the zones of parent caches
      * @param classes the service classes
-     * @param parentKind the kind of parent caches; null where there are none
-     * @param originKind the kind of the origin; null where there is none
-     * @param reportFields names of the values in load reports
-     * @param drainGraceUs no attempt is sent to a draining endpoint after this time
-     * @param purgeGraceUs no request sent after this time is answered from a copy older than the purge
-     * @param connectUs connect timeout
+     * @param parentKind endpoint kind of the parent caches; null if there are none
+     * @param originKind endpoint kind of the origin; null if there is none
+     * @param reportFields names of the values in a load report, in their order
+     * @param drainGraceUs no attempt is sent to an endpoint that has been draining for longer than this
+     * @param purgeGraceUs a request sent later than this after a purge is not answered from a copy older than the purge
+     * @param connectUs timeout for opening a connection to an endpoint
      */
     @StoredName("Started")
     record ProxyStarted(
@@ -86,13 +86,13 @@
      * @param source where the endpoint fills a miss from; null for no fill
      * @param object the object
      * @param group the object's surrogate key
-     * @param status its outcome
-     * @param cacheStatus what the response said of the copy or the fill
-     * @param latencyUs time since it was sent
-     * @param sourceWaitUs how long the endpoint waited for the source
-     * @param bornMs Unix millisecond at which the origin sent the copy; 0 where the response does not say
+     * @param status how the attempt ended
+     * @param cacheStatus what the response reported about the cached copy or the fill
+     * @param latencyUs time from sending the attempt to its end
+     * @param sourceWaitUs time that the endpoint waited for the fill source
+     * @param bornMs time at which the origin sent the copy, in Unix milliseconds; 0 if the response does not report it
      * @param bytes length of the body
-     * @param load the load report, in the order of the settings; empty where there is none
+     * @param load values of the load report, in the order of the settings; empty if there is no report
      */
     @StoredName("Ended")
     record AttemptEnded(
@@ -117,13 +117,13 @@
      *
      * @param request the request
      * @param serviceClass its service class
-     * @param kind the outcome
-     * @param latencyUs time since the request arrived
+     * @param kind the kind of the response
+     * @param latencyUs time from the arrival of the request to its response
      * @param bytes length of the body
-     * @param earnedWeight the priority weight that it earned
-     * @param withinObjective whether it met the latency objective for its size
-     * @param retryAfterMs the client's Retry-After; 0 for none
-     * @param reason why the router rejected or failed it; null where it was served or the proxy's own limits rejected it
+     * @param earnedWeight priority weight credited for the response, depending on its latency
+     * @param withinObjective whether the response met the latency objective for its size
+     * @param retryAfterMs delay before a retry that the response asks of the client; 0 for none
+     * @param reason why the router ended the request; null if it was served or rejected by the proxy's own limits
      */
     @StoredName("Answered")
     record RequestCompleted(
@@ -139,7 +139,7 @@
             implements Event {}
 
     /**
-     * A client disconnected before its response; none is due any more.
+     * A client disconnected before its response, so no response will be sent.
      *
      * @param request the request
      */
@@ -150,8 +150,8 @@
      * A request was rejected before admission.
      *
      * @param request its id as the client sent it
-     * @param serviceClass its service class; empty where the proxy knows no such class
-     * @param kind the outcome
+     * @param serviceClass its service class; empty if the proxy does not know the class
+     * @param kind the kind of the response
      */
     @StoredName("TurnedAway")
     record RequestRejected(
@@ -163,9 +163,9 @@
     /**
      * The discovery service reported a change of the endpoint list.
      *
-     * @param index the change's number
-     * @param complete whether the endpoints are the complete list
-     * @param servers the entries
+     * @param index index of the change in the discovery service's sequence of events
+     * @param complete whether the list is complete, or holds only the changed endpoints
+     * @param servers the listed endpoints
      */
     @StoredName("Listed")
     record EndpointsChanged(
@@ -177,10 +177,10 @@
     /**
      * The discovery service reported a purge.
      *
-     * @param index the purge's number
-     * @param object the object; null where a surrogate key is purged
-     * @param group the surrogate key; -1 for a single object
-     * @param unixMs when it was issued
+     * @param index index of the purge in the discovery service's sequence of events
+     * @param object the purged object; null if a surrogate key is purged
+     * @param group the purged surrogate key; -1 if a single object is purged
+     * @param unixMs when the purge was issued, in Unix milliseconds
      */
     @StoredName("Purged")
     record Purged(
@@ -191,10 +191,10 @@
             implements Event {}
 
     /**
-     * The router ejected an endpoint.
+     * The router ejected an endpoint: it sends no attempts there until a health check succeeds.
      *
      * @param server the endpoint
-     * @param healthCheckFailed whether a health check failed, which doubles the pause
+     * @param healthCheckFailed whether a failed health check extended an ejection, which doubles the pause
      * @param pauseUs time until the next health check
      */
     @StoredName("Ejected")
@@ -213,12 +213,12 @@
     record EndpointRecovered(@StoredName("server") String server) implements Event {}
 
     /**
-     * The proxy's state, once a second.
+     * The state of the proxy, recorded once a second.
      *
-     * @param openRequests requests in flight
-     * @param queuedTasks tasks queued for the event thread
-     * @param heapBytes heap in use; 0 where it is not known
-     * @param maxTimerDelayUs the longest delay of a due timer
+     * @param openRequests number of requests in flight
+     * @param queuedTasks number of tasks queued for the event thread
+     * @param heapBytes heap in use; 0 if unknown
+     * @param maxTimerDelayUs the longest time by which a timer ran late
      */
     @StoredName("Pulse")
     record Heartbeat(
@@ -231,7 +231,7 @@
     /**
      * An orderly shutdown began.
      *
-     * @param completionDeadlineUs when every request will have its response
+     * @param completionDeadlineUs time by which every open request will have been answered
      */
     @StoredName("Draining")
     record DrainStarted(@StoredName("answerAllUs") long completionDeadlineUs) implements Event {}
@@ -241,9 +241,9 @@
     record ProxyStopped() implements Event {}
 
     /**
-     * Events before this one were lost, because the writer fell behind or the disk failed.
+     * Events before this one were lost because the writer fell behind or a write to the disk failed.
      *
-     * @param events how many; their numbers are missing
+     * @param events number of lost events; their sequence numbers are missing
      */
     @StoredName("Lost")
     record EventsLost(@StoredName("events") long events) implements Event {}
--- a/src/main/java/petrelplank/record/EventSink.java
+++ b/src/main/java/petrelplank/record/EventSink.java
@@ -1,8 +1,10 @@
 package petrelplank.record;
 
-/** Takes events, from the event thread; never waits. */
+/**
+ * Records the events of one proxy. Called from the event thread, so an implementation for production must not block.
+ */
 public interface EventSink {
-    /** Takes nothing: records are off, and nobody needs to make an event for it. */
+    /** Discards every event. Used when records are off: callers may compare with it and create no events at all. */
     EventSink NONE = new EventSink() {
         @Override
         public void record(long unixUs, Event event) {}
@@ -11,20 +13,20 @@
     /**
      * Records an event.
      *
-     * @param unixUs when it happened
+     * @param unixUs time of the event, in Unix microseconds
      * @param event the event
      */
     void record(long unixUs, Event event);
 
     /**
-     * The heap that the process uses, for {@link Event.Heartbeat}.
+     * Returns the heap in use, for {@link Event.Heartbeat}.
      *
-     * @return bytes; 0 where the heap is not the proxy's own, as of an emulated proxy
+     * @return bytes in use; 0 if the heap is not the proxy's own, as with an emulated proxy
      */
     default long heapBytes() {
         return 0;
     }
 
-    /** Writes the events recorded so far, within a bounded time, and ends the sink. */
+    /** Writes the events recorded so far, waiting for a bounded time only, and closes the sink. */
     default void close() {}
 }
--- a/src/main/java/petrelplank/record/FileSink.java
+++ b/src/main/java/petrelplank/record/FileSink.java
@@ -10,9 +10,9 @@
 import java.util.logging.Logger;
 
 /**
- * Writes events in a thread of its own. The event thread only puts them in a bounded queue; an event that finds it full
- * is lost, its number stays missing, and the count is recorded once there is room. Where the disk fails, the writer
- * counts what it loses and retries.
+ * Writes events asynchronously in a thread of its own. The event thread only adds them to a bounded queue. If the queue
+ * is full, the event is lost: its sequence number stays missing, and the number of lost events is recorded as soon as
+ * there is room. If a write to the disk fails, the writer thread counts the lost events and retries.
  */
 public final class FileSink implements EventSink {
     private static final Logger LOG = Logger.getLogger(FileSink.class.getName());
@@ -20,7 +20,7 @@
     private static final int TRACE_QUEUE_CAPACITY = 16_384;
     private static final long POLL_INTERVAL_NS = 50_000_000;
     private static final long CLOSE_TIMEOUT_MS = 100;
-    /** One failure in so many is logged: a full disk fails once a second. */
+    /** Only one in this many write failures is logged, since a full disk causes one every second. */
     private static final int FAILURES_PER_LOG_LINE = 1000;
 
     private final String proxy;
@@ -29,33 +29,33 @@
     private final ArrayBlockingQueue<Entry> queue;
     private final Thread writer;
     private volatile boolean closed;
-    /** Of the event thread. */
+    /** Sequence number of the next entry. Accessed only by the event thread. */
     private long nextNumber;
-    /** Events lost that no record reports yet; of the event thread. */
+    /** Lost events that no record reports yet. Accessed only by the event thread. */
     private long unreported;
-    /** Events that the output lost and the event thread has not yet added to {@link #unreported}. */
+    /** Events that the output lost and that the event thread has not yet added to {@link #unreported}. */
     private final AtomicLong outputLosses = new AtomicLong();
 
-    /** Of the writer's thread. */
+    /** Number of failed writes. Accessed only by the writer thread. */
     private long failures;
-    /** All events that the output lost; of the writer's thread. */
+    /** Number of all events that the output lost. Accessed only by the writer thread. */
     private long totalOutputLosses;
 
     /**
-     * Starts a writer of record files.
+     * Creates a sink that writes record files, and starts its thread.
      *
-     * @param settings where and how to write
+     * @param settings where and how the files are written
      * @param proxy the proxy's name
-     * @param incarnation the random number of this incarnation
+     * @param incarnation the random number that identifies this incarnation
      */
     public FileSink(RecordSettings settings, String proxy, long incarnation) {
         this(settings.queued(), proxy, incarnation, new RecordFileWriter(settings, proxy, incarnation));
     }
 
     /**
-     * Starts a writer of lines of text, see {@link TraceLines}.
+     * Creates a sink that prints each event as a line of text, see {@link TraceLines}, and starts its thread.
      *
-     * @param out takes whole lines; it may block
+     * @param out receives whole lines; it may block
      * @param proxy the proxy's name
      * @return the sink
      */
@@ -97,7 +97,7 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** The number of events lost that no record reports yet. */
+    /** Returns the number of lost events that no record reports yet. */
     long unreportedLosses() {
         return unreported + outputLosses.get();
     }
@@ -106,7 +106,7 @@
         List<Entry> batch = new ArrayList<>(BATCH_SIZE);
         try {
             while (!closed || !queue.isEmpty()) {
-                // It polls and is not woken: waking a thread for each event costs more than the event.
+                // Polls the queue: waking this thread for each event would cost more than recording the event.
                 if (queue.drainTo(batch, BATCH_SIZE) == 0) {
                     flush();
                     LockSupport.parkNanos(POLL_INTERVAL_NS);
@@ -148,15 +148,15 @@
 
     private void logFailure(IOException failure) {
         if (failures++ % FAILURES_PER_LOG_LINE == 0) {
-            LOG.warning(
-                    "records can't be written: " + failure.getMessage() + ", " + totalOutputLosses + " lost so far");
+            LOG.warning("writing event records failed: " + failure.getMessage() + ", " + totalOutputLosses
+                    + " events lost so far");
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        // Not interrupted, which would close the file in the middle of a write.
+        // Unparks the thread rather than interrupting it: an interrupt would close the file in the middle of a write.
         LockSupport.unpark(writer);
         try {
             writer.join(CLOSE_TIMEOUT_MS);
--- a/src/main/java/petrelplank/record/ListCodec.java
+++ b/src/main/java/petrelplank/record/ListCodec.java
@@ -6,7 +6,7 @@
 import org.apache.avro.Schema;
 import org.apache.avro.io.Encoder;
 
-/** Lists as Avro arrays. */
+/** Encodes Java lists as Avro arrays. */
 final class ListCodec implements ValueCodec {
     private final ValueCodec element;
     private final Schema schema;
--- a/src/main/java/petrelplank/record/ListedEndpoint.java
+++ b/src/main/java/petrelplank/record/ListedEndpoint.java
@@ -3,14 +3,14 @@
 import petrelplank.routing.EndpointState;
 
 /**
- * An entry of the endpoint list.
+ * An endpoint as the discovery service lists it.
  *
- * @param id its id
+ * @param id id of the endpoint
  * @param zone the zone it runs in
- * @param kind its kind
- * @param state its state
- * @param weight capacity of its uplink, in transfers at full rate
- * @param startedUs when it started with an empty cache; 0 for long ago
+ * @param kind kind of the endpoint, as configured in the settings
+ * @param state state of the endpoint
+ * @param weight capacity of its uplink, as the number of concurrent transfers at full rate
+ * @param startedUs when it started with an empty cache, in Unix microseconds; 0 for long ago
  */
 @StoredName("Server")
 public record ListedEndpoint(
--- a/src/main/java/petrelplank/record/NullableCodec.java
+++ b/src/main/java/petrelplank/record/NullableCodec.java
@@ -4,7 +4,7 @@
 import org.apache.avro.Schema;
 import org.apache.avro.io.Encoder;
 
-/** Values that may be null: a union of Avro's null with the schema of the value. */
+/** Encodes a value that may be null as an Avro union of null and the value's schema. */
 final class NullableCodec implements ValueCodec {
     private static final int NULL_BRANCH = 0;
     private static final int VALUE_BRANCH = 1;
--- a/src/main/java/petrelplank/record/NullableComponent.java
+++ b/src/main/java/petrelplank/record/NullableComponent.java
@@ -5,7 +5,7 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** Marks a record component that may be null: its Avro type is a union with null. */
+/** Marks a record component that may be null. Its Avro type is a union of null and the type of the value. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface NullableComponent {}
--- a/src/main/java/petrelplank/record/OperatorRecords.java
+++ b/src/main/java/petrelplank/record/OperatorRecords.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import petrelplank.yaml.Section;
 
-/** Reads the section {@code records} of the operator's file. */
+/** Parses the section {@code records} of the operator file (YAML). */
 public final class OperatorRecords {
     private static final long KIB = 1L << 10;
     private static final long MIB = 1L << 20;
@@ -16,10 +16,10 @@
     private OperatorRecords() {}
 
     /**
-     * Reads the section.
+     * Parses the section and checks its values.
      *
-     * @param records the section; null where the file has none
-     * @return where and how to write; null where records are off
+     * @param records the section; null if the file has none
+     * @return where and how to write records; null if records are off
      */
     public static RecordSettings read(Section records) {
         if (records == null) {
@@ -34,7 +34,7 @@
         long flushUs = records.durationUs("flush", SECOND_US / 2, SECOND_US / 100, 60 * SECOND_US);
         boolean compress = records.flag("compress", false);
         if (on && directory.isEmpty()) {
-            throw records.wrong("directory", "is missing, and records are on");
+            throw records.wrong("directory", "is required when records are on");
         }
         if (totalBytes < 2 * fileBytes) {
             throw records.wrong("total-size", "should be at least twice file-size");
--- a/src/main/java/petrelplank/record/ReadError.java
+++ b/src/main/java/petrelplank/record/ReadError.java
@@ -3,16 +3,16 @@
 import java.nio.file.Path;
 
 /**
- * Something that {@link RecordReader} could not read.
+ * A file, a block of a file or a directory that {@link RecordReader} could not read.
  *
  * @param place the file or directory
  * @param reason what is wrong with it
  */
 public record ReadError(Path place, String reason) {
     /**
-     * The error as a line of text.
+     * Formats the error as one line of text.
      *
-     * @return place and reason
+     * @return the path and the reason
      */
     public String message() {
         return place + ": " + reason;
--- a/src/main/java/petrelplank/record/RecordCodec.java
+++ b/src/main/java/petrelplank/record/RecordCodec.java
@@ -7,8 +7,8 @@
 import org.apache.avro.io.Encoder;
 
 /**
- * Translates entries to and from Avro. The schema is derived from the components of {@link Entry} and the types of
- * {@link Event}, so that there is one model; Java records become Avro records by their {@link StoredName}.
+ * Converts entries to and from Avro. The schema is derived from the components of {@link Entry} and the types of
+ * {@link Event}, so that the model is defined only once. Avro types and fields are named by {@link StoredName}.
  */
 final class RecordCodec {
     /** The namespace of all named types in the schema; part of the file format. */
@@ -16,22 +16,22 @@
 
     private final ValueCodec entry = new ValueCodecs().of(Entry.class);
 
-    /** The schema of a record file. */
+    /** Returns the schema of a record file. */
     Schema schema() {
         return entry.schema();
     }
 
-    /** The entry that Avro's generic reader decoded by {@link #schema}. */
+    /** Converts a record that Avro's generic reader decoded with {@link #schema}. */
     Entry read(IndexedRecord decoded) {
         return (Entry) entry.read(decoded);
     }
 
-    /** A writer that encodes entries without generic records in between. */
+    /** Creates a writer that encodes entries directly, without intermediate generic records. */
     DatumWriter<Entry> writer() {
         return new DatumWriter<>() {
             @Override
             public void setSchema(Schema schema) {
-                // The schema is fixed by the model.
+                // Ignored: the schema is always the one derived from the model.
             }
 
             @Override
--- a/src/main/java/petrelplank/record/RecordDirectory.java
+++ b/src/main/java/petrelplank/record/RecordDirectory.java
@@ -9,9 +9,12 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Names the record files of an incarnation and keeps all files of its proxy within the bound on their total size. */
+/**
+ * Chooses the names of an incarnation's record files, and deletes old files of the same proxy to keep their total size
+ * within its limit.
+ */
 final class RecordDirectory {
-    /** The extension of record files. */
+    /** Extension of the names of record files. */
     private static final String EXTENSION = ".records.avro";
 
     private final RecordSettings settings;
@@ -21,12 +24,14 @@
 
     RecordDirectory(RecordSettings settings, String proxy, long incarnation) {
         this.settings = settings;
-        // Only in the file's name: the entries hold the proxy's name as it is.
+        // Replaced in the file name only: the entries hold the unchanged name of the proxy.
         this.fileNamePrefix = proxy.replaceAll("[^A-Za-z0-9._-]", "_");
         this.incarnation = incarnation;
     }
 
-    /** Makes the directory and room in it, and names the next file. */
+    /**
+     * Creates the directory if it is missing, deletes old files to make room, and returns the path of the next file.
+     */
     Path nextFile() throws IOException {
         Files.createDirectories(settings.directory());
         removeOldest();
@@ -34,7 +39,7 @@
         return settings.directory().resolve(name);
     }
 
-    /** Removes the oldest files until a further one fits under the bound. */
+    /** Deletes the oldest files until another file fits within the limit on the total size. */
     private void removeOldest() throws IOException {
         List<Path> files = filesOfThisProxy();
         long totalBytes = 0;
@@ -52,7 +57,7 @@
         }
     }
 
-    /** The whole name is matched, since the name of another proxy may begin with this one's. */
+    /** Lists the proxy's files. The whole file name is matched: the name of another proxy may begin with this one's. */
     private List<Path> filesOfThisProxy() throws IOException {
         Pattern pattern =
                 Pattern.compile(Pattern.quote(fileNamePrefix) + "-[0-9a-f]{16}-[0-9]{5,}" + Pattern.quote(EXTENSION));
--- a/src/main/java/petrelplank/record/RecordFileWriter.java
+++ b/src/main/java/petrelplank/record/RecordFileWriter.java
@@ -12,13 +12,13 @@
 import org.apache.avro.file.DataFileWriter;
 
 /**
- * Writes entries to Avro object container files, rotated by size and age. Reads no clock: the entries' times are its
- * time. Confined to one thread.
+ * Writes entries to Avro object container files, which are rotated by size and age. Takes the time from the entries and
+ * reads no clock. Not thread-safe.
  */
 final class RecordFileWriter implements RecordOutput {
-    /** Bytes between sync markers: at most what a truncated file loses. */
+    /** Bytes between sync markers, which is the most that a truncated file loses. */
     private static final int BLOCK_BYTES = 32 << 10;
-    /** The file's size is read once in so many entries, since that is a system call. */
+    /** The size of the file is checked once in this many entries, since each check is a system call. */
     private static final int SIZE_CHECK_INTERVAL = 256;
 
     private static final int SYNC_MARKER_BYTES = 16;
@@ -26,7 +26,7 @@
     private static final long RETRY_INTERVAL_US = 1_000_000;
     private static final long NEVER_US = Long.MIN_VALUE / 2;
 
-    /** Opens files; tests stand in for a broken disk. */
+    /** Creates files. Tests replace it to simulate a failing disk. */
     interface FileOpener {
         OutputStream create(Path file) throws IOException;
     }
@@ -35,18 +35,18 @@
     private final RecordDirectory directory;
     private final FileOpener opener;
     private final RecordCodec codec = new RecordCodec();
-    /** Null where no file is open. */
+    /** Null if no file is open. */
     private DataFileWriter<Entry> writer;
 
     private Path file;
     private long openedUs;
     private long flushedUs;
     private long appended;
-    /** Entries appended since the last flush: lost with the file where it is abandoned. */
+    /** Entries appended since the last flush. They are lost if the file is abandoned. */
     private long unflushed;
 
     private long lost;
-    /** When the disk last failed, or a file was last tried in vain. */
+    /** Time of the last failure to write to a file or to create one. */
     private long failedUs = NEVER_US;
 
     RecordFileWriter(RecordSettings settings, String proxy, long incarnation) {
@@ -64,10 +64,11 @@
     }
 
     /**
-     * Appends an entry. Where the disk fails, the file is abandoned with what was not flushed. The next one is tried a
-     * second later at the earliest, lest a full disk be filled with empty files; entries until then are lost.
+     * Appends an entry. If the write fails, the file is abandoned and its unflushed entries are lost. A new file is
+     * created one second later at the earliest, so that a full disk does not fill up with empty files; entries that
+     * arrive before then are lost.
      *
-     * @throws IOException once for each file that is abandoned or can't be created
+     * @throws IOException once for each file that is abandoned or cannot be created
      */
     @Override
     public void append(Entry entry) throws IOException {
@@ -131,7 +132,7 @@
         writer = created;
     }
 
-    /** The marker between blocks is derived from the file's name, so that the same run writes the same bytes. */
+    /** Derives the marker between blocks from the file name, so that repeating a run writes the same bytes. */
     private byte[] syncMarker() {
         byte[] marker = new byte[SYNC_MARKER_BYTES];
         UUID hash = UUID.nameUUIDFromBytes(file.getFileName().toString().getBytes(StandardCharsets.UTF_8));
@@ -139,7 +140,7 @@
         return marker;
     }
 
-    /** Writes out what is buffered; where that fails, the file is abandoned. */
+    /** Writes the buffered entries to the file. If that fails, the file is abandoned. */
     @Override
     public void flush() throws IOException {
         if (writer == null) {
@@ -180,7 +181,7 @@
             try {
                 broken.close();
             } catch (IOException | RuntimeException failure) {
-                // The failure that led here is reported already.
+                // Ignored: the caller already reports the failure that made it abandon the file.
             }
         }
     }
--- a/src/main/java/petrelplank/record/RecordOutput.java
+++ b/src/main/java/petrelplank/record/RecordOutput.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** Where a sink writes entries. Confined to one thread. */
+/** Destination of the entries of a sink. Not thread-safe. */
 interface RecordOutput {
-    /** Appends an entry; it may be buffered. */
+    /** Appends an entry, possibly to a buffer. */
     void append(Entry entry) throws IOException;
 
-    /** Makes the entries appended so far readable. */
+    /** Writes out buffered entries, so that all entries appended so far can be read. */
     void flush() throws IOException;
 
-    /** The number of entries that were appended and then lost, since the last call. */
+    /** Returns the number of entries that were lost since the last call, and resets the count. */
     long takeLost();
 
-    /** Flushes and releases what is open. */
+    /** Writes out buffered entries and releases open files. */
     void close() throws IOException;
 }
--- a/src/main/java/petrelplank/record/RecordReader.java
+++ b/src/main/java/petrelplank/record/RecordReader.java
@@ -14,31 +14,31 @@
 import org.apache.avro.generic.IndexedRecord;
 
 /**
- * Reads record files. A truncated or corrupt file loses at most the blocks concerned: the reader resumes at the next
- * sync marker, and the entries' numbers show what is missing.
+ * Reads record files. If a file is truncated or corrupt, only the damaged blocks are lost: the reader resumes at the
+ * next sync marker, and gaps in the sequence numbers of the entries show what is missing.
  */
 public final class RecordReader {
     private final RecordCodec codec = new RecordCodec();
     private final List<ReadError> errors = new ArrayList<>();
 
-    /** Creates a reader without errors. */
+    /** Creates a reader that has read nothing yet. */
     public RecordReader() {}
 
     /**
-     * What could not be read.
+     * Returns what could not be read.
      *
-     * @return the errors so far
+     * @return the errors found so far
      */
     public List<ReadError> errors() {
         return List.copyOf(errors);
     }
 
     /**
-     * Reads files, and all files under directories.
+     * Reads files, and all files below directories. Unreadable files and blocks are added to {@link #errors}.
      *
      * @param places files or directories
-     * @param entries receives each entry, in no particular order
-     * @throws IOException where a place does not exist
+     * @param entries receives each entry, in no guaranteed order
+     * @throws IOException if a path does not exist or a directory cannot be listed
      */
     public void read(List<Path> places, Consumer<Entry> entries) throws IOException {
         for (Path place : places) {
@@ -56,7 +56,7 @@
             files = all.filter(Files::isRegularFile).sorted().toList();
         }
         if (files.isEmpty()) {
-            errors.add(new ReadError(directory, "no record files"));
+            errors.add(new ReadError(directory, "contains no files, expected record files"));
         }
         for (Path file : files) {
             readFile(file, entries);
@@ -70,7 +70,7 @@
             readBlocks(reader, path, file.length(), entries);
         } catch (IOException | AvroRuntimeException e) {
             String detail = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            errors.add(new ReadError(path, "no record file (" + detail + ")"));
+            errors.add(new ReadError(path, "not a readable record file (" + detail + ")"));
         }
     }
 
@@ -98,17 +98,17 @@
         }
     }
 
-    /** Resumes after an unreadable block; false at the end of the file. */
+    /** Moves to the block after an unreadable one; returns false at the end of the file. */
     private boolean skipBlock(DataFileReader<IndexedRecord> reader, Path path, long blockStart, long length)
             throws IOException {
         long resumeAt = Math.max(blockStart, reader.previousSync()) + 1;
         reader.sync(Math.min(resumeAt, length));
         boolean more = reader.previousSync() < length - 1 && !reader.pastSync(length);
-        errors.add(unreadableBlock(path, blockStart, more ? ", passed over" : ""));
+        errors.add(unreadableBlock(path, blockStart, more ? ", skipped" : ""));
         return more;
     }
 
     private static ReadError unreadableBlock(Path path, long blockStart, String consequence) {
-        return new ReadError(path, "a block at byte " + blockStart + " is cut off or spoilt" + consequence);
+        return new ReadError(path, "the block at byte " + blockStart + " is truncated or corrupt" + consequence);
     }
 }
--- a/src/main/java/petrelplank/record/RecordSettings.java
+++ b/src/main/java/petrelplank/record/RecordSettings.java
@@ -3,23 +3,23 @@
 import java.nio.file.Path;
 
 /**
- * Where and how a proxy writes its records.
+ * Where and how a proxy writes its record files.
  *
- * @param directory holds the files; created where it is missing
- * @param fileBytes a file is rotated at this size, 64 KiB at least
- * @param ageUs a file is rotated at this age, a second at least
- * @param totalBytes bound on the proxy's files together, two files at least
- * @param queued capacity of the writer's queue in events, 16 at least
- * @param flushUs an event reaches the disk within this time
- * @param compress whether files are compressed: a third of the bytes, for more processor time
+ * @param directory directory of the files; created if it is missing
+ * @param fileBytes size at which a file is rotated, at least 64 KiB
+ * @param ageUs age at which a file is rotated, at least one second
+ * @param totalBytes limit on the total size of the proxy's files, at least twice {@code fileBytes}
+ * @param queued capacity of the writer's queue in events, at least 16
+ * @param flushUs interval at which buffered events are written to the disk
+ * @param compress whether files are compressed, which reduces them to a third and takes more processor time
  */
 public record RecordSettings(
         Path directory, long fileBytes, long ageUs, long totalBytes, int queued, long flushUs, boolean compress) {
     /**
-     * Settings of a small installation: files of 16 MiB and an hour, 256 MiB together, 16,384 queued events, flushed
-     * each half second, uncompressed.
+     * Returns the settings for a small installation: files are rotated at 16 MiB or after an hour, take 256 MiB in
+     * total, and are not compressed; up to 16,384 events are queued, and they are flushed every half second.
      *
-     * @param directory holds the files
+     * @param directory directory of the files
      * @return the settings
      */
     public static RecordSettings in(Path directory) {
--- a/src/main/java/petrelplank/record/ResponseKind.java
+++ b/src/main/java/petrelplank/record/ResponseKind.java
@@ -1,18 +1,18 @@
 package petrelplank.record;
 
-/** The outcome of a request as its client saw it; the order of the constants is the order in the file's schema. */
+/** The response that a client received. The order of the constants is their order in the schema of record files. */
 @StoredName("Final")
 public enum ResponseKind {
-    /** The object was sent. */
+    /** The object was sent to the client. */
     @StoredName("SERVED")
     SERVED,
     /** The client's own copy is still valid. */
     @StoredName("STILL")
     NOT_MODIFIED,
-    /** Certainly not executed: the client may retry. */
+    /** The request was rejected and certainly not executed, so the client may retry it. */
     @StoredName("REFUSED")
     REJECTED,
-    /** Failed; it may have been executed. */
+    /** The request failed and may have been executed. */
     @StoredName("FAILED")
     FAILED,
     /** The request was malformed. */
--- a/src/main/java/petrelplank/record/ScalarCodec.java
+++ b/src/main/java/petrelplank/record/ScalarCodec.java
@@ -4,7 +4,7 @@
 import org.apache.avro.Schema;
 import org.apache.avro.io.Encoder;
 
-/** Numbers and booleans, boxed: elements of lists and nullable components. */
+/** Encodes boxed numbers and booleans, which occur as elements of lists and as nullable components. */
 enum ScalarCodec implements ValueCodec {
     LONG(Schema.Type.LONG) {
         @Override
--- a/src/main/java/petrelplank/record/ServiceClassInfo.java
+++ b/src/main/java/petrelplank/record/ServiceClassInfo.java
@@ -3,13 +3,13 @@
 import petrelplank.routing.Idempotency;
 
 /**
- * A service class as the settings define it.
+ * A service class of requests as the settings define it.
  *
- * @param name its name
- * @param priorityWeight the priority weight of a response within the latency objective
- * @param deadlineUs how long a client waits
- * @param idempotency whether a request may be retried
- * @param write whether requests execute at the origin
+ * @param name name of the class
+ * @param priorityWeight priority weight credited for a response within the latency objective
+ * @param deadlineUs time that a client waits for a response
+ * @param idempotency whether requests may be retried
+ * @param write whether requests are writes, which the origin executes
  */
 @StoredName("ClassOf")
 public record ServiceClassInfo(
--- a/src/main/java/petrelplank/record/StoredEventOrder.java
+++ b/src/main/java/petrelplank/record/StoredEventOrder.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The order of the event types in the union of the files' schema. It is listed here since the compiler, where a sealed
- * interface names no permitted types, puts them into an order of its own, which changes with unrelated sources. A new
- * type is added at the end.
+ * The order of the event types in the Avro union of the file schema. It is listed explicitly because {@link Event} has
+ * no {@code permits} clause: the compiler then chooses the order of the permitted types, which changes with unrelated
+ * sources. New types must be added at the end.
  */
 final class StoredEventOrder {
     static final List<Class<? extends Event>> TYPES = List.of(
--- a/src/main/java/petrelplank/record/StoredName.java
+++ b/src/main/java/petrelplank/record/StoredName.java
@@ -6,12 +6,12 @@
 import java.lang.annotation.Target;
 
 /**
- * The name of a type, component or constant in record files. It never changes, whatever the Java name becomes: it is what
- * files of earlier versions are read by.
+ * The name of a type, component or constant in record files. It never changes, even if the Java name does, so that
+ * files of earlier versions can still be read.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target({ElementType.TYPE, ElementType.RECORD_COMPONENT, ElementType.FIELD})
 public @interface StoredName {
-    /** The name in the file's schema. */
+    /** The name in the schema of record files. */
     String value();
 }
--- a/src/main/java/petrelplank/record/StoredNames.java
+++ b/src/main/java/petrelplank/record/StoredNames.java
@@ -11,8 +11,9 @@
 import petrelplank.routing.TerminationReason;
 
 /**
- * The names that record files and JSON documents use, kept apart from Java names. Types of this package carry them as
- * {@link StoredName}; the enums of the routing module, which must not depend on this one, are mapped here.
+ * The names used in record files and JSON documents, which are independent of the Java names. Types of this package
+ * declare theirs with {@link StoredName}. The enums of the routing package are mapped here, because that package must
+ * not depend on this one.
  */
 public final class StoredNames {
     private static final Map<Class<?>, String> ENUM_TYPES = Map.of(
@@ -24,18 +25,18 @@
 
     private StoredNames() {}
 
-    /** The stored name of a record type or an enum. */
+    /** Returns the stored name of a record type or an enum type. */
     static String ofType(Class<?> type) {
         String mapped = ENUM_TYPES.get(type);
         return mapped != null ? mapped : annotated(type, type.getName());
     }
 
-    /** The stored name of a record's component. */
+    /** Returns the stored name of a record component. */
     static String ofComponent(RecordComponent component) {
         return annotated(component, component.toString());
     }
 
-    /** The stored name of an enum's constant. */
+    /** Returns the stored name of an enum constant. */
     static String ofConstant(Enum<?> constant) {
         if (constant instanceof AttemptStatus status) {
             return of(status);
@@ -51,20 +52,20 @@
         try {
             return annotated(constant.getDeclaringClass().getField(constant.name()), constant.toString());
         } catch (NoSuchFieldException e) {
-            throw new IllegalStateException(constant + " is not a field of its enum", e);
+            throw new IllegalStateException(constant + " is not a public field of its enum type", e);
         }
     }
 
     private static String annotated(AnnotatedElement element, String description) {
         StoredName name = element.getAnnotation(StoredName.class);
         if (name == null) {
-            throw new IllegalStateException(description + " has no @StoredName");
+            throw new IllegalStateException(description + " has no @StoredName annotation");
         }
         return name.value();
     }
 
     /**
-     * The key in JSON documents of a constant.
+     * Returns the key of a constant in JSON documents.
      *
      * @param storedName the constant's stored name
      * @return the key
@@ -74,7 +75,7 @@
     }
 
     /**
-     * The stored name of an attempt's status.
+     * Returns the stored name of an attempt status.
      *
      * @param status the status
      * @return its name in record files
@@ -94,7 +95,7 @@
     }
 
     /**
-     * The stored name of a cache status.
+     * Returns the stored name of a cache status.
      *
      * @param cacheStatus the cache status
      * @return its name in record files
@@ -116,7 +117,7 @@
     }
 
     /**
-     * The stored name of a termination reason.
+     * Returns the stored name of a termination reason.
      *
      * @param reason why the router ended a request without a response
      * @return its name in record files
@@ -134,7 +135,7 @@
     }
 
     /**
-     * The stored name of an endpoint's state.
+     * Returns the stored name of an endpoint state.
      *
      * @param state the state
      * @return its name in record files
@@ -148,7 +149,7 @@
     }
 
     /**
-     * The stored name of a service class's idempotency.
+     * Returns the stored name of a service class's idempotency.
      *
      * @param idempotency whether its requests may be retried
      * @return its name in record files
@@ -162,9 +163,9 @@
     }
 
     /**
-     * The stored name of the outcome of a request.
+     * Returns the stored name of a response kind.
      *
-     * @param kind the outcome
+     * @param kind the response kind
      * @return its name in record files
      */
     public static String of(ResponseKind kind) {
--- a/src/main/java/petrelplank/record/StringCodec.java
+++ b/src/main/java/petrelplank/record/StringCodec.java
@@ -8,11 +8,11 @@
 import org.apache.avro.util.Utf8;
 
 /**
- * Strings. The same names of proxies, endpoints and service classes recur in nearly every event, so their encoded
- * form is cached.
+ * Encodes strings. The same names of proxies, endpoints and service classes recur in nearly every event, so the encoded
+ * strings are cached.
  */
 final class StringCodec implements ValueCodec {
-    /** Bounds the cache: a client chooses the request id of a rejected request. */
+    /** Limits the cache: the request ids of rejected requests are chosen by clients and could fill it without bound. */
     private static final int MAX_CACHED = 4096;
 
     private final Schema schema = Schema.create(Schema.Type.STRING);
--- a/src/main/java/petrelplank/record/StructCodec.java
+++ b/src/main/java/petrelplank/record/StructCodec.java
@@ -10,7 +10,7 @@
 import org.apache.avro.generic.IndexedRecord;
 import org.apache.avro.io.Encoder;
 
-/** A Java record as an Avro record of the same components. */
+/** Encodes a Java record as an Avro record with a field for each component. */
 final class StructCodec implements ValueCodec {
     private final Schema schema;
     private final ComponentWriter[] writers;
--- a/src/main/java/petrelplank/record/TraceLines.java
+++ b/src/main/java/petrelplank/record/TraceLines.java
@@ -3,12 +3,12 @@
 import java.io.PrintStream;
 
 /**
- * Events as lines of text ({@code serve --trace}), for hosts whose log is all that is left of them. A line is {@code @},
- * the Unix microsecond, the kind, then its fields, separated by tabs; an absent field is {@code -}. {@code lost} says
- * how many events were dropped. Confined to the writer's thread.
+ * Prints events as lines of text ({@code serve --trace}), for hosts of which nothing but the log remains. A line
+ * consists of {@code @} and the time in Unix microseconds, the kind of the line, and its fields, separated by tabs; a
+ * null field is printed as {@code -}. The kind {@code lost} gives the number of lost events. Not thread-safe.
  */
 final class TraceLines implements RecordOutput {
-    /** Characters that are printed together. */
+    /** Buffered characters at which the buffer is printed. */
     private static final int BATCH_CHARS = 4096;
 
     private final PrintStream out;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Appends the events of single requests; false for another event. */
+    /** Appends the line of an event that concerns a single request; returns false for any other event. */
     private boolean appendRequestEvent(long unixUs, Event event) {
         if (event instanceof Event.AttemptSent sent) {
             attemptSent(unixUs, sent);
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /** Appends the events of the proxy and its endpoints that have a line. */
+    /** Appends the line of an event that concerns the proxy or its endpoints; some of these events have no line. */
     private void appendProxyEvent(long unixUs, Event event) {
         if (event instanceof Event.EndpointsChanged changed) {
             endpointsChanged(unixUs, changed);
--- a/src/main/java/petrelplank/record/UnionCodec.java
+++ b/src/main/java/petrelplank/record/UnionCodec.java
@@ -9,7 +9,7 @@
 import org.apache.avro.generic.IndexedRecord;
 import org.apache.avro.io.Encoder;
 
-/** The records of a sealed interface as an Avro union, in a given order. */
+/** Encodes the record types of a sealed interface as an Avro union, in a given order. */
 final class UnionCodec implements ValueCodec {
     private record Branch(int index, ValueCodec codec) {}
 
--- a/src/main/java/petrelplank/record/ValueCodec.java
+++ b/src/main/java/petrelplank/record/ValueCodec.java
@@ -4,14 +4,14 @@
 import org.apache.avro.Schema;
 import org.apache.avro.io.Encoder;
 
-/** Translates the values of one Java type to and from Avro. */
+/** Converts the values of one Java type to and from Avro. */
 interface ValueCodec {
-    /** The Avro schema of the type. */
+    /** Returns the Avro schema of the type. */
     Schema schema();
 
     /** Encodes a value. */
     void write(Object value, Encoder encoder) throws IOException;
 
-    /** The Java value of what Avro's generic reader decoded by {@link #schema}. */
+    /** Converts a value that Avro's generic reader decoded with {@link #schema}. */
     Object read(Object decoded);
 }
--- a/src/main/java/petrelplank/record/ValueCodecs.java
+++ b/src/main/java/petrelplank/record/ValueCodecs.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Chooses the codec of a Java type. A named Avro type stands once in a schema, so its codec is made once. */
+/**
+ * Provides the codec of each Java type. A schema may define a named Avro type only once, so the codec of a named type
+ * is created once and reused.
+ */
 final class ValueCodecs {
     private static final Map<Type, ValueCodec> SCALARS = Map.of(
             long.class, ScalarCodec.LONG,
@@ -19,10 +22,10 @@
     private final Map<Class<?>, ValueCodec> named = new HashMap<>();
 
     /**
-     * The codec of a component's type.
+     * Returns the codec of a component's type.
      *
      * @param type a scalar, string, enum, record, sealed interface, or a list of one of these
-     * @throws IllegalStateException where records can't hold the type
+     * @throws IllegalStateException if the type cannot be stored in record files
      */
     ValueCodec of(Type type) {
         if (type instanceof ParameterizedType list) {
@@ -49,6 +52,6 @@
         } else if (type == Event.class) {
             return new UnionCodec(StoredEventOrder.TYPES, this);
         }
-        throw new IllegalStateException("no Avro type for " + type);
+        throw new IllegalStateException("no Avro schema is defined for " + type);
     }
 }
--- a/src/test/java/petrelplank/cli/ReportTest.java
+++ b/src/test/java/petrelplank/cli/ReportTest.java
@@ -108,7 +108,7 @@
         File json = folder.resolve("report.json").toFile();
         assertEquals(3, run("report", records, "--json", json));
         JsonNode report = new ObjectMapper().readTree(json);
-        assertTrue(report.at("/troubles/0").asText().contains("notes.txt: no record file"));
+        assertTrue(report.at("/troubles/0").asText().contains("notes.txt: not a readable record file"));
         assertEquals(0, report.at("/findings").size());
         assertEquals(0, run("scenarios"));
     }
--- a/src/test/java/petrelplank/record/FileSinkTest.java
+++ b/src/test/java/petrelplank/record/FileSinkTest.java
@@ -26,7 +26,7 @@
         return new FileSink(settings.queued(), "front-1", 42, new RecordFileWriter(settings, "front-1", 42, opener));
     }
 
-    /** The event thread never waits: what finds the queue full is lost, the numbers show it, and the count is recorded. */
+    /** The event thread must never block: events are lost if the queue is full, and their number must be recorded. */
     @Test
     void slowWriterLosesEventsAndRecordsTheirNumber() throws IOException {
         CountDownLatch diskReady = new CountDownLatch(1);
@@ -44,7 +44,7 @@
         diskReady.countDown();
         boolean reported = false;
         for (int attempt = 0; !reported; attempt++) {
-            // Room comes as the writer goes on; the next event then carries the count.
+            // Once the writer has made room in the queue, the next event is preceded by the number of lost events.
             sink.record(START_US + 2000 + attempt, new Event.EndpointRecovered("box"));
             reported = sink.unreportedLosses() <= 0;
         }
@@ -54,7 +54,7 @@
                 .filter(Event.EventsLost.class::isInstance)
                 .mapToLong(event -> ((Event.EventsLost) event).events())
                 .sum();
-        assertTrue(lost >= 1000 - 2 * 16 - 512, "lost " + lost);
+        assertTrue(lost >= 1000 - 2 * 16 - 512, "events lost: " + lost);
         assertEquals(read.last().number() + 1 - read.entries().size(), lost);
     }
 
--- a/src/test/java/petrelplank/record/RecordCodecTest.java
+++ b/src/test/java/petrelplank/record/RecordCodecTest.java
@@ -25,7 +25,7 @@
         sink.close();
     }
 
-    /** The samples hold every type of the schema, so that a new one can't be forgotten here. */
+    /** Also checks that the samples include every event type, so that a new type cannot be left out of this test. */
     @Test
     void everyEventSurvivesARoundTrip() throws IOException {
         Set<Class<?>> types = new HashSet<>(Arrays.asList(Event.class.getPermittedSubclasses()));
--- a/src/test/java/petrelplank/record/RecordFileWriterTest.java
+++ b/src/test/java/petrelplank/record/RecordFileWriterTest.java
@@ -18,12 +18,14 @@
     @TempDir
     Path folder;
 
-    /** Files of 64 KiB, two of them at most. */
+    /** Returns settings for files of 64 KiB, of which at most two are kept. */
     private RecordSettings smallFiles() {
         return new RecordSettings(folder, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
     }
 
-    /** Appends more than small files hold; the ids are spread, so that they don't compress. */
+    /**
+     * Appends more entries than two small files can hold. The request ids are scattered, so that they do not compress.
+     */
     private static void appendMany(RecordFileWriter writer, String proxy) throws IOException {
         for (int i = 0; i < 20_000; i++) {
             Event event = new Event.ClientDisconnected(i * 0x9e3779b97f4a7c15L);
@@ -39,7 +41,7 @@
         for (Path file : RecordFiles.list(folder)) {
             totalBytes += Files.size(file);
         }
-        assertTrue(totalBytes <= (128 << 10) + (16 << 10), "in all " + totalBytes);
+        assertTrue(totalBytes <= (128 << 10) + (16 << 10), "total bytes of the files: " + totalBytes);
         RecordFiles read = RecordFiles.read(folder);
         assertEquals(19_999, read.last().number());
         assertTrue(read.entries().get(0).number() > 0);
@@ -54,7 +56,10 @@
         assertEquals(2, RecordFiles.list(folder).size());
     }
 
-    /** The name of another proxy may begin with this one's: its files stay, whatever the bound. */
+    /**
+     * Files of a proxy whose name begins with this proxy's name must not be deleted to keep the limit on the total
+     * size.
+     */
     @Test
     void filesOfOtherProxiesAreKept() throws IOException {
         RecordFileWriter other = new RecordFileWriter(smallFiles(), "front-1.branch1", 7);
@@ -78,7 +83,7 @@
         assertEquals("../a b", RecordFiles.read(folder).entries().get(0).proxy());
     }
 
-    /** All that is lost is counted, what was buffered too, and the disk is not filled with empty files. */
+    /** Every lost entry must be counted, including buffered ones, and a full disk must not fill up with empty files. */
     @Test
     void writingResumesAfterAFullDiskAndLossesAreCounted() throws IOException {
         FillableDisk disk = new FillableDisk();
@@ -97,15 +102,15 @@
         }
         writer.close();
         RecordFiles read = RecordFiles.read(folder);
-        assertTrue(failures > 50 && failures <= 101, "failures " + failures);
+        assertTrue(failures > 50 && failures <= 101, "failed writes: " + failures);
         assertEquals(3000, read.entries().size() + lost);
         assertEquals(
                 990,
                 read.entries().stream().filter(entry -> entry.number() >= 2010).count());
-        assertTrue(RecordFiles.list(folder).size() <= 3, "files in " + folder);
+        assertTrue(RecordFiles.list(folder).size() <= 3, "too many files in " + folder);
     }
 
-    /** Files can be created on it, also while it takes no bytes. */
+    /** Simulates a disk that can be full: files can then still be created, but writing to them fails. */
     private static final class FillableDisk {
         private boolean full;
 
--- a/src/test/java/petrelplank/record/RecordFiles.java
+++ b/src/test/java/petrelplank/record/RecordFiles.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 
 /**
- * What {@link RecordReader} makes of a file or directory.
+ * The entries and errors that {@link RecordReader} reports for a file or directory.
  *
  * @param entries the entries read
  * @param errors what could not be read
--- a/src/test/java/petrelplank/record/RecordReaderTest.java
+++ b/src/test/java/petrelplank/record/RecordReaderTest.java
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Appends blocks and returns the file's length after each. */
+    /** Writes {@link #FLUSHED_BLOCKS} blocks and returns the length of the file after each. */
     private long[] flushBlocks() throws IOException {
         long[] ends = new long[FLUSHED_BLOCKS];
         for (int block = 0; block < FLUSHED_BLOCKS; block++) {
@@ -48,7 +48,9 @@
         return RecordFiles.list(folder).get(0);
     }
 
-    /** As where the process is killed during a write: the blocks before are all there. */
+    /**
+     * If the process is killed during a write, the last block is incomplete, but all earlier blocks must still be read.
+     */
     @Test
     void fileTruncatedAnywhereInItsLastBlockLosesOnlyThatBlock() throws IOException {
         int flushed = (int) flushBlocks()[FLUSHED_BLOCKS - 1];
@@ -60,9 +62,14 @@
         for (int length = flushed; length < complete.length; length++) {
             Files.write(file, Arrays.copyOf(complete, length));
             RecordFiles read = RecordFiles.read(file);
-            assertEquals(FLUSHED_BLOCKS * EVENTS_PER_BLOCK, read.entries().size(), "truncated to " + length);
             assertEquals(
-                    length == flushed ? 0 : 1, read.errors().size(), "truncated to " + length + " " + read.errors());
+                    FLUSHED_BLOCKS * EVENTS_PER_BLOCK,
+                    read.entries().size(),
+                    "entries read of a file truncated to bytes: " + length);
+            assertEquals(
+                    length == flushed ? 0 : 1,
+                    read.errors().size(),
+                    "truncated to bytes: " + length + ", errors: " + read.errors());
         }
     }
 
@@ -80,19 +87,19 @@
         assertEquals((FLUSHED_BLOCKS - 1) * EVENTS_PER_BLOCK, read.entries().size());
         assertEquals(1, read.errors().size());
         String message = read.errors().get(0).message();
-        assertTrue(message.startsWith(file + ": a block at byte "), message);
+        assertTrue(message.startsWith(file + ": the block at byte "), message);
     }
 
     @Test
     void foreignFilesAreReportedAndTheOthersAreRead() throws IOException {
         writer.append(new Entry("front-1", 42, 0, START_US, new Event.ProxyStopped()));
         writer.close();
-        Files.writeString(folder.resolve("notes.txt"), "not one of ours");
+        Files.writeString(folder.resolve("notes.txt"), "not a record file");
         Files.write(folder.resolve("zero"), new byte[0]);
         RecordFiles read = RecordFiles.read(folder);
         assertEquals(1, read.entries().size());
         assertEquals(2, read.errors().size());
         String message = read.errors().get(0).message();
-        assertTrue(message.contains("notes.txt: no record file"), message);
+        assertTrue(message.contains("notes.txt: not a readable record file"), message);
     }
 }
--- a/src/test/java/petrelplank/record/SampleEvents.java
+++ b/src/test/java/petrelplank/record/SampleEvents.java
@@ -7,9 +7,9 @@
 import petrelplank.routing.Idempotency;
 import petrelplank.routing.TerminationReason;
 
-/** Events of every type, for tests. */
+/** Sample events of every type, for tests. */
 public final class SampleEvents {
-    /** One of each type at least, with nullable components set and null. */
+    /** At least one event of each type. Nullable components occur both with a value and with null. */
     public static final List<Event> EVENTS = List.of(
             new Event.ProxyStarted(
                     "branch1",
--- a/src/test/java/petrelplank/record/StoredRecordsTest.java
+++ b/src/test/java/petrelplank/record/StoredRecordsTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Record files outlive the Java names of the version that wrote them: the committed file is of an earlier version. */
+/**
+ * Record files must stay readable when Java names change. Compares with a committed file that an earlier version wrote
+ * from {@link SampleEvents}.
+ */
 class StoredRecordsTest {
     private static final Path STORED = Path.of("src/test/resources/records/every-event");
     private static final long START_US = 1_764_576_000_000_000L;
--- a/src/test/java/petrelplank/yaml/YamlTest.java
+++ b/src/test/java/petrelplank/yaml/YamlTest.java
@@ -39,7 +39,7 @@
             delimiter = ';',
             value = {
                 "records:|  on: yes please;operator.yaml:2:7: records.on: should be one of false, true, found yes please",
-                "records:|  on: true;operator.yaml:2:3: records.directory: is missing, and records are on",
+                "records:|  on: true;operator.yaml:2:3: records.directory: is required when records are on",
                 "records:|  onn: true;operator.yaml:2:3: records.onn: is not a known key",
                 "recods:|  on: true;operator.yaml:1:1: recods: is not a known key",
                 "records: on;operator.yaml:1:10: records: should be a mapping, found a list or a single value",
