--- a/src/main/java/petrelplank/record/ComponentWriter.java
+++ b/src/main/java/petrelplank/record/ComponentWriter.java
@@ -47,14 +47,14 @@
      * Wraps the accessor in a lambda. Reflection is too slow here: the proxy runs with the C1 compiler only, which does
      * not optimize {@link Method#invoke}.
      */
-    private static <T> T getter(Class<T> functionalType, String methodName, Class<?> result, Method accessor) {
+    private static <T> T getter(Class<T> functionalType, String methodName, Class<?> resultType, Method accessor) {
         try {
             MethodHandles.Lookup lookup = MethodHandles.lookup();
             return functionalType.cast(LambdaMetafactory.metafactory(
                             lookup,
                             methodName,
                             MethodType.methodType(functionalType),
-                            MethodType.methodType(result, Object.class),
+                            MethodType.methodType(resultType, Object.class),
                             lookup.unreflect(accessor),
                             MethodType.methodType(accessor.getReturnType(), accessor.getDeclaringClass()))
                     .getTarget()
--- a/src/main/java/petrelplank/record/Event.java
+++ b/src/main/java/petrelplank/record/Event.java
@@ -23,7 +23,7 @@
      * @param reportFields names of the values in a load report, in their order
      * @param drainGraceUs no attempt is sent to an endpoint that has been draining for longer than this
      * @param purgeGraceUs a request sent later than this after a purge is not answered from a copy older than the purge
-     * @param connectUs timeout for opening a connection to an endpoint
+     * @param connectTimeoutUs timeout for opening a connection to an endpoint
      */
     @StoredName("Started")
     record ProxyStarted(
@@ -35,7 +35,7 @@
             @StoredName("reportFields") List<String> reportFields,
             @StoredName("drainGraceUs") long drainGraceUs,
             @StoredName("purgeGraceUs") long purgeGraceUs,
-            @StoredName("connectUs") long connectUs)
+            @StoredName("connectUs") long connectTimeoutUs)
             implements Event {}
 
     /**
@@ -120,7 +120,7 @@
      * @param kind the kind of the response
      * @param latencyUs time from the arrival of the request to its response
      * @param bytes length of the body
-     * @param earnedWeight priority weight credited for the response, depending on its latency
+     * @param earnedWeight priority weight credited for the response; less for a late or stale one
      * @param withinObjective whether the response met the latency objective for its size
      * @param retryAfterMs delay before a retry that the response asks of the client; 0 for none
      * @param reason why the router ended the request; null if it was served or rejected by the proxy's own limits
@@ -191,10 +191,10 @@
             implements Event {}
 
     /**
-     * The router ejected an endpoint: it sends no attempts there until a health check succeeds.
+     * The router ejected an endpoint, or extended an ejection after a failed health check.
      *
      * @param server the endpoint
-     * @param healthCheckFailed whether a failed health check extended an ejection, which doubles the pause
+     * @param healthCheckFailed whether a health check failed during an ejection, which doubles the pause
      * @param pauseUs time until the next health check
      */
     @StoredName("Ejected")
--- a/src/main/java/petrelplank/record/FileSink.java
+++ b/src/main/java/petrelplank/record/FileSink.java
@@ -32,12 +32,12 @@
     /** Sequence number of the next entry. Accessed only by the event thread. */
     private long nextNumber;
     /** Lost events that no record reports yet. Accessed only by the event thread. */
-    private long unreported;
-    /** Events that the output lost and that the event thread has not yet added to {@link #unreported}. */
-    private final AtomicLong outputLosses = new AtomicLong();
+    private long unreportedLosses;
+    /** Events that the output lost and that the event thread has not yet added to {@link #unreportedLosses}. */
+    private final AtomicLong uncollectedOutputLosses = new AtomicLong();
 
     /** Number of failed writes. Accessed only by the writer thread. */
-    private long failures;
+    private long failureCount;
     /** Number of all events that the output lost. Accessed only by the writer thread. */
     private long totalOutputLosses;
 
@@ -75,15 +75,15 @@
 
     @Override
     public void record(long unixUs, Event event) {
-        if (outputLosses.get() > 0) {
-            unreported += outputLosses.getAndSet(0);
+        if (uncollectedOutputLosses.get() > 0) {
+            unreportedLosses += uncollectedOutputLosses.getAndSet(0);
         }
-        if (unreported > 0 && queue.remainingCapacity() > 1) {
-            queue.offer(nextEntry(unixUs, new Event.EventsLost(unreported)));
-            unreported = 0;
+        if (unreportedLosses > 0 && queue.remainingCapacity() > 1) {
+            queue.offer(nextEntry(unixUs, new Event.EventsLost(unreportedLosses)));
+            unreportedLosses = 0;
         }
         if (!queue.offer(nextEntry(unixUs, event))) {
-            unreported++;
+            unreportedLosses++;
         }
     }
 
@@ -99,7 +99,7 @@
 
     /** Returns the number of lost events that no record reports yet. */
     long unreportedLosses() {
-        return unreported + outputLosses.get();
+        return unreportedLosses + uncollectedOutputLosses.get();
     }
 
     private void writeUntilClosed() {
@@ -142,12 +142,12 @@
         long lost = output.takeLost();
         if (lost > 0) {
             totalOutputLosses += lost;
-            outputLosses.addAndGet(lost);
+            uncollectedOutputLosses.addAndGet(lost);
         }
     }
 
     private void logFailure(IOException failure) {
-        if (failures++ % FAILURES_PER_LOG_LINE == 0) {
+        if (failureCount++ % FAILURES_PER_LOG_LINE == 0) {
             LOG.warning("writing event records failed: " + failure.getMessage() + ", " + totalOutputLosses
                     + " events lost so far");
         }
--- a/src/main/java/petrelplank/record/ListCodec.java
+++ b/src/main/java/petrelplank/record/ListCodec.java
@@ -8,12 +8,12 @@
 
 /** Encodes Java lists as Avro arrays. */
 final class ListCodec implements ValueCodec {
-    private final ValueCodec element;
+    private final ValueCodec elementCodec;
     private final Schema schema;
 
-    ListCodec(ValueCodec element) {
-        this.element = element;
-        this.schema = Schema.createArray(element.schema());
+    ListCodec(ValueCodec elementCodec) {
+        this.elementCodec = elementCodec;
+        this.schema = Schema.createArray(elementCodec.schema());
     }
 
     @Override
@@ -26,9 +26,9 @@
         List<?> elements = (List<?>) value;
         encoder.writeArrayStart();
         encoder.setItemCount(elements.size());
-        for (Object one : elements) {
+        for (Object element : elements) {
             encoder.startItem();
-            element.write(one, encoder);
+            elementCodec.write(element, encoder);
         }
         encoder.writeArrayEnd();
     }
@@ -36,8 +36,8 @@
     @Override
     public Object read(Object decoded) {
         List<Object> elements = new ArrayList<>();
-        for (Object one : (Iterable<?>) decoded) {
-            elements.add(element.read(one));
+        for (Object element : (Iterable<?>) decoded) {
+            elements.add(elementCodec.read(element));
         }
         return List.copyOf(elements);
     }
--- a/src/main/java/petrelplank/record/NullableCodec.java
+++ b/src/main/java/petrelplank/record/NullableCodec.java
@@ -9,12 +9,12 @@
     private static final int NULL_BRANCH = 0;
     private static final int VALUE_BRANCH = 1;
 
-    private final ValueCodec present;
+    private final ValueCodec valueCodec;
     private final Schema schema;
 
-    NullableCodec(ValueCodec present) {
-        this.present = present;
-        this.schema = Schema.createUnion(Schema.create(Schema.Type.NULL), present.schema());
+    NullableCodec(ValueCodec valueCodec) {
+        this.valueCodec = valueCodec;
+        this.schema = Schema.createUnion(Schema.create(Schema.Type.NULL), valueCodec.schema());
     }
 
     @Override
@@ -28,12 +28,12 @@
             encoder.writeIndex(NULL_BRANCH);
         } else {
             encoder.writeIndex(VALUE_BRANCH);
-            present.write(value, encoder);
+            valueCodec.write(value, encoder);
         }
     }
 
     @Override
     public Object read(Object decoded) {
-        return decoded == null ? null : present.read(decoded);
+        return decoded == null ? null : valueCodec.read(decoded);
     }
 }
--- a/src/main/java/petrelplank/record/OperatorRecords.java
+++ b/src/main/java/petrelplank/record/OperatorRecords.java
@@ -28,7 +28,7 @@
         boolean on = records.flag("on", false);
         String directory = records.text("directory", "");
         long fileBytes = records.bytes("file-size", 16 * MIB, 64 * KIB, GIB);
-        long ageUs = records.durationUs("file-age", HOUR_US, SECOND_US, DAY_US);
+        long maxFileAgeUs = records.durationUs("file-age", HOUR_US, SECOND_US, DAY_US);
         long totalBytes = records.bytes("total-size", 256 * MIB, 128 * KIB, TIB);
         int queued = (int) records.whole("queue", 16_384, 16, MIB);
         long flushUs = records.durationUs("flush", SECOND_US / 2, SECOND_US / 100, 60 * SECOND_US);
@@ -41,7 +41,7 @@
         }
         records.done();
         return on
-                ? new RecordSettings(Path.of(directory), fileBytes, ageUs, totalBytes, queued, flushUs, compress)
+                ? new RecordSettings(Path.of(directory), fileBytes, maxFileAgeUs, totalBytes, queued, flushUs, compress)
                 : null;
     }
 }
--- a/src/main/java/petrelplank/record/RecordCodec.java
+++ b/src/main/java/petrelplank/record/RecordCodec.java
@@ -14,16 +14,16 @@
     /** The namespace of all named types in the schema; part of the file format. */
     static final String NAMESPACE = "petrelplank.record";
 
-    private final ValueCodec entry = new ValueCodecs().of(Entry.class);
+    private final ValueCodec entryCodec = new ValueCodecs().of(Entry.class);
 
     /** Returns the schema of a record file. */
     Schema schema() {
-        return entry.schema();
+        return entryCodec.schema();
     }
 
     /** Converts a record that Avro's generic reader decoded with {@link #schema}. */
     Entry read(IndexedRecord decoded) {
-        return (Entry) entry.read(decoded);
+        return (Entry) entryCodec.read(decoded);
     }
 
     /** Creates a writer that encodes entries directly, without intermediate generic records. */
@@ -36,7 +36,7 @@
 
             @Override
             public void write(Entry value, Encoder encoder) throws IOException {
-                entry.write(value, encoder);
+                entryCodec.write(value, encoder);
             }
         };
     }
--- a/src/main/java/petrelplank/record/RecordDirectory.java
+++ b/src/main/java/petrelplank/record/RecordDirectory.java
@@ -20,7 +20,7 @@
     private final RecordSettings settings;
     private final String fileNamePrefix;
     private final long incarnation;
-    private int filesNamed;
+    private int nextFileNumber;
 
     RecordDirectory(RecordSettings settings, String proxy, long incarnation) {
         this.settings = settings;
@@ -35,7 +35,7 @@
     Path nextFile() throws IOException {
         Files.createDirectories(settings.directory());
         removeOldest();
-        String name = String.format("%s-%016x-%05d%s", fileNamePrefix, incarnation, filesNamed++, EXTENSION);
+        String name = String.format("%s-%016x-%05d%s", fileNamePrefix, incarnation, nextFileNumber++, EXTENSION);
         return settings.directory().resolve(name);
     }
 
--- a/src/main/java/petrelplank/record/RecordFileWriter.java
+++ b/src/main/java/petrelplank/record/RecordFileWriter.java
@@ -19,7 +19,7 @@
     /** Bytes between sync markers, which is the most that a truncated file loses. */
     private static final int BLOCK_BYTES = 32 << 10;
     /** The size of the file is checked once in this many entries, since each check is a system call. */
-    private static final int SIZE_CHECK_INTERVAL = 256;
+    private static final int ENTRIES_PER_SIZE_CHECK = 256;
 
     private static final int SYNC_MARKER_BYTES = 16;
     private static final int DEFLATE_LEVEL = 1;
@@ -40,14 +40,14 @@
 
     private Path file;
     private long openedUs;
-    private long flushedUs;
-    private long appended;
+    private long lastFlushUs;
+    private long appendedEntries;
     /** Entries appended since the last flush. They are lost if the file is abandoned. */
-    private long unflushed;
+    private long unflushedEntries;
 
-    private long lost;
+    private long lostEntries;
     /** Time of the last failure to write to a file or to create one. */
-    private long failedUs = NEVER_US;
+    private long lastFailureUs = NEVER_US;
 
     RecordFileWriter(RecordSettings settings, String proxy, long incarnation) {
         this(settings, proxy, incarnation, RecordFileWriter::createNew);
@@ -77,39 +77,41 @@
             if (writer != null && rotationDue(nowUs)) {
                 close();
             }
-            if (writer == null && nowUs - failedUs < RETRY_INTERVAL_US) {
-                lost++;
+            if (writer == null && nowUs - lastFailureUs < RETRY_INTERVAL_US) {
+                lostEntries++;
                 return;
             }
             write(entry);
         } catch (IOException | RuntimeException failure) {
-            failedUs = nowUs;
+            lastFailureUs = nowUs;
             abandon();
             throw failure instanceof IOException ioFailure ? ioFailure : new IOException(failure);
         }
     }
 
     private boolean rotationDue(long nowUs) throws IOException {
-        return nowUs - openedUs > settings.ageUs() || full();
+        return nowUs - openedUs > settings.maxFileAgeUs() || sizeLimitReached();
     }
 
-    private boolean full() throws IOException {
-        return ++appended % SIZE_CHECK_INTERVAL == 0 && Files.exists(file) && Files.size(file) > settings.fileBytes();
+    private boolean sizeLimitReached() throws IOException {
+        return ++appendedEntries % ENTRIES_PER_SIZE_CHECK == 0
+                && Files.exists(file)
+                && Files.size(file) > settings.fileBytes();
     }
 
     private void write(Entry entry) throws IOException {
         long nowUs = entry.unixUs();
-        unflushed++;
+        unflushedEntries++;
         if (writer == null) {
             open();
             openedUs = nowUs;
-            flushedUs = nowUs;
-            failedUs = NEVER_US;
+            lastFlushUs = nowUs;
+            lastFailureUs = NEVER_US;
         }
         writer.append(entry);
-        if (nowUs - flushedUs > settings.flushUs()) {
+        if (nowUs - lastFlushUs > settings.flushUs()) {
             flush();
-            flushedUs = nowUs;
+            lastFlushUs = nowUs;
         }
     }
 
@@ -148,7 +150,7 @@
         }
         try {
             writer.flush();
-            unflushed = 0;
+            unflushedEntries = 0;
         } catch (IOException | RuntimeException failure) {
             abandon();
             throw failure;
@@ -158,28 +160,28 @@
     @Override
     public void close() throws IOException {
         if (writer != null) {
-            DataFileWriter<Entry> open = writer;
+            DataFileWriter<Entry> closing = writer;
             writer = null;
-            open.close();
-            unflushed = 0;
+            closing.close();
+            unflushedEntries = 0;
         }
     }
 
     @Override
     public long takeLost() {
-        long taken = lost;
-        lost = 0;
+        long taken = lostEntries;
+        lostEntries = 0;
         return taken;
     }
 
     private void abandon() {
-        DataFileWriter<Entry> broken = writer;
+        DataFileWriter<Entry> abandoned = writer;
         writer = null;
-        lost += unflushed;
-        unflushed = 0;
-        if (broken != null) {
+        lostEntries += unflushedEntries;
+        unflushedEntries = 0;
+        if (abandoned != null) {
             try {
-                broken.close();
+                abandoned.close();
             } catch (IOException | RuntimeException failure) {
                 // Ignored: the caller already reports the failure that made it abandon the file.
             }
--- a/src/main/java/petrelplank/record/RecordReader.java
+++ b/src/main/java/petrelplank/record/RecordReader.java
@@ -36,16 +36,16 @@
     /**
      * Reads files, and all files below directories. Unreadable files and blocks are added to {@link #errors}.
      *
-     * @param places files or directories
+     * @param paths files or directories
      * @param entries receives each entry, in no guaranteed order
      * @throws IOException if a path does not exist or a directory cannot be listed
      */
-    public void read(List<Path> places, Consumer<Entry> entries) throws IOException {
-        for (Path place : places) {
-            if (Files.isRegularFile(place)) {
-                readFile(place, entries);
+    public void read(List<Path> paths, Consumer<Entry> entries) throws IOException {
+        for (Path path : paths) {
+            if (Files.isRegularFile(path)) {
+                readFile(path, entries);
             } else {
-                readDirectory(place, entries);
+                readDirectory(path, entries);
             }
         }
     }
@@ -77,12 +77,12 @@
     private void readBlocks(DataFileReader<IndexedRecord> reader, Path path, long length, Consumer<Entry> entries)
             throws IOException {
         IndexedRecord reused = null;
-        boolean more = true;
-        while (more) {
+        boolean hasMore = true;
+        while (hasMore) {
             long blockStart = reader.previousSync();
             try {
-                more = reader.hasNext();
-                if (more) {
+                hasMore = reader.hasNext();
+                if (hasMore) {
                     reused = reader.next(reused);
                     entries.accept(codec.read(reused));
                 } else if (reader.previousSync() < length) {
@@ -93,7 +93,7 @@
                     | IllegalArgumentException
                     | IndexOutOfBoundsException
                     | ClassCastException e) {
-                more = skipBlock(reader, path, blockStart, length);
+                hasMore = skipBlock(reader, path, blockStart, length);
             }
         }
     }
@@ -103,9 +103,9 @@
             throws IOException {
         long resumeAt = Math.max(blockStart, reader.previousSync()) + 1;
         reader.sync(Math.min(resumeAt, length));
-        boolean more = reader.previousSync() < length - 1 && !reader.pastSync(length);
-        errors.add(unreadableBlock(path, blockStart, more ? ", skipped" : ""));
-        return more;
+        boolean hasMore = reader.previousSync() < length - 1 && !reader.pastSync(length);
+        errors.add(unreadableBlock(path, blockStart, hasMore ? ", skipped" : ""));
+        return hasMore;
     }
 
     private static ReadError unreadableBlock(Path path, long blockStart, String consequence) {
--- a/src/main/java/petrelplank/record/RecordSettings.java
+++ b/src/main/java/petrelplank/record/RecordSettings.java
@@ -7,14 +7,20 @@
  *
  * @param directory directory of the files; created if it is missing
  * @param fileBytes size at which a file is rotated, at least 64 KiB
- * @param ageUs age at which a file is rotated, at least one second
+ * @param maxFileAgeUs age at which a file is rotated, at least one second
  * @param totalBytes limit on the total size of the proxy's files, at least twice {@code fileBytes}
  * @param queued capacity of the writer's queue in events, at least 16
- * @param flushUs interval at which buffered events are written to the disk
+ * @param flushUs time within which a recorded event is written to the disk
  * @param compress whether files are compressed, which reduces them to a third and takes more processor time
  */
 public record RecordSettings(
-        Path directory, long fileBytes, long ageUs, long totalBytes, int queued, long flushUs, boolean compress) {
+        Path directory,
+        long fileBytes,
+        long maxFileAgeUs,
+        long totalBytes,
+        int queued,
+        long flushUs,
+        boolean compress) {
     /**
      * Returns the settings for a small installation: files are rotated at 16 MiB or after an hour, take 256 MiB in
      * total, and are not compressed; up to 16,384 events are queued, and they are flushed every half second.
--- a/src/main/java/petrelplank/record/StringCodec.java
+++ b/src/main/java/petrelplank/record/StringCodec.java
@@ -13,10 +13,10 @@
  */
 final class StringCodec implements ValueCodec {
     /** Limits the cache: the request ids of rejected requests are chosen by clients and could fill it without bound. */
-    private static final int MAX_CACHED = 4096;
+    private static final int MAX_CACHED_STRINGS = 4096;
 
     private final Schema schema = Schema.create(Schema.Type.STRING);
-    private final Map<String, Utf8> cache = new HashMap<>();
+    private final Map<String, Utf8> encodedStrings = new HashMap<>();
 
     @Override
     public Schema schema() {
@@ -25,17 +25,17 @@
 
     @Override
     public void write(Object value, Encoder encoder) throws IOException {
-        encoder.writeString(encoded((String) value));
+        encoder.writeString(encode((String) value));
     }
 
-    private Utf8 encoded(String text) {
-        Utf8 cached = cache.get(text);
+    private Utf8 encode(String text) {
+        Utf8 cached = encodedStrings.get(text);
         if (cached == null) {
-            if (cache.size() >= MAX_CACHED) {
-                cache.clear();
+            if (encodedStrings.size() >= MAX_CACHED_STRINGS) {
+                encodedStrings.clear();
             }
             cached = new Utf8(text);
-            cache.put(text, cached);
+            encodedStrings.put(text, cached);
         }
         return cached;
     }
--- a/src/main/java/petrelplank/record/StructCodec.java
+++ b/src/main/java/petrelplank/record/StructCodec.java
@@ -57,10 +57,10 @@
 
     @Override
     public Object read(Object decoded) {
-        IndexedRecord from = (IndexedRecord) decoded;
+        IndexedRecord avroRecord = (IndexedRecord) decoded;
         Object[] values = new Object[codecs.length];
         for (int i = 0; i < codecs.length; i++) {
-            values[i] = codecs[i].read(from.get(i));
+            values[i] = codecs[i].read(avroRecord.get(i));
         }
         try {
             return constructor.newInstance(values);
--- a/src/main/java/petrelplank/record/TraceLines.java
+++ b/src/main/java/petrelplank/record/TraceLines.java
@@ -33,15 +33,15 @@
     /** Appends the line of an event that concerns a single request; returns false for any other event. */
     private boolean appendRequestEvent(long unixUs, Event event) {
         if (event instanceof Event.AttemptSent sent) {
-            attemptSent(unixUs, sent);
+            appendAttemptSent(unixUs, sent);
         } else if (event instanceof Event.AttemptEnded ended) {
-            attemptEnded(unixUs, ended);
+            appendAttemptEnded(unixUs, ended);
         } else if (event instanceof Event.RequestCompleted completed) {
-            requestCompleted(unixUs, completed);
+            appendRequestCompleted(unixUs, completed);
         } else if (event instanceof Event.RequestAdmitted admitted) {
-            requestAdmitted(unixUs, admitted);
+            appendRequestAdmitted(unixUs, admitted);
         } else if (event instanceof Event.RequestRejected rejected) {
-            requestRejected(unixUs, rejected);
+            appendRequestRejected(unixUs, rejected);
         } else {
             return false;
         }
@@ -51,24 +51,24 @@
     /** Appends the line of an event that concerns the proxy or its endpoints; some of these events have no line. */
     private void appendProxyEvent(long unixUs, Event event) {
         if (event instanceof Event.EndpointsChanged changed) {
-            endpointsChanged(unixUs, changed);
+            appendEndpointsChanged(unixUs, changed);
         } else if (event instanceof Event.Purged purged) {
-            purged(unixUs, purged);
+            appendPurged(unixUs, purged);
         } else if (event instanceof Event.EndpointEjected ejected) {
-            line(unixUs, "ejected", ejected.server(), ejected.healthCheckFailed(), ejected.pauseUs());
+            appendLine(unixUs, "ejected", ejected.server(), ejected.healthCheckFailed(), ejected.pauseUs());
         } else if (event instanceof Event.EndpointRecovered recovered) {
-            line(unixUs, "returned", recovered.server());
+            appendLine(unixUs, "returned", recovered.server());
         } else if (event instanceof Event.ProxyStarted started) {
-            line(unixUs, "started", started.zone());
+            appendLine(unixUs, "started", started.zone());
         } else if (event instanceof Event.Heartbeat heartbeat) {
-            line(unixUs, "pulse", heartbeat.openRequests(), heartbeat.queuedTasks(), heartbeat.maxTimerDelayUs());
+            appendLine(unixUs, "pulse", heartbeat.openRequests(), heartbeat.queuedTasks(), heartbeat.maxTimerDelayUs());
         } else if (event instanceof Event.EventsLost lost) {
-            line(unixUs, "lost", lost.events());
+            appendLine(unixUs, "lost", lost.events());
         }
     }
 
-    private void attemptSent(long unixUs, Event.AttemptSent sent) {
-        line(
+    private void appendAttemptSent(long unixUs, Event.AttemptSent sent) {
+        appendLine(
                 unixUs,
                 "sent",
                 Long.toHexString(sent.request()),
@@ -78,8 +78,8 @@
                 sent.source());
     }
 
-    private void attemptEnded(long unixUs, Event.AttemptEnded ended) {
-        line(
+    private void appendAttemptEnded(long unixUs, Event.AttemptEnded ended) {
+        appendLine(
                 unixUs,
                 "ended",
                 Long.toHexString(ended.request()),
@@ -95,8 +95,8 @@
                 ended.load());
     }
 
-    private void requestCompleted(long unixUs, Event.RequestCompleted completed) {
-        line(
+    private void appendRequestCompleted(long unixUs, Event.RequestCompleted completed) {
+        appendLine(
                 unixUs,
                 "answered",
                 Long.toHexString(completed.request()),
@@ -108,8 +108,8 @@
                 completed.reason() == null ? null : StoredNames.of(completed.reason()));
     }
 
-    private void requestAdmitted(long unixUs, Event.RequestAdmitted admitted) {
-        line(
+    private void appendRequestAdmitted(long unixUs, Event.RequestAdmitted admitted) {
+        appendLine(
                 unixUs,
                 "taken",
                 Long.toHexString(admitted.request()),
@@ -118,13 +118,13 @@
                 admitted.group());
     }
 
-    private void requestRejected(long unixUs, Event.RequestRejected rejected) {
-        line(unixUs, "turned", rejected.request(), rejected.serviceClass(), StoredNames.of(rejected.kind()));
+    private void appendRequestRejected(long unixUs, Event.RequestRejected rejected) {
+        appendLine(unixUs, "turned", rejected.request(), rejected.serviceClass(), StoredNames.of(rejected.kind()));
     }
 
-    private void endpointsChanged(long unixUs, Event.EndpointsChanged changed) {
+    private void appendEndpointsChanged(long unixUs, Event.EndpointsChanged changed) {
         for (ListedEndpoint endpoint : changed.servers()) {
-            line(
+            appendLine(
                     unixUs,
                     "listed",
                     changed.index(),
@@ -137,8 +137,8 @@
         }
     }
 
-    private void purged(long unixUs, Event.Purged purged) {
-        line(
+    private void appendPurged(long unixUs, Event.Purged purged) {
+        appendLine(
                 unixUs,
                 "purged",
                 purged.index(),
@@ -147,7 +147,7 @@
                 purged.unixMs());
     }
 
-    private void line(long unixUs, String kind, Object... fields) {
+    private void appendLine(long unixUs, String kind, Object... fields) {
         lines.append('@').append(unixUs).append('\t').append(kind);
         for (Object field : fields) {
             lines.append('\t');
--- a/src/main/java/petrelplank/record/UnionCodec.java
+++ b/src/main/java/petrelplank/record/UnionCodec.java
@@ -14,15 +14,15 @@
     private record Branch(int index, ValueCodec codec) {}
 
     private final Schema schema;
-    private final Map<Class<?>, Branch> byType = new HashMap<>();
-    private final Map<String, ValueCodec> byStoredName = new HashMap<>();
+    private final Map<Class<?>, Branch> branchesByType = new HashMap<>();
+    private final Map<String, ValueCodec> codecsByFullName = new HashMap<>();
 
     UnionCodec(List<? extends Class<?>> types, ValueCodecs codecs) {
         List<Schema> schemas = new ArrayList<>();
         for (Class<?> type : types) {
             ValueCodec codec = codecs.of(type);
-            byType.put(type, new Branch(schemas.size(), codec));
-            byStoredName.put(codec.schema().getFullName(), codec);
+            branchesByType.put(type, new Branch(schemas.size(), codec));
+            codecsByFullName.put(codec.schema().getFullName(), codec);
             schemas.add(codec.schema());
         }
         schema = Schema.createUnion(schemas);
@@ -35,14 +35,14 @@
 
     @Override
     public void write(Object value, Encoder encoder) throws IOException {
-        Branch branch = byType.get(value.getClass());
+        Branch branch = branchesByType.get(value.getClass());
         encoder.writeIndex(branch.index);
         branch.codec.write(value, encoder);
     }
 
     @Override
     public Object read(Object decoded) {
-        return byStoredName
+        return codecsByFullName
                 .get(((IndexedRecord) decoded).getSchema().getFullName())
                 .read(decoded);
     }
--- a/src/main/java/petrelplank/record/ValueCodecs.java
+++ b/src/main/java/petrelplank/record/ValueCodecs.java
@@ -18,8 +18,8 @@
             Double.class, ScalarCodec.DOUBLE,
             boolean.class, ScalarCodec.BOOLEAN);
 
-    private final ValueCodec strings = new StringCodec();
-    private final Map<Class<?>, ValueCodec> named = new HashMap<>();
+    private final ValueCodec stringCodec = new StringCodec();
+    private final Map<Class<?>, ValueCodec> codecsByNamedType = new HashMap<>();
 
     /**
      * Returns the codec of a component's type.
@@ -31,17 +31,17 @@
         if (type instanceof ParameterizedType list) {
             return new ListCodec(of(list.getActualTypeArguments()[0]));
         }
-        ValueCodec scalar = type == String.class ? strings : SCALARS.get(type);
+        ValueCodec scalar = type == String.class ? stringCodec : SCALARS.get(type);
         return scalar != null ? scalar : ofNamed((Class<?>) type);
     }
 
     private ValueCodec ofNamed(Class<?> type) {
-        ValueCodec known = named.get(type);
-        if (known == null) {
-            known = create(type);
-            named.put(type, known);
+        ValueCodec codec = codecsByNamedType.get(type);
+        if (codec == null) {
+            codec = create(type);
+            codecsByNamedType.put(type, codec);
         }
-        return known;
+        return codec;
     }
 
     private ValueCodec create(Class<?> type) {
--- a/src/test/java/petrelplank/record/FileSinkTest.java
+++ b/src/test/java/petrelplank/record/FileSinkTest.java
@@ -16,10 +16,10 @@
     private static final long START_US = 1_764_576_000_000_000L;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     private RecordSettings settings(int queued) {
-        return new RecordSettings(folder, 64 << 10, 10_000_000, 1 << 20, queued, 1, false);
+        return new RecordSettings(tempDir, 64 << 10, 10_000_000, 1 << 20, queued, 1, false);
     }
 
     private static FileSink sink(RecordSettings settings, RecordFileWriter.FileOpener opener) {
@@ -49,7 +49,7 @@
             reported = sink.unreportedLosses() <= 0;
         }
         sink.close();
-        RecordFiles read = RecordFiles.read(folder);
+        RecordFiles read = RecordFiles.read(tempDir);
         long lost = read.events().stream()
                 .filter(Event.EventsLost.class::isInstance)
                 .mapToLong(event -> ((Event.EventsLost) event).events())
@@ -78,6 +78,6 @@
         sink.close();
         assertEquals(
                 List.of(new Event.EventsLost(40), new Event.ProxyStopped()),
-                RecordFiles.read(folder).events());
+                RecordFiles.read(tempDir).events());
     }
 }
--- a/src/test/java/petrelplank/record/RecordCodecTest.java
+++ b/src/test/java/petrelplank/record/RecordCodecTest.java
@@ -17,7 +17,7 @@
     private static final long START_US = 1_764_576_000_000_000L;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     private static void writeSamples(Path directory) {
         DirectSink sink = new DirectSink(RecordSettings.in(directory), "front-1", 42);
@@ -31,8 +31,8 @@
         Set<Class<?>> types = new HashSet<>(Arrays.asList(Event.class.getPermittedSubclasses()));
         SampleEvents.EVENTS.forEach(event -> types.remove(event.getClass()));
         assertEquals(Set.of(), types);
-        writeSamples(folder);
-        RecordFiles read = RecordFiles.read(folder);
+        writeSamples(tempDir);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertEquals(SampleEvents.EVENTS, read.events());
         assertEquals(List.of(), read.errors());
         for (int i = 0; i < read.entries().size(); i++) {
@@ -46,7 +46,7 @@
     void equalEntriesAreWrittenAsEqualBytes() throws IOException {
         byte[][] bytes = new byte[2][];
         for (int i = 0; i < bytes.length; i++) {
-            Path directory = folder.resolve("run" + i);
+            Path directory = tempDir.resolve("run" + i);
             writeSamples(directory);
             bytes[i] = Files.readAllBytes(RecordFiles.list(directory).get(0));
         }
--- a/src/test/java/petrelplank/record/RecordFileWriterTest.java
+++ b/src/test/java/petrelplank/record/RecordFileWriterTest.java
@@ -16,11 +16,11 @@
     private static final long HOUR_US = 3_600_000_000L;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     /** Returns settings for files of 64 KiB, of which at most two are kept. */
     private RecordSettings smallFiles() {
-        return new RecordSettings(folder, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
+        return new RecordSettings(tempDir, 64 << 10, 10_000_000, 128 << 10, 16, 1, true);
     }
 
     /**
@@ -38,22 +38,22 @@
     void filesAreRotatedBySizeAndTheOldestRemoved() throws IOException {
         appendMany(new RecordFileWriter(smallFiles(), "front-1", 42), "front-1");
         long totalBytes = 0;
-        for (Path file : RecordFiles.list(folder)) {
+        for (Path file : RecordFiles.list(tempDir)) {
             totalBytes += Files.size(file);
         }
         assertTrue(totalBytes <= (128 << 10) + (16 << 10), "total bytes of the files: " + totalBytes);
-        RecordFiles read = RecordFiles.read(folder);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertEquals(19_999, read.last().number());
         assertTrue(read.entries().get(0).number() > 0);
     }
 
     @Test
     void filesAreRotatedByAge() throws IOException {
-        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(folder), "front-1", 43);
+        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(tempDir), "front-1", 43);
         writer.append(new Entry("front-1", 43, 0, START_US, new Event.ProxyStopped()));
         writer.append(new Entry("front-1", 43, 1, START_US + HOUR_US + 1, new Event.ProxyStopped()));
         writer.close();
-        assertEquals(2, RecordFiles.list(folder).size());
+        assertEquals(2, RecordFiles.list(tempDir).size());
     }
 
     /**
@@ -66,7 +66,7 @@
         other.append(new Entry("front-1.branch1", 7, 0, START_US, new Event.ProxyStopped()));
         other.close();
         appendMany(new RecordFileWriter(smallFiles(), "front", 42), "front");
-        RecordFiles read = RecordFiles.read(folder);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertEquals(
                 1,
                 read.entries().stream()
@@ -77,17 +77,17 @@
 
     @Test
     void nameOfAProxyMayHoldCharactersThatFileNamesMayNot() throws IOException {
-        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(folder), "../a b", 1);
+        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(tempDir), "../a b", 1);
         writer.append(new Entry("../a b", 1, 0, START_US, new Event.ProxyStopped()));
         writer.close();
-        assertEquals("../a b", RecordFiles.read(folder).entries().get(0).proxy());
+        assertEquals("../a b", RecordFiles.read(tempDir).entries().get(0).proxy());
     }
 
     /** Every lost entry must be counted, including buffered ones, and a full disk must not fill up with empty files. */
     @Test
     void writingResumesAfterAFullDiskAndLossesAreCounted() throws IOException {
         FillableDisk disk = new FillableDisk();
-        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(folder), "front-1", 42, disk::create);
+        RecordFileWriter writer = new RecordFileWriter(RecordSettings.in(tempDir), "front-1", 42, disk::create);
         int failures = 0;
         long lost = 0;
         for (int i = 0; i < 3000; i++) {
@@ -101,13 +101,13 @@
             lost += writer.takeLost();
         }
         writer.close();
-        RecordFiles read = RecordFiles.read(folder);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertTrue(failures > 50 && failures <= 101, "failed writes: " + failures);
         assertEquals(3000, read.entries().size() + lost);
         assertEquals(
                 990,
                 read.entries().stream().filter(entry -> entry.number() >= 2010).count());
-        assertTrue(RecordFiles.list(folder).size() <= 3, "too many files in " + folder);
+        assertTrue(RecordFiles.list(tempDir).size() <= 3, "too many files in " + tempDir);
     }
 
     /** Simulates a disk that can be full: files can then still be created, but writing to them fails. */
--- a/src/test/java/petrelplank/record/RecordFiles.java
+++ b/src/test/java/petrelplank/record/RecordFiles.java
@@ -14,10 +14,10 @@
  * @param errors what could not be read
  */
 record RecordFiles(List<Entry> entries, List<ReadError> errors) {
-    static RecordFiles read(Path place) throws IOException {
+    static RecordFiles read(Path path) throws IOException {
         List<Entry> entries = new ArrayList<>();
         RecordReader reader = new RecordReader();
-        reader.read(List.of(place), entries::add);
+        reader.read(List.of(path), entries::add);
         return new RecordFiles(entries, reader.errors());
     }
 
--- a/src/test/java/petrelplank/record/RecordReaderTest.java
+++ b/src/test/java/petrelplank/record/RecordReaderTest.java
@@ -17,14 +17,14 @@
     private static final int FLUSHED_BLOCKS = 3;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     private RecordFileWriter writer;
     private long nextNumber;
 
     @BeforeEach
     void createWriter() {
-        writer = new RecordFileWriter(RecordSettings.in(folder), "front-1", 42);
+        writer = new RecordFileWriter(RecordSettings.in(tempDir), "front-1", 42);
     }
 
     private void appendSamples() throws IOException {
@@ -45,7 +45,7 @@
     }
 
     private Path file() throws IOException {
-        return RecordFiles.list(folder).get(0);
+        return RecordFiles.list(tempDir).get(0);
     }
 
     /**
@@ -83,7 +83,7 @@
             bytes[i] ^= 0x55;
         }
         Files.write(file, bytes);
-        RecordFiles read = RecordFiles.read(folder);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertEquals((FLUSHED_BLOCKS - 1) * EVENTS_PER_BLOCK, read.entries().size());
         assertEquals(1, read.errors().size());
         String message = read.errors().get(0).message();
@@ -94,9 +94,9 @@
     void foreignFilesAreReportedAndTheOthersAreRead() throws IOException {
         writer.append(new Entry("front-1", 42, 0, START_US, new Event.ProxyStopped()));
         writer.close();
-        Files.writeString(folder.resolve("notes.txt"), "not a record file");
-        Files.write(folder.resolve("zero"), new byte[0]);
-        RecordFiles read = RecordFiles.read(folder);
+        Files.writeString(tempDir.resolve("notes.txt"), "not a record file");
+        Files.write(tempDir.resolve("zero"), new byte[0]);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertEquals(1, read.entries().size());
         assertEquals(2, read.errors().size());
         String message = read.errors().get(0).message();
--- a/src/test/java/petrelplank/record/StoredRecordsTest.java
+++ b/src/test/java/petrelplank/record/StoredRecordsTest.java
@@ -19,7 +19,7 @@
     private static final long START_US = 1_764_576_000_000_000L;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     private static Path onlyFile(Path directory) throws IOException {
         List<Path> files = RecordFiles.list(directory);
@@ -36,9 +36,9 @@
 
     @Test
     void eventsAreWrittenAsTheBytesOfTheEarlierVersion() throws IOException {
-        DirectSink sink = new DirectSink(RecordSettings.in(folder), "front-1", 42);
+        DirectSink sink = new DirectSink(RecordSettings.in(tempDir), "front-1", 42);
         SampleEvents.EVENTS.forEach(event -> sink.record(START_US, event));
         sink.close();
-        assertArrayEquals(Files.readAllBytes(onlyFile(STORED)), Files.readAllBytes(onlyFile(folder)));
+        assertArrayEquals(Files.readAllBytes(onlyFile(STORED)), Files.readAllBytes(onlyFile(tempDir)));
     }
 }
