--- a/src/main/java/petrelplank/record/NullableCodec.java
+++ b/src/main/java/petrelplank/record/NullableCodec.java
@@ -4,17 +4,17 @@
 import org.apache.avro.Schema;
 import org.apache.avro.io.Encoder;
 
-/** Values that may be null: a union of Avro's null with the schema of the value. */
+/** Encodes a value that may be null as an Avro union of null and the value's schema. */
 final class NullableCodec implements ValueCodec {
     private static final int NULL_BRANCH = 0;
     private static final int VALUE_BRANCH = 1;
 
-    private final ValueCodec present;
+    private final ValueCodec valueCodec;
     private final Schema schema;
 
-    NullableCodec(ValueCodec present) {
-        this.present = present;
-        this.schema = Schema.createUnion(Schema.create(Schema.Type.NULL), present.schema());
+    NullableCodec(ValueCodec valueCodec) {
+        this.valueCodec = valueCodec;
+        this.schema = Schema.createUnion(Schema.create(Schema.Type.NULL), valueCodec.schema());
     }
 
     @Override
@@ -28,12 +28,12 @@
             encoder.writeIndex(NULL_BRANCH);
         } else {
             encoder.writeIndex(VALUE_BRANCH);
-            present.write(value, encoder);
+            valueCodec.write(value, encoder);
         }
     }
 
     @Override
     public Object read(Object decoded) {
-        return decoded == null ? null : present.read(decoded);
+        return decoded == null ? null : valueCodec.read(decoded);
     }
 }
--- a/src/main/java/petrelplank/record/RecordFileWriter.java
+++ b/src/main/java/petrelplank/record/RecordFileWriter.java
@@ -12,21 +12,21 @@
 import org.apache.avro.file.DataFileWriter;
 
 /**
- * Writes entries to Avro object container files, rotated by size and age. Reads no clock: the entries' times are its
- * time. Confined to one thread.
+ * Writes entries to Avro object container files, which are rotated by size and age. Takes the time from the entries and
+ * reads no clock. Not thread-safe.
  */
 final class RecordFileWriter implements RecordOutput {
-    /** Bytes between sync markers: at most what a truncated file loses. */
+    /** Bytes between sync markers, which is the most that a truncated file loses. */
     private static final int BLOCK_BYTES = 32 << 10;
-    /** The file's size is read once in so many entries, since that is a system call. */
-    private static final int SIZE_CHECK_INTERVAL = 256;
+    /** The size of the file is checked once in this many entries, since each check is a system call. */
+    private static final int ENTRIES_PER_SIZE_CHECK = 256;
 
     private static final int SYNC_MARKER_BYTES = 16;
     private static final int DEFLATE_LEVEL = 1;
     private static final long RETRY_INTERVAL_US = 1_000_000;
     private static final long NEVER_US = Long.MIN_VALUE / 2;
 
-    /** Opens files; tests stand in for a broken disk. */
+    /** Creates files. Tests replace it to simulate a failing disk. */
     interface FileOpener {
         OutputStream create(Path file) throws IOException;
     }
@@ -35,19 +35,19 @@
     private final RecordDirectory directory;
     private final FileOpener opener;
     private final RecordCodec codec = new RecordCodec();
-    /** Null where no file is open. */
+    /** Null if no file is open. */
     private DataFileWriter<Entry> writer;
 
     private Path file;
     private long openedUs;
-    private long flushedUs;
-    private long appended;
-    /** Entries appended since the last flush: lost with the file where it is abandoned. */
-    private long unflushed;
+    private long lastFlushUs;
+    private long appendedEntries;
+    /** Entries appended since the last flush. They are lost if the file is abandoned. */
+    private long unflushedEntries;
 
-    private long lost;
-    /** When the disk last failed, or a file was last tried in vain. */
-    private long failedUs = NEVER_US;
+    private long lostEntries;
+    /** Time of the last failure to write to a file or to create one. */
+    private long lastFailureUs = NEVER_US;
 
     RecordFileWriter(RecordSettings settings, String proxy, long incarnation) {
         this(settings, proxy, incarnation, RecordFileWriter::createNew);
@@ -64,10 +64,11 @@
     }
 
     /**
-     * Appends an entry. Where the disk fails, the file is abandoned with what was not flushed. The next one is tried a
-     * second later at the earliest, lest a full disk be filled with empty files; entries until then are lost.
+     * Appends an entry. If the write fails, the file is abandoned and its unflushed entries are lost. A new file is
+     * created one second later at the earliest, so that a full disk does not fill up with empty files; entries that
+     * arrive before then are lost.
      *
-     * @throws IOException once for each file that is abandoned or can't be created
+     * @throws IOException once for each file that is abandoned or cannot be created
      */
     @Override
     public void append(Entry entry) throws IOException {
@@ -76,39 +77,41 @@
             if (writer != null && rotationDue(nowUs)) {
                 close();
             }
-            if (writer == null && nowUs - failedUs < RETRY_INTERVAL_US) {
-                lost++;
+            if (writer == null && nowUs - lastFailureUs < RETRY_INTERVAL_US) {
+                lostEntries++;
                 return;
             }
             write(entry);
         } catch (IOException | RuntimeException failure) {
-            failedUs = nowUs;
+            lastFailureUs = nowUs;
             abandon();
             throw failure instanceof IOException ioFailure ? ioFailure : new IOException(failure);
         }
     }
 
     private boolean rotationDue(long nowUs) throws IOException {
-        return nowUs - openedUs > settings.ageUs() || full();
+        return nowUs - openedUs > settings.maxFileAgeUs() || sizeLimitReached();
     }
 
-    private boolean full() throws IOException {
-        return ++appended % SIZE_CHECK_INTERVAL == 0 && Files.exists(file) && Files.size(file) > settings.fileBytes();
+    private boolean sizeLimitReached() throws IOException {
+        return ++appendedEntries % ENTRIES_PER_SIZE_CHECK == 0
+                && Files.exists(file)
+                && Files.size(file) > settings.fileBytes();
     }
 
     private void write(Entry entry) throws IOException {
         long nowUs = entry.unixUs();
-        unflushed++;
+        unflushedEntries++;
         if (writer == null) {
             open();
             openedUs = nowUs;
-            flushedUs = nowUs;
-            failedUs = NEVER_US;
+            lastFlushUs = nowUs;
+            lastFailureUs = NEVER_US;
         }
         writer.append(entry);
-        if (nowUs - flushedUs > settings.flushUs()) {
+        if (nowUs - lastFlushUs > settings.flushUs()) {
             flush();
-            flushedUs = nowUs;
+            lastFlushUs = nowUs;
         }
     }
 
@@ -131,7 +134,7 @@
         writer = created;
     }
 
-    /** The marker between blocks is derived from the file's name, so that the same run writes the same bytes. */
+    /** Derives the marker between blocks from the file name, so that repeating a run writes the same bytes. */
     private byte[] syncMarker() {
         byte[] marker = new byte[SYNC_MARKER_BYTES];
         UUID hash = UUID.nameUUIDFromBytes(file.getFileName().toString().getBytes(StandardCharsets.UTF_8));
@@ -139,7 +142,7 @@
         return marker;
     }
 
-    /** Writes out what is buffered; where that fails, the file is abandoned. */
+    /** Writes the buffered entries to the file. If that fails, the file is abandoned. */
     @Override
     public void flush() throws IOException {
         if (writer == null) {
@@ -147,7 +150,7 @@
         }
         try {
             writer.flush();
-            unflushed = 0;
+            unflushedEntries = 0;
         } catch (IOException | RuntimeException failure) {
             abandon();
             throw failure;
@@ -157,30 +160,30 @@
     @Override
     public void close() throws IOException {
         if (writer != null) {
-            DataFileWriter<Entry> open = writer;
+            DataFileWriter<Entry> closing = writer;
             writer = null;
-            open.close();
-            unflushed = 0;
+            closing.close();
+            unflushedEntries = 0;
         }
     }
 
     @Override
     public long takeLost() {
-        long taken = lost;
-        lost = 0;
+        long taken = lostEntries;
+        lostEntries = 0;
         return taken;
     }
 
     private void abandon() {
-        DataFileWriter<Entry> broken = writer;
+        DataFileWriter<Entry> abandoned = writer;
         writer = null;
-        lost += unflushed;
-        unflushed = 0;
-        if (broken != null) {
+        lostEntries += unflushedEntries;
+        unflushedEntries = 0;
+        if (abandoned != null) {
             try {
-                broken.close();
+                abandoned.close();
             } catch (IOException | RuntimeException failure) {
-                // The failure that led here is reported already.
+                // Ignored: the caller already reports the failure that made it abandon the file.
             }
         }
     }
--- a/src/main/java/petrelplank/record/StructCodec.java
+++ b/src/main/java/petrelplank/record/StructCodec.java
@@ -10,7 +10,7 @@
 import org.apache.avro.generic.IndexedRecord;
 import org.apache.avro.io.Encoder;
 
-/** A Java record as an Avro record of the same components. */
+/** Encodes a Java record as an Avro record with a field for each component. */
 final class StructCodec implements ValueCodec {
     private final Schema schema;
     private final ComponentWriter[] writers;
@@ -57,10 +57,10 @@
 
     @Override
     public Object read(Object decoded) {
-        IndexedRecord from = (IndexedRecord) decoded;
+        IndexedRecord avroRecord = (IndexedRecord) decoded;
         Object[] values = new Object[codecs.length];
         for (int i = 0; i < codecs.length; i++) {
-            values[i] = codecs[i].read(from.get(i));
+            values[i] = codecs[i].read(avroRecord.get(i));
         }
         try {
             return constructor.newInstance(values);
--- a/src/main/java/petrelplank/record/ValueCodecs.java
+++ b/src/main/java/petrelplank/record/ValueCodecs.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Chooses the codec of a Java type. A named Avro type stands once in a schema, so its codec is made once. */
+/**
+ * Provides the codec of each Java type. A schema may define a named Avro type only once, so the codec of a named type
+ * is created once and reused.
+ */
 final class ValueCodecs {
     private static final Map<Type, ValueCodec> SCALARS = Map.of(
             long.class, ScalarCodec.LONG,
@@ -15,30 +18,30 @@
             Double.class, ScalarCodec.DOUBLE,
             boolean.class, ScalarCodec.BOOLEAN);
 
-    private final ValueCodec strings = new StringCodec();
-    private final Map<Class<?>, ValueCodec> named = new HashMap<>();
+    private final ValueCodec stringCodec = new StringCodec();
+    private final Map<Class<?>, ValueCodec> codecsByNamedType = new HashMap<>();
 
     /**
-     * The codec of a component's type.
+     * Returns the codec of a component's type.
      *
      * @param type a scalar, string, enum, record, sealed interface, or a list of one of these
-     * @throws IllegalStateException where records can't hold the type
+     * @throws IllegalStateException if the type cannot be stored in record files
      */
     ValueCodec of(Type type) {
         if (type instanceof ParameterizedType list) {
             return new ListCodec(of(list.getActualTypeArguments()[0]));
         }
-        ValueCodec scalar = type == String.class ? strings : SCALARS.get(type);
+        ValueCodec scalar = type == String.class ? stringCodec : SCALARS.get(type);
         return scalar != null ? scalar : ofNamed((Class<?>) type);
     }
 
     private ValueCodec ofNamed(Class<?> type) {
-        ValueCodec known = named.get(type);
-        if (known == null) {
-            known = create(type);
-            named.put(type, known);
+        ValueCodec codec = codecsByNamedType.get(type);
+        if (codec == null) {
+            codec = create(type);
+            codecsByNamedType.put(type, codec);
         }
-        return known;
+        return codec;
     }
 
     private ValueCodec create(Class<?> type) {
@@ -49,6 +52,6 @@
         } else if (type == Event.class) {
             return new UnionCodec(StoredEventOrder.TYPES, this);
         }
-        throw new IllegalStateException("no Avro type for " + type);
+        throw new IllegalStateException("no Avro schema is defined for " + type);
     }
 }
--- a/src/test/java/petrelplank/record/FileSinkTest.java
+++ b/src/test/java/petrelplank/record/FileSinkTest.java
@@ -16,17 +16,17 @@
     private static final long START_US = 1_764_576_000_000_000L;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     private RecordSettings settings(int queued) {
-        return new RecordSettings(folder, 64 << 10, 10_000_000, 1 << 20, queued, 1, false);
+        return new RecordSettings(tempDir, 64 << 10, 10_000_000, 1 << 20, queued, 1, false);
     }
 
     private static FileSink sink(RecordSettings settings, RecordFileWriter.FileOpener opener) {
         return new FileSink(settings.queued(), "front-1", 42, new RecordFileWriter(settings, "front-1", 42, opener));
     }
 
-    /** The event thread never waits: what finds the queue full is lost, the numbers show it, and the count is recorded. */
+    /** The event thread must never block: events are lost if the queue is full, and their number must be recorded. */
     @Test
     void slowWriterLosesEventsAndRecordsTheirNumber() throws IOException {
         CountDownLatch diskReady = new CountDownLatch(1);
@@ -44,17 +44,17 @@
         diskReady.countDown();
         boolean reported = false;
         for (int attempt = 0; !reported; attempt++) {
-            // Room comes as the writer goes on; the next event then carries the count.
+            // Once the writer has made room in the queue, the next event is preceded by the number of lost events.
             sink.record(START_US + 2000 + attempt, new Event.EndpointRecovered("box"));
             reported = sink.unreportedLosses() <= 0;
         }
         sink.close();
-        RecordFiles read = RecordFiles.read(folder);
+        RecordFiles read = RecordFiles.read(tempDir);
         long lost = read.events().stream()
                 .filter(Event.EventsLost.class::isInstance)
                 .mapToLong(event -> ((Event.EventsLost) event).events())
                 .sum();
-        assertTrue(lost >= 1000 - 2 * 16 - 512, "lost " + lost);
+        assertTrue(lost >= 1000 - 2 * 16 - 512, "events lost: " + lost);
         assertEquals(read.last().number() + 1 - read.entries().size(), lost);
     }
 
@@ -78,6 +78,6 @@
         sink.close();
         assertEquals(
                 List.of(new Event.EventsLost(40), new Event.ProxyStopped()),
-                RecordFiles.read(folder).events());
+                RecordFiles.read(tempDir).events());
     }
 }
--- a/src/test/java/petrelplank/record/RecordFiles.java
+++ b/src/test/java/petrelplank/record/RecordFiles.java
@@ -8,16 +8,16 @@
 import java.util.stream.Stream;
 
 /**
- * What {@link RecordReader} makes of a file or directory.
+ * The entries and errors that {@link RecordReader} reports for a file or directory.
  *
  * @param entries the entries read
  * @param errors what could not be read
  */
 record RecordFiles(List<Entry> entries, List<ReadError> errors) {
-    static RecordFiles read(Path place) throws IOException {
+    static RecordFiles read(Path path) throws IOException {
         List<Entry> entries = new ArrayList<>();
         RecordReader reader = new RecordReader();
-        reader.read(List.of(place), entries::add);
+        reader.read(List.of(path), entries::add);
         return new RecordFiles(entries, reader.errors());
     }
 
--- a/src/test/java/petrelplank/record/RecordReaderTest.java
+++ b/src/test/java/petrelplank/record/RecordReaderTest.java
@@ -17,14 +17,14 @@
     private static final int FLUSHED_BLOCKS = 3;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     private RecordFileWriter writer;
     private long nextNumber;
 
     @BeforeEach
     void createWriter() {
-        writer = new RecordFileWriter(RecordSettings.in(folder), "front-1", 42);
+        writer = new RecordFileWriter(RecordSettings.in(tempDir), "front-1", 42);
     }
 
     private void appendSamples() throws IOException {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Appends blocks and returns the file's length after each. */
+    /** Writes {@link #FLUSHED_BLOCKS} blocks and returns the length of the file after each. */
     private long[] flushBlocks() throws IOException {
         long[] ends = new long[FLUSHED_BLOCKS];
         for (int block = 0; block < FLUSHED_BLOCKS; block++) {
@@ -45,10 +45,12 @@
     }
 
     private Path file() throws IOException {
-        return RecordFiles.list(folder).get(0);
+        return RecordFiles.list(tempDir).get(0);
     }
 
-    /** As where the process is killed during a write: the blocks before are all there. */
+    /**
+     * If the process is killed during a write, the last block is incomplete, but all earlier blocks must still be read.
+     */
     @Test
     void fileTruncatedAnywhereInItsLastBlockLosesOnlyThatBlock() throws IOException {
         int flushed = (int) flushBlocks()[FLUSHED_BLOCKS - 1];
@@ -60,9 +62,14 @@
         for (int length = flushed; length < complete.length; length++) {
             Files.write(file, Arrays.copyOf(complete, length));
             RecordFiles read = RecordFiles.read(file);
-            assertEquals(FLUSHED_BLOCKS * EVENTS_PER_BLOCK, read.entries().size(), "truncated to " + length);
             assertEquals(
-                    length == flushed ? 0 : 1, read.errors().size(), "truncated to " + length + " " + read.errors());
+                    FLUSHED_BLOCKS * EVENTS_PER_BLOCK,
+                    read.entries().size(),
+                    "entries read of a file truncated to bytes: " + length);
+            assertEquals(
+                    length == flushed ? 0 : 1,
+                    read.errors().size(),
+                    "truncated to bytes: " + length + ", errors: " + read.errors());
         }
     }
 
@@ -76,23 +83,23 @@
             bytes[i] ^= 0x55;
         }
         Files.write(file, bytes);
-        RecordFiles read = RecordFiles.read(folder);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertEquals((FLUSHED_BLOCKS - 1) * EVENTS_PER_BLOCK, read.entries().size());
         assertEquals(1, read.errors().size());
         String message = read.errors().get(0).message();
-        assertTrue(message.startsWith(file + ": a block at byte "), message);
+        assertTrue(message.startsWith(file + ": the block at byte "), message);
     }
 
     @Test
     void foreignFilesAreReportedAndTheOthersAreRead() throws IOException {
         writer.append(new Entry("front-1", 42, 0, START_US, new Event.ProxyStopped()));
         writer.close();
-        Files.writeString(folder.resolve("notes.txt"), "not one of ours");
-        Files.write(folder.resolve("zero"), new byte[0]);
-        RecordFiles read = RecordFiles.read(folder);
+        Files.writeString(tempDir.resolve("notes.txt"), "not a record file");
+        Files.write(tempDir.resolve("zero"), new byte[0]);
+        RecordFiles read = RecordFiles.read(tempDir);
         assertEquals(1, read.entries().size());
         assertEquals(2, read.errors().size());
         String message = read.errors().get(0).message();
-        assertTrue(message.contains("notes.txt: no record file"), message);
+        assertTrue(message.contains("notes.txt: not a readable record file"), message);
     }
 }
--- a/src/test/java/petrelplank/record/StoredRecordsTest.java
+++ b/src/test/java/petrelplank/record/StoredRecordsTest.java
@@ -10,13 +10,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Record files outlive the Java names of the version that wrote them: the committed file is of an earlier version. */
+/**
+ * Record files must stay readable when Java names change. Compares with a committed file that an earlier version wrote
+ * from {@link SampleEvents}.
+ */
 class StoredRecordsTest {
     private static final Path STORED = Path.of("src/test/resources/records/every-event");
     private static final long START_US = 1_764_576_000_000_000L;
 
     @TempDir
-    Path folder;
+    Path tempDir;
 
     private static Path onlyFile(Path directory) throws IOException {
         List<Path> files = RecordFiles.list(directory);
@@ -33,9 +36,9 @@
 
     @Test
     void eventsAreWrittenAsTheBytesOfTheEarlierVersion() throws IOException {
-        DirectSink sink = new DirectSink(RecordSettings.in(folder), "front-1", 42);
+        DirectSink sink = new DirectSink(RecordSettings.in(tempDir), "front-1", 42);
         SampleEvents.EVENTS.forEach(event -> sink.record(START_US, event));
         sink.close();
-        assertArrayEquals(Files.readAllBytes(onlyFile(STORED)), Files.readAllBytes(onlyFile(folder)));
+        assertArrayEquals(Files.readAllBytes(onlyFile(STORED)), Files.readAllBytes(onlyFile(tempDir)));
     }
 }
