--- a/src/main/java/petrelplank/cli/ExitStatus.java
+++ b/src/main/java/petrelplank/cli/ExitStatus.java
@@ -5,13 +5,16 @@
     /** The command succeeded. */
     static final int SUCCESS = 0;
 
-    /** Internal error; the Java runtime exits with this status after an uncaught exception. */
+    /**
+     * Internal error; the Java runtime exits with this status after an uncaught exception. The simulator adapter
+     * returns the same status for an invalid input line.
+     */
     static final int INTERNAL_ERROR = 1;
 
     /** The arguments or a file cannot be used. */
     static final int UNUSABLE_INPUT = 2;
 
-    /** Some record files could not be read; the report covers the others. */
+    /** The report command could not read some of the record files; its report covers the others. */
     static final int INCOMPLETE_RECORDS = 3;
 
     /** Description of the statuses, for the help text. */
--- a/src/main/java/petrelplank/cli/Logs.java
+++ b/src/main/java/petrelplank/cli/Logs.java
@@ -4,7 +4,7 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** Configures java.util.logging: one line per message on standard error, until the process has ended. */
+/** Configures java.util.logging: messages on standard error, also during shutdown hooks. */
 final class Logs {
     private static final String LINE_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n";
 
@@ -27,14 +27,14 @@
     }
 
     /**
-     * Creates the handlers now. The Java runtime would otherwise create them at the first log line, and no longer once
-     * a shutdown has begun: after a SIGTERM before that line, the process would log nothing at all.
+     * Creates the handlers now. The Java runtime would otherwise create them at the first log line, and it creates none
+     * once a shutdown has begun: after a SIGTERM before that line, the process would log nothing at all.
      */
     private static void createHandlers() {
         Logger.getLogger("").getHandlers();
     }
 
-    /** Sets the format of all further log lines. */
+    /** Switches all further log lines to JSON if that is the format. Text is the initial format. */
     static void setFormat(LogFormat format) {
         if (format == LogFormat.JSON) {
             JsonLogs.install();
--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -13,8 +13,9 @@
 import petrelplank.proxy.EventLoop;
 
 /**
- * Client of the discovery service. It keeps one connection open and reconnects when the connection breaks, receives
- * nothing for too long, or skips an event. Not thread-safe: all state is confined to the event thread.
+ * Client of the discovery service. It keeps one connection open and reconnects when the connection breaks, when
+ * nothing is received for too long, and when the service skips an event or sends an empty endpoint list. Not
+ * thread-safe: all state is confined to the event thread.
  */
 public final class DiscoveryClient {
     private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
@@ -27,7 +28,7 @@
 
     private static final long NO_GAP = -1;
 
-    /** What has been received since the process started. The state never goes back, also not on a reconnect. */
+    /** What has been received since the process started. The state only advances; a reconnect does not reset it. */
     private enum SyncState {
         NOTHING_RECEIVED,
         RECEIVING,
@@ -83,7 +84,8 @@
     }
 
     /**
-     * Connects to another address at once and resumes after the last event received. Call from the event thread.
+     * Closes the connection, immediately connects to another address and resumes after the last event received. Call
+     * from the event thread.
      *
      * @param newAddress the discovery service's new address
      */
@@ -191,7 +193,7 @@
 
     /**
      * Whether events before this one are missing, among which may be a drain or a purge. The events of a gap are
-     * requested again once: if the service skips the same indexes again, they do not exist and nothing is lost. A
+     * requested again once: if the service skips the same indexes again, no events with them exist. A
      * heartbeat with a higher index than the last event always means that events are missing.
      */
     private boolean isAfterGap(DiscoveryEvent event, long lastIndex) {
--- a/src/main/java/petrelplank/discovery/LineSplitter.java
+++ b/src/main/java/petrelplank/discovery/LineSplitter.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import petrelplank.settings.FormatException;
 
-/** Splits the byte stream of the discovery service into lines, wherever the stream was fragmented. */
+/** Splits the byte stream of the discovery service into lines, however the stream was split into reads. */
 final class LineSplitter {
     /** Limits the memory that one line may use; a complete endpoint list is shorter. */
     static final int MAX_LINE_BYTES = 1 << 20;
--- a/src/main/java/petrelplank/fastcgi/RecordEncoder.java
+++ b/src/main/java/petrelplank/fastcgi/RecordEncoder.java
@@ -5,9 +5,9 @@
 import petrelplank.fastcgi.FastCgiRecord.ProtocolStatus;
 import petrelplank.proxy.ClientResponse;
 
-/** Encodes responses and single records in the FastCGI format. Thread-safe. */
+/** Encodes responses and single records in the FastCGI format. */
 final class RecordEncoder {
-    /** Maximum content length of a record that is a multiple of 8 bytes, so that records stay aligned. */
+    /** Largest multiple of 8 that a record's content length may be, so that records stay aligned. */
     private static final int MAX_CONTENT_LENGTH = 65_528;
     /** Initial space for record headers and the END_REQUEST record; the buffer grows if this is not enough. */
     private static final int INITIAL_RECORD_OVERHEAD = 64;
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -35,7 +35,7 @@
         int openRequestCount();
     }
 
-    /** A request of which not all records have been received. */
+    /** A request that has not been received completely. */
     private static final class PartialRequest {
         private static final int INITIAL_PARAMS_BYTES = 512;
 
@@ -58,7 +58,9 @@
     private final AtomicLong totalBytes;
 
     private final long maxTotalBytes;
+    /** Bytes held by the partial requests of this connection. */
     private long partialBytes;
+
     private final Map<Integer, PartialRequest> partialRequests = new HashMap<>();
 
     /**
--- a/src/main/java/petrelplank/proxy/ClientResponse.java
+++ b/src/main/java/petrelplank/proxy/ClientResponse.java
@@ -1,7 +1,7 @@
 package petrelplank.proxy;
 
 /**
- * The final response to a client.
+ * The response to a client's request.
  *
  * @param kind the outcome
  * @param body the bytes of the part; empty if the response has no body
--- a/src/main/java/petrelplank/routing/Endpoint.java
+++ b/src/main/java/petrelplank/routing/Endpoint.java
@@ -4,7 +4,7 @@
 final class Endpoint {
     /** The role of an endpoint from the point of view of this proxy. */
     enum Role {
-        /** A cache in this proxy's zone, which takes requests. */
+        /** A cache in this proxy's zone; this proxy sends it requests. */
         LOCAL_CACHE,
         /** A cache that other caches fill their misses from. */
         PARENT,
@@ -17,11 +17,13 @@
     final String id;
     final long hash;
     Role role;
-    /** Steps along the ring of hubs from this proxy's hub. */
+    /** Steps along the ring of hubs from this proxy's zone's hub to the hub of the endpoint's zone; 0 if unknown. */
     int hubDistance;
 
     EndpointState state;
+    /** The weight in the list, whose meaning {@link WeightMeaning} tells; 1 if weights have no meaning. */
     double weight;
+    /** Start time of its process; 0 if unknown. */
     long startedUs;
     /** Time of its last response to an attempt of this proxy. */
     long lastResponseUs;
@@ -37,7 +39,9 @@
     final ConcurrencyLimit limit;
     final EjectionState ejection = new EjectionState();
     final ReportedLoad reportedLoad = new ReportedLoad();
+    /** For parents: the learned value of filling from this endpoint, for each object group. */
     final QTable qTable = new QTable();
+
     final TokenBucket slowStartBucket = new TokenBucket();
     final DecayingRate sentTransferRate = new DecayingRate();
 
@@ -59,14 +63,14 @@
         return state == EndpointState.UP;
     }
 
-    /** Whether its last load report shows spare capacity. */
+    /** Whether its last load report, if any, is below the overload threshold. */
     boolean hasReportedSpareCapacity() {
         return reportedLoad.inFlight >= 0 && reportedLoad.inFlight < ReportedLoad.OVERLOAD_THRESHOLD * weight;
     }
 
     /**
-     * Whether the last load report, plus the attempts sent since, shows spare capacity. Concurrency limits adapt too
-     * slowly when proxies start or stop, so this overrides them.
+     * Whether the last load report, plus the attempts sent since, shows spare capacity. Callers then send beyond
+     * the concurrency limit, since limits adapt too slowly when proxies start or stop.
      */
     boolean hasEstimatedSpareCapacity() {
         return reportedLoad.inFlight >= 0
--- a/src/main/java/petrelplank/routing/FailureAttribution.java
+++ b/src/main/java/petrelplank/routing/FailureAttribution.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
-/** Attributes a failed attempt to the endpoint, to its fill source or to the origin. */
+/** Decides whether a failed attempt is the fault of the fill source, and whether it may come from the origin. */
 final class FailureAttribution {
-    /** A rejection that took longer than this multiple of the fastest response may have come from the source. */
+    /** A rejection that took longer than this multiple of the fastest response of any endpoint may have come from the source. */
     private static final double SLOW_REJECTION_FACTOR = 4;
 
     /** Whether cache statuses report failures of fill sources and of the origin. */
@@ -20,8 +20,9 @@
     }
 
     /**
-     * Whether the source is at fault. If the response does not say, a rejection too fast to have involved the source is
-     * attributed to the cache.
+     * Whether the fill source or the origin is at fault. If the cache status does not tell, timeouts are attributed to
+     * the source. So are slow rejections, if cache statuses do not report source failures; a rejection too fast to have
+     * involved the source is attributed to the cache.
      */
     boolean isSourceAtFault(AttemptOutcome outcome) {
         return switch (outcome.cacheStatus()) {
@@ -37,7 +38,10 @@
                 && outcome.latencyUs() > SLOW_REJECTION_FACTOR * fastestResponseUs;
     }
 
-    /** Whether the origin may have rejected the call, directly or through a source. */
+    /**
+     * Whether the failure may come from the origin, directly or through a source: any failure of the source except a
+     * timeout, and, if cache statuses do not report source failures, any rejection or error.
+     */
     boolean mayBeOriginRejection(AttemptOutcome outcome) {
         boolean unattributed = !sourceFailuresReported
                 && (outcome.status() == AttemptStatus.REJECTED || outcome.status() == AttemptStatus.ERROR);
--- a/src/main/java/petrelplank/routing/TokenBucket.java
+++ b/src/main/java/petrelplank/routing/TokenBucket.java
@@ -1,6 +1,9 @@
 package petrelplank.routing;
 
-/** A token bucket whose tokens are microseconds of transfer time; its level may become negative. */
+/**
+ * A token bucket whose tokens are microseconds of transfer time, the estimated time of sending a response at a
+ * client's rate ({@link TransferTimeEstimator}). Its level may become negative.
+ */
 final class TokenBucket {
     private double tokensUs;
     /** Time of the last refill; 0 before the first one. */
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -20,12 +20,13 @@
  * @param maxDescriptors maximum number of file descriptors that the process may have open
  * @param memoryMb the memory limit of the process, in MB
  * @param discoveryAddress the address of the discovery service
- * @param knownIndex the index of the last event in {@code knownEvents}
+ * @param knownIndex the index of the last discovery event in {@code knownEvents}
  * @param knownEvents the events of the discovery service up to and including {@code knownIndex}, in JSON form
- * @param settings the router settings, in the same format as the simulator sends them
+ * @param settings the router settings, in the JSON format that the simulator sends as well
  * @param maxStreamsPerConnection maximum number of requests in flight on one upstream connection
  * @param idleTimeoutUs how long servers keep an idle connection open
- * @param sizeScale number of bytes on a socket for each byte in the units of the settings and the clients
+ * @param sizeScale bytes sent on a socket for each byte in the units of the settings and the clients: the highest rate of
+ *     a response in the configuration file, divided by that in the settings; 1 if either is missing or 0
  */
 public record Configuration(
         String name,
--- a/src/main/java/petrelplank/settings/JsonFields.java
+++ b/src/main/java/petrelplank/settings/JsonFields.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * The fields of a JSON object, with typed access by name. Methods throw {@link FormatException} with the path of the
- * object if a required field is missing or a field has the wrong type. A field whose value is null counts as absent.
+ * The fields of a JSON object, with typed access by name. Unless stated otherwise, methods throw
+ * {@link FormatException} with the path of the object if a required field is missing or a field has the wrong type. A
+ * field whose value is null counts as absent.
  */
 public final class JsonFields {
     private final Map<String, Object> values;
@@ -35,7 +36,7 @@
     }
 
     /**
-     * Returns whether the object has this field, not null, and no other field.
+     * Returns whether the object has exactly one field, which is this one, and it is not null.
      *
      * @param name the name of the field
      * @return whether it is the only field
@@ -73,7 +74,10 @@
         return has(name) ? text(name) : defaultValue;
     }
 
-    /** Returns a required whole number; of one that exceeds 64 bits, the low 64 bits. */
+    /**
+     * Returns a required whole number. Of an integer that exceeds 64 bits, the low 64 bits are returned; a whole number
+     * in floating-point notation is limited to the range of 64 bits.
+     */
     public long integer(String name) {
         Object value = requiredValue(name);
         if (value instanceof Long number) {
@@ -88,7 +92,7 @@
         throw invalid(name, "a whole number");
     }
 
-    /** Returns whether a field is present and equals this number. */
+    /** Returns whether a field is present and equals this number; false if it has another type. */
     public boolean is(String name, long number) {
         return values.get(name) instanceof Number found && found.doubleValue() == number;
     }
--- a/src/main/java/petrelplank/simulator/SimulatorAdapter.java
+++ b/src/main/java/petrelplank/simulator/SimulatorAdapter.java
@@ -23,7 +23,7 @@
      * @param input the batches of events, one JSON object per line
      * @param output receives the replies and nothing else
      * @param errors receives a message about an invalid line
-     * @return the exit status of the process
+     * @return the exit status of the process: 0 at the end of the input, 1 after an invalid line
      * @throws IOException if reading the input or writing the output fails
      */
     public static int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
--- a/src/main/java/petrelplank/transport/SharedProcessor.java
+++ b/src/main/java/petrelplank/transport/SharedProcessor.java
@@ -10,14 +10,15 @@
 
 /**
  * MINA's I/O processor, with a single thread and selector, shared by all acceptors and connectors of a proxy. It adds
- * three things to MINA's: it releases permits once descriptors are closed ({@link DescriptorReleases}), it tells since
- * when received bytes may have been unread ({@link SelectionTimes}), and it closes an idle connection only if no bytes
- * are unread on it ({@link PendingCloses}).
+ * three things to MINA's: it releases permits once descriptors are closed ({@link DescriptorReleases}), it tells the
+ * earliest time at which received bytes may have arrived ({@link SelectionTimes}), and it closes an idle connection
+ * only if no bytes are unread on it ({@link PendingCloses}).
  */
 public final class SharedProcessor extends NioProcessor {
     /**
      * Longest wait of the selector. Bytes that are read have then arrived at most this long ago, not counting time
-     * during which the process itself did not run. With this limit an idle proxy uses 0.005 of a core, without it 0.003.
+     * during which the process itself did not run. With this limit an idle proxy uses 0.005 of a core, without it
+     * 0.003.
      */
     private static final long MAX_SELECT_WAIT_MS = 20;
 
@@ -38,8 +39,8 @@
     }
 
     /**
-     * Sets the budget in which the sockets of a service hold permits. The service acquires the permits, this processor
-     * releases them.
+     * Sets the descriptor budget of a service, in which each of its open sockets holds a permit. The service acquires
+     * the permits, this processor releases them.
      *
      * @param service an acceptor or connector on this processor
      * @param budget its budget
@@ -50,8 +51,8 @@
 
     /**
      * Earliest time at which the bytes being read may have arrived in the kernel's buffers: the time of the selection
-     * before the last, which did not find them. A process that did not run in the meantime reads them late, but the
-     * client measures from the time at which it sent them. Call from the I/O thread, while it reads.
+     * before the last, since the bytes were not ready then. A process that did not run in the meantime reads them late,
+     * but the client measures from the time at which it sent them. Call from the I/O thread, while it reads.
      *
      * @return Unix time in microseconds
      */
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Number of iterations of the I/O loop. Bytes that are unread at some moment have been read two iterations later.
-     * May be called from any thread.
+     * Number of iterations of the I/O loop. Bytes that are unread when this is called have been read once the
+     * number has grown by two. May be called from any thread.
      *
      * @return iterations so far
      */
@@ -80,9 +81,10 @@
     }
 
     /**
-     * Closes a connection that has no open request, unless unread bytes are in the kernel's buffers: to a proxy that
-     * waits for a CPU, a connection seems idle although a request on it has not been read yet. The I/O thread decides
-     * right after a selection, and keeps the connection if there is something to read. May be called from any thread.
+     * Closes a connection that has no open request, unless unread bytes are in the kernel's buffers: if the
+     * process was not scheduled for a while, a connection seems idle although a request on it has not been read yet.
+     * The I/O thread decides right after a selection, and keeps the connection if there is something to read. May be
+     * called from any thread.
      *
      * @param session the connection
      * @param stillIdle tells whether the connection may still be closed; evaluated in the I/O thread, after all that
@@ -121,12 +123,15 @@
     protected int select(long timeoutMs) throws Exception {
         loopIterations++;
         pendingCloses.shutDownFinishedOutputs(selector);
+        // The JDK closes the descriptors of closed channels only during the next selection, and only a new selection
+        // tells whether bytes are unread on idle connections. Both are waited for, so this selection does not block.
         if (descriptorReleases.hasPending() || pendingCloses.hasIdleCloses()) {
             int idleCloseCount = pendingCloses.idleCloseCount();
             int readyCount = select();
             pendingCloses.closeIdleConnections(selector, idleCloseCount);
-            // The selection above may have consumed a wake-up. The flag is set before the selector is woken and is
-            // still set then, so it is checked here; otherwise the selection below would miss the wake-up.
+            // The selection above may have consumed a wake-up. MINA sets wakeupCalled before it wakes the
+            // selector, so the flag is still set here and is checked; otherwise the selection below would miss the
+            // wake-up.
             if (readyCount > 0 || wakeupCalled.get()) {
                 return readyCount;
             }
@@ -137,11 +142,11 @@
     private int selectInShortWaits(long timeoutMs) throws Exception {
         int readyCount;
         long remainingMs = timeoutMs;
+        // An early return without ready sockets makes MINA assume a broken selector, so the loop continues to wait.
         do {
             readyCount = super.select(Math.min(MAX_SELECT_WAIT_MS, remainingMs));
             selections.recordSelection();
             remainingMs -= MAX_SELECT_WAIT_MS;
-            // An early return without ready sockets makes MINA assume a broken selector, so the loop waits on.
         } while (readyCount == 0 && remainingMs > 0 && !wakeupCalled.get());
         return readyCount;
     }
--- a/src/main/java/petrelplank/upstream/ConnectionListener.java
+++ b/src/main/java/petrelplank/upstream/ConnectionListener.java
@@ -9,7 +9,7 @@
     enum LossCause {
         /** The connection was refused, or the connect timed out: the server counts as down. */
         UNREACHABLE,
-        /** The connection was reset or closed, which does not imply that the server is down. */
+        /** The connection was reset, or closed in an orderly way, which does not imply that the server is down. */
         RESET
     }
 
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -20,9 +20,9 @@
  */
 public final class UpstreamConnectionPool implements UpstreamClient {
     /**
-     * Consecutive resets of connections to a server, with no response in between, up to which attempts that were not
-     * written are resent. Beyond it, these attempts end with {@link AttemptStatus#CONNECT_FAILED}, as if the server
-     * were down.
+     * How many connections to a server may be reset in a row, without a response in between, before unwritten attempts
+     * are no longer resent. From then on, these attempts end with {@link AttemptStatus#CONNECT_FAILED}, as if the
+     * server were down.
      */
     private static final int MAX_CONSECUTIVE_RESETS = 3;
 
@@ -32,7 +32,7 @@
     private final UpstreamConnector connector;
     private final ConnectionSelector selector;
     private final Map<String, UpstreamServer> servers = new HashMap<>();
-    /** The connection of each attempt in flight. Its server may no longer be in {@link #servers}. */
+    /** The connection of each attempt in flight. The connection's server may have been removed from {@link #servers}. */
     private final Map<Attempt, UpstreamConnection> connectionsByAttempt = new HashMap<>();
 
     private final PendingAborts pendingAborts = new PendingAborts();
@@ -66,6 +66,7 @@
     public void endpointListed(String id, InetSocketAddress address, long startedUs) {
         UpstreamServer server = servers.get(id);
         if (server != null && server.address().equals(address)) {
+            // A later start time means that the server has restarted: older connections lead to its previous process.
             server.retireCreatedBefore(startedUs);
         } else {
             endpointRemoved(id);
@@ -83,6 +84,9 @@
 
     @Override
     public void send(Attempt attempt) {
+        // Without hedging, an attempt counts as in flight until its abort is written, and the next attempt of the
+        // request
+        // is held back until then.
         if (limits.hedging() || !pendingAborts.holdBack(attempt)) {
             dispatch(attempt);
         }
@@ -93,6 +97,7 @@
         UpstreamConnection connection = server == null ? null : selector.select(server, attempt.request());
         if (connection == null) {
             AttemptStatus status = server == null ? AttemptStatus.CONNECT_FAILED : AttemptStatus.NOT_SENT;
+            // Posted, since the end of an attempt must not be reported before send returns.
             loop.post(() -> reportEnd(attempt, status));
             return;
         }
@@ -147,6 +152,8 @@
         private void responseReceived(UpstreamConnection connection, UpstreamResponse response) {
             Attempt attempt = connection.removeAnswered(response.id());
             if (!limits.hedging() && response.status() != AttemptStatus.OK) {
+                // A duplicate response to this attempt may still arrive and would be taken for the response to a retry,
+                // so a retry must use another connection.
                 connection.refuseRetriesOf(response.id());
             }
             if (attempt == null) {
--- a/src/test/java/petrelplank/discovery/backoff/ReconnectBackoffTest.java
+++ b/src/test/java/petrelplank/discovery/backoff/ReconnectBackoffTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class ReconnectBackoffTest {
-    /** Total delay of consecutive failures, with each new attempt made, and failing, as soon as its delay is over. */
+    /** Total delay after consecutive failures, if each attempt is made when its delay is over and fails at once. */
     private static long totalDelayUs(ReconnectBackoff backoff, int failures) {
         long nowUs = 0;
         for (int i = 0; i < failures; i++) {
--- a/src/test/java/petrelplank/proxy/OpenRequestsTest.java
+++ b/src/test/java/petrelplank/proxy/OpenRequestsTest.java
@@ -35,7 +35,7 @@
         assertThat(openRequests.size()).isZero();
     }
 
-    /** A request whose client disconnects while routing is paused is removed, and must not be routed later. */
+    /** A request whose client disconnects while its routing is deferred is removed, and must not be routed later. */
     @Test
     void deferredExchangesKeepTheirOrderWithoutThoseThatAreFinished() {
         Exchange first = addExchange("cccccccccccccccc");
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Guards against a share that stays low for seconds after the origin has recovered: a single proxy of a large fleet
-     * makes few calls, so each successful one has to raise the share.
+     * Guards against an origin share that stays low for seconds after the origin has recovered: a single proxy of a
+     * large fleet makes few calls, so each successful one has to raise the share.
      */
     @Test
     void successfulCallsRaiseTheOriginsShareFasterThanTime() {
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A router whose host records its actions, with a clock and methods that script events. */
+/** Records the actions of a router, and drives the router with scripted events and a manual clock. */
 final class RouterFixture extends RecordingActions {
     static final long MS = 1000;
     static final long SEC = 1000 * MS;
@@ -115,7 +115,7 @@
         router = new RequestRouter(settings, 7, this);
     }
 
-    /** Lists four caches, a parent at each of two hubs, an origin, and a cache in another zone. */
+    /** Lists four caches, a parent in each of the zones north and south, an origin, and a cache in another zone. */
     RouterFixture withUsualEndpoints() {
         router.endpointsChanged(
                 now,
@@ -209,7 +209,7 @@
                         sizeKb));
     }
 
-    /** Requests the objects from {@code from} to before {@code to}; each attempt fills a copy and responds in time. */
+    /** Requests the objects {@code from} (inclusive) to {@code to} (exclusive); each attempt fills a copy and responds in time. */
     List<AttemptPlan> requestAndFill(int from, int to) {
         List<AttemptPlan> plans = new ArrayList<>();
         for (int i = from; i < to; i++) {
@@ -222,7 +222,7 @@
         return plans;
     }
 
-    /** Advances the clock, and fires the timers that become due in their order. */
+    /** Advances the clock, and fires the timers that become due, earliest first. */
     void advance(long durationUs) {
         long endUs = now + durationUs;
         while (!timers.isEmpty()) {
@@ -238,6 +238,7 @@
         now = endUs;
     }
 
+    /** Whether the router has rejected or failed the request; false for a request that was served. */
     boolean isTerminated(String request) {
         return rejected.contains(request) || failed.contains(request);
     }
--- a/src/test/java/petrelplank/upstream/FakeServer.java
+++ b/src/test/java/petrelplank/upstream/FakeServer.java
@@ -103,7 +103,10 @@
         return lines.isEmpty();
     }
 
-    /** Stops listening and waits until connections are refused; a pending accept may succeed even after the close. */
+    /**
+     * Stops listening, and checks that a connection is then refused. Joins the accept thread before the check, since a
+     * pending accept may succeed even after the close.
+     */
     public void stopListening() throws IOException, InterruptedException {
         int port = serverSocket.getLocalPort();
         serverSocket.close();
