--- a/src/main/java/petrelplank/cli/Logs.java
+++ b/src/main/java/petrelplank/cli/Logs.java
@@ -9,7 +9,7 @@
     private static final String LINE_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n";
 
     /** Strong reference: without one, the logger and its level would be garbage collected. */
-    private static Logger networkLogger;
+    private static Logger minaLogger;
 
     private Logs() {}
 
@@ -21,8 +21,8 @@
             throw new IllegalStateException(
                     "logging is already initialized, with log manager " + LogManager.getLogManager());
         }
-        networkLogger = Logger.getLogger("org.apache.mina");
-        networkLogger.setLevel(Level.WARNING);
+        minaLogger = Logger.getLogger("org.apache.mina");
+        minaLogger.setLevel(Level.WARNING);
         createHandlers();
     }
 
--- a/src/main/java/petrelplank/routing/FailureAttribution.java
+++ b/src/main/java/petrelplank/routing/FailureAttribution.java
@@ -2,7 +2,7 @@
 
 /** Decides whether a failed attempt is the fault of the fill source, and whether it may come from the origin. */
 final class FailureAttribution {
-    /** A rejection that took longer than this multiple of the fastest response of any endpoint may have come from the source. */
+    /** A rejection may come from the source if it took this many times as long as any endpoint's fastest response. */
     private static final double SLOW_REJECTION_FACTOR = 4;
 
     /** Whether cache statuses report failures of fill sources and of the origin. */
@@ -28,11 +28,11 @@
         return switch (outcome.cacheStatus()) {
             case SOURCE_REJECTED, SOURCE_UNREACHABLE, ORIGIN_FAILED -> true;
             case FILL_LIMIT_REACHED, SOURCE_MISS -> false;
-            default -> outcome.status() == AttemptStatus.TIMEOUT || isSlowRejection(outcome);
+            default -> outcome.status() == AttemptStatus.TIMEOUT || mayBeSourceRejection(outcome);
         };
     }
 
-    private boolean isSlowRejection(AttemptOutcome outcome) {
+    private boolean mayBeSourceRejection(AttemptOutcome outcome) {
         return outcome.status() == AttemptStatus.REJECTED
                 && !sourceFailuresReported
                 && outcome.latencyUs() > SLOW_REJECTION_FACTOR * fastestResponseUs;
@@ -42,7 +42,7 @@
      * Whether the failure may come from the origin, directly or through a source: any failure of the source except a
      * timeout, and, if cache statuses do not report source failures, any rejection or error.
      */
-    boolean mayBeOriginRejection(AttemptOutcome outcome) {
+    boolean mayBeOriginFailure(AttemptOutcome outcome) {
         boolean unattributed = !sourceFailuresReported
                 && (outcome.status() == AttemptStatus.REJECTED || outcome.status() == AttemptStatus.ERROR);
         return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || unattributed);
--- a/src/main/java/petrelplank/routing/OriginCallMonitor.java
+++ b/src/main/java/petrelplank/routing/OriginCallMonitor.java
@@ -81,7 +81,7 @@
         CacheStatus cacheStatus = outcome.cacheStatus();
         boolean reported = cacheStatus == CacheStatus.FILLED_FROM_ORIGIN || cacheStatus == CacheStatus.ORIGIN_FAILED;
         boolean likely = mayCallOrigin(request, attempt) && !cacheStatus.isCopy();
-        return reported || likely && (timeliness != Timeliness.FAILED || attribution.mayBeOriginRejection(outcome));
+        return reported || likely && (timeliness != Timeliness.FAILED || attribution.mayBeOriginFailure(outcome));
     }
 
     /**
--- a/src/main/java/petrelplank/routing/TokenBucket.java
+++ b/src/main/java/petrelplank/routing/TokenBucket.java
@@ -7,15 +7,15 @@
 final class TokenBucket {
     private double tokensUs;
     /** Time of the last refill; 0 before the first one. */
-    private long refilledUs;
+    private long lastRefillAtUs;
 
     /**
      * Adds the tokens accrued at the rate since the last refill, up to the capacity. The first refill sets the level to
      * the initial value instead.
      */
-    void refill(long now, double rate, double capacityUs, double initialUs) {
-        tokensUs = refilledUs == 0 ? initialUs : Math.min(capacityUs, tokensUs + rate * (now - refilledUs));
-        refilledUs = now;
+    void refill(long nowUs, double rate, double capacityUs, double initialUs) {
+        tokensUs = lastRefillAtUs == 0 ? initialUs : Math.min(capacityUs, tokensUs + rate * (nowUs - lastRefillAtUs));
+        lastRefillAtUs = nowUs;
     }
 
     boolean holds(double transferUs) {
@@ -28,6 +28,6 @@
 
     /** Makes the next refill the first one again. */
     void reset() {
-        refilledUs = 0;
+        lastRefillAtUs = 0;
     }
 }
--- a/src/main/java/petrelplank/settings/Configuration.java
+++ b/src/main/java/petrelplank/settings/Configuration.java
@@ -25,8 +25,8 @@
  * @param settings the router settings, in the JSON format that the simulator sends as well
  * @param maxStreamsPerConnection maximum number of requests in flight on one upstream connection
  * @param idleTimeoutUs how long servers keep an idle connection open
- * @param sizeScale bytes sent on a socket for each byte in the units of the settings and the clients: the highest rate of
- *     a response in the configuration file, divided by that in the settings; 1 if either is missing or 0
+ * @param sizeScale bytes sent on a socket for each byte in the units of the settings and the clients: the highest
+ *     rate of a response in the configuration file, divided by that in the settings; 1 if either is missing or 0
  */
 public record Configuration(
         String name,
--- a/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/petrelplank/upstream/UpstreamConnectionPool.java
@@ -32,7 +32,7 @@
     private final UpstreamConnector connector;
     private final ConnectionSelector selector;
     private final Map<String, UpstreamServer> servers = new HashMap<>();
-    /** The connection of each attempt in flight. The connection's server may have been removed from {@link #servers}. */
+    /** The connection of each attempt in flight. Its server may have been removed from {@link #servers} since. */
     private final Map<Attempt, UpstreamConnection> connectionsByAttempt = new HashMap<>();
 
     private final PendingAborts pendingAborts = new PendingAborts();
--- a/src/test/java/petrelplank/routing/AttemptPlannerTest.java
+++ b/src/test/java/petrelplank/routing/AttemptPlannerTest.java
@@ -20,6 +20,6 @@
         assertEquals(host.lastPlan().server(), host.lastPlan().source());
         host.endAttempt(id, AttemptStatus.MISS, CacheStatus.NONE, MS);
         assertEquals(1, host.attemptCount(id));
-        assertTrue(host.isTerminated(id));
+        assertTrue(host.isRejectedOrFailed(id));
     }
 }
--- a/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
+++ b/src/test/java/petrelplank/routing/ConcurrencyLimiterTest.java
@@ -27,7 +27,7 @@
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
             host.endAttempt(id, AttemptStatus.RESET, CacheStatus.SOURCE_UNREACHABLE, 50 * MS);
-            if (!host.isTerminated(id)) {
+            if (!host.isRejectedOrFailed(id)) {
                 host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 110 * MS);
             }
         }
--- a/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
+++ b/src/test/java/petrelplank/routing/EligibleEndpointsTest.java
@@ -23,11 +23,11 @@
         int attemptsAtCaches = 0;
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
-            while (caches.contains(host.lastPlan().server()) && !host.isTerminated(id)) {
+            while (caches.contains(host.lastPlan().server()) && !host.isRejectedOrFailed(id)) {
                 attemptsAtCaches++;
                 host.endAttempt(id, AttemptStatus.CONNECT_FAILED, CacheStatus.NONE, 0);
             }
-            assertFalse(host.isTerminated(id), id);
+            assertFalse(host.isRejectedOrFailed(id), id);
             served++;
             host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED, 10 * MS);
         }
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -14,30 +14,33 @@
 
     @Test
     void failingOriginGetsFewerFillsAndAllWrites() {
-        RouterFixture hitsOnlyHost = new RouterFixture(RouterFixture.settings(
+        RouterFixture fixtureWithHitStatusOnly = new RouterFixture(RouterFixture.settings(
                         WeightMeaning.NOMINAL, CacheStatusDetail.HITS, RouterFixture.permissions()))
                 .withUsualEndpoints();
         for (int i = 100; i < 103; i++) {
-            hitsOnlyHost.endAttempt(hitsOnlyHost.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
+            fixtureWithHitStatusOnly.endAttempt(
+                    fixtureWithHitStatusOnly.request(i), AttemptStatus.ERROR, CacheStatus.NONE, 100 * MS);
         }
         int withheld = 0;
         int writes = 0;
         for (int i = 1000; i < 1020; i++) {
-            hitsOnlyHost.request(i);
-            withheld += hitsOnlyHost.lastPlan().onlyIfCached()
-                            || hitsOnlyHost
+            fixtureWithHitStatusOnly.request(i);
+            withheld += fixtureWithHitStatusOnly.lastPlan().onlyIfCached()
+                            || fixtureWithHitStatusOnly
                                     .lastPlan()
                                     .source()
-                                    .equals(hitsOnlyHost.lastPlan().server())
+                                    .equals(fixtureWithHitStatusOnly.lastPlan().server())
+                    ? 1
+                    : 0;
+            writes += fixtureWithHitStatusOnly.attemptCount(fixtureWithHitStatusOnly.request("note", i, 0, 3 * SEC)) > 0
                     ? 1
                     : 0;
-            writes += hitsOnlyHost.attemptCount(hitsOnlyHost.request("note", i, 0, 3 * SEC)) > 0 ? 1 : 0;
         }
         assertTrue(withheld >= 10, "misses that may not call the origin: " + withheld + " of 20, expected at least 10");
         assertEquals(20, writes);
-        hitsOnlyHost.now += 60 * SEC;
-        hitsOnlyHost.request(5000);
-        assertFalse(hitsOnlyHost.lastPlan().onlyIfCached());
+        fixtureWithHitStatusOnly.now += 60 * SEC;
+        fixtureWithHitStatusOnly.request(5000);
+        assertFalse(fixtureWithHitStatusOnly.lastPlan().onlyIfCached());
     }
 
     /**
@@ -45,10 +48,10 @@
      * large fleet makes few calls, so each successful one has to raise the share.
      */
     @Test
-    void successfulCallsRaiseTheOriginsShareFasterThanTime() {
+    void originShareRecoversWithinThreeSecondsOfSuccessfulCalls() {
         for (int i = 0; i < 60; i++) {
             String id = host.request(i);
-            while (!host.isTerminated(id)) {
+            while (!host.isRejectedOrFailed(id)) {
                 host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 2 * MS);
             }
         }
@@ -59,7 +62,7 @@
             if (host.lastPlan().onlyIfCached()) {
                 host.endAttempt(id, AttemptStatus.MISS, CacheStatus.SOURCE_MISS, MS);
             }
-            if (!host.isTerminated(id)) {
+            if (!host.isRejectedOrFailed(id)) {
                 host.endAttempt(id, AttemptStatus.OK, CacheStatus.FILLED_FROM_ORIGIN, 20 * MS);
             }
         }
@@ -74,7 +77,7 @@
      * and will be late as well.
      */
     @Test
-    void waitOfMoreThanHalfTheObjectiveIsTakenForAQueueAtTheOrigin() {
+    void longOriginWaitLimitsFills() {
         assertEquals(0, onlyIfCachedAfterWaitsOf(150 * MS));
         assertTrue(onlyIfCachedAfterWaitsOf(350 * MS) >= 4);
     }
@@ -84,7 +87,7 @@
         for (int i = 0; i < 200; i++) {
             host.now += 20 * MS;
             String id = host.request(i);
-            while (!host.isTerminated(id)) {
+            while (!host.isRejectedOrFailed(id)) {
                 host.endAttempt(id, AttemptStatus.REJECTED, CacheStatus.ORIGIN_FAILED, 5 * MS);
             }
         }
--- a/src/test/java/petrelplank/routing/OutlierDetectorTest.java
+++ b/src/test/java/petrelplank/routing/OutlierDetectorTest.java
@@ -67,7 +67,7 @@
             for (int j = 0; j < 3; j++) {
                 host.endAttempt(id, AttemptStatus.ERROR, CacheStatus.NONE, MS);
             }
-            assertTrue(host.isTerminated(id));
+            assertTrue(host.isRejectedOrFailed(id));
             assertEquals(3, host.attemptCount(id));
         }
         assertEquals(List.of(), host.logLines);
--- a/src/test/java/petrelplank/routing/RequestRouterTest.java
+++ b/src/test/java/petrelplank/routing/RequestRouterTest.java
@@ -19,7 +19,7 @@
         String id = host.request(1);
         host.now += 600 * SEC;
         host.endAttempt(id, AttemptStatus.TIMEOUT, CacheStatus.NONE, MS);
-        assertTrue(host.isTerminated(id));
+        assertTrue(host.isRejectedOrFailed(id));
         assertEquals(50, host.requestAndFill(100, 150).size());
     }
 
@@ -55,7 +55,7 @@
         String id = minimal.request(1);
         assertEquals("a", minimal.lastPlan().server());
         minimal.endAttempt(id, AttemptStatus.OK, CacheStatus.NONE, 100 * MS);
-        assertFalse(minimal.isTerminated(id));
+        assertFalse(minimal.isRejectedOrFailed(id));
     }
 
     @Test
--- a/src/test/java/petrelplank/routing/RouterFixture.java
+++ b/src/test/java/petrelplank/routing/RouterFixture.java
@@ -9,50 +9,50 @@
     static final long MS = 1000;
     static final long SEC = 1000 * MS;
     static final ServiceClass VIDEO = new ServiceClass(
-            "video",
-            400 * MS,
-            2,
-            6 * SEC,
-            2,
-            0.15,
-            Idempotency.IDEMPOTENT,
-            IdempotencyScope.ALL,
-            0,
-            false,
-            0,
-            0,
-            1,
-            false);
+            /* name */ "video",
+            /* latencyObjectiveUs */ 400 * MS,
+            /* objectiveSizeFactor */ 2,
+            /* deadlineUs */ 6 * SEC,
+            /* priorityWeight */ 2,
+            /* lateWeightFactor */ 0.15,
+            /* idempotency */ Idempotency.IDEMPOTENT,
+            /* idempotencyScope */ IdempotencyScope.ALL,
+            /* idempotencyWindowUs */ 0,
+            /* streamed */ false,
+            /* freshnessUs */ 0,
+            /* staleIfErrorUs */ 0,
+            /* staleWeightFactor */ 1,
+            /* write */ false);
     static final ServiceClass FILE = new ServiceClass(
-            "file",
-            400 * MS,
-            2,
-            3 * SEC,
-            1,
-            0.2,
-            Idempotency.IDEMPOTENT,
-            IdempotencyScope.ALL,
-            0,
-            false,
-            12 * SEC,
-            20 * SEC,
-            0.7,
-            false);
+            /* name */ "file",
+            /* latencyObjectiveUs */ 400 * MS,
+            /* objectiveSizeFactor */ 2,
+            /* deadlineUs */ 3 * SEC,
+            /* priorityWeight */ 1,
+            /* lateWeightFactor */ 0.2,
+            /* idempotency */ Idempotency.IDEMPOTENT,
+            /* idempotencyScope */ IdempotencyScope.ALL,
+            /* idempotencyWindowUs */ 0,
+            /* streamed */ false,
+            /* freshnessUs */ 12 * SEC,
+            /* staleIfErrorUs */ 20 * SEC,
+            /* staleWeightFactor */ 0.7,
+            /* write */ false);
     static final ServiceClass NOTE = new ServiceClass(
-            "note",
-            600 * MS,
-            0,
-            3 * SEC,
-            3,
-            0,
-            Idempotency.IDEMPOTENT_WITH_KEY,
-            IdempotencyScope.ALL,
-            3 * SEC,
-            false,
-            0,
-            0,
-            1,
-            true);
+            /* name */ "note",
+            /* latencyObjectiveUs */ 600 * MS,
+            /* objectiveSizeFactor */ 0,
+            /* deadlineUs */ 3 * SEC,
+            /* priorityWeight */ 3,
+            /* lateWeightFactor */ 0,
+            /* idempotency */ Idempotency.IDEMPOTENT_WITH_KEY,
+            /* idempotencyScope */ IdempotencyScope.ALL,
+            /* idempotencyWindowUs */ 3 * SEC,
+            /* streamed */ false,
+            /* freshnessUs */ 0,
+            /* staleIfErrorUs */ 0,
+            /* staleWeightFactor */ 1,
+            /* write */ true);
 
     Router router;
     long now = 100 * SEC;
@@ -85,26 +85,26 @@
             int proxies,
             List<String> reportFields) {
         return new RouterSettings(
-                0,
-                Math.max(2, proxies),
-                "office",
-                List.of("north", "south", "office"),
-                List.of(0, 0, proxies),
-                List.of(0, 1, 0),
-                List.of(),
-                "parent",
-                "origin",
-                8000,
-                weights,
-                detail,
+                /* proxyIndex */ 0,
+                /* proxyCount */ Math.max(2, proxies),
+                /* zone */ "office",
+                /* zones */ List.of("north", "south", "office"),
+                /* proxyCountByZone */ List.of(0, 0, proxies),
+                /* hubByZone */ List.of(0, 1, 0),
+                /* linkKbPerSecondByZone */ List.of(),
+                /* parentKind */ "parent",
+                /* originKind */ "origin",
+                /* maxResponseKbPerSecond */ 8000,
+                /* weightMeaning */ weights,
+                /* cacheStatusDetail */ detail,
                 reportFields,
-                false,
-                400 * MS,
-                List.of(VIDEO, FILE, NOTE),
+                /* watchEndpoints */ false,
+                /* connectTimeoutUs */ 400 * MS,
+                /* classes */ List.of(VIDEO, FILE, NOTE),
                 permissions,
                 rules(),
-                List.of(),
-                0);
+                /* tenants */ List.of(),
+                /* overQuotaWeightFactor */ 0);
     }
 
     RouterFixture() {
@@ -209,7 +209,7 @@
                         sizeKb));
     }
 
-    /** Requests the objects {@code from} (inclusive) to {@code to} (exclusive); each attempt fills a copy and responds in time. */
+    /** Requests the objects {@code from} (inclusive) to {@code to} (exclusive); each attempt fills a copy in time. */
     List<AttemptPlan> requestAndFill(int from, int to) {
         List<AttemptPlan> plans = new ArrayList<>();
         for (int i = from; i < to; i++) {
@@ -239,7 +239,7 @@
     }
 
     /** Whether the router has rejected or failed the request; false for a request that was served. */
-    boolean isTerminated(String request) {
+    boolean isRejectedOrFailed(String request) {
         return rejected.contains(request) || failed.contains(request);
     }
 }
--- a/src/test/java/petrelplank/routing/SlowStartTest.java
+++ b/src/test/java/petrelplank/routing/SlowStartTest.java
@@ -54,7 +54,7 @@
         host.changeEndpoints(cache("a", host.now), cache("b", host.now), cache("c", host.now), cache("d", host.now));
         for (int i = 0; i < 500; i++) {
             String id = host.request(i);
-            assertTrue(host.attemptCount(id) == 1 || host.isTerminated(id));
+            assertTrue(host.attemptCount(id) == 1 || host.isRejectedOrFailed(id));
         }
         assertTrue(host.sent.size() > 0 && host.rejected.size() > 0);
     }
@@ -67,7 +67,7 @@
         host.sent.clear();
         for (int i = 0; i < 300; i++) {
             String id = host.request(i);
-            assertTrue(host.attemptCount(id) > 0 || host.isTerminated(id), id);
+            assertTrue(host.attemptCount(id) > 0 || host.isRejectedOrFailed(id), id);
             host.now += 2 * MS;
         }
         for (String startingCache : List.of("a", "b", "c")) {
--- a/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
+++ b/src/test/java/petrelplank/routing/UnresponsiveAttemptDetectorTest.java
@@ -25,7 +25,7 @@
         host.endAttempt(id, AttemptStatus.OK, CacheStatus.HIT, 110 * MS);
         host.advance(4 * SEC);
         assertEquals(2, host.attemptCount(id));
-        assertFalse(host.isTerminated(id));
+        assertFalse(host.isRejectedOrFailed(id));
     }
 
     @Test
