--- a/src/main/java/petrelplank/discovery/DiscoveryClient.java
+++ b/src/main/java/petrelplank/discovery/DiscoveryClient.java
@@ -31,6 +31,7 @@
     /** What has been received since the process started. The state only advances; a reconnect does not reset it. */
     private enum SyncState {
         NOTHING_RECEIVED,
+        /** Something has been received, but no heartbeat has confirmed yet that nothing is missing. */
         RECEIVING,
         /** A heartbeat has confirmed that no event sent before it is missing. */
         CAUGHT_UP
--- a/src/main/java/petrelplank/fastcgi/RecordParser.java
+++ b/src/main/java/petrelplank/fastcgi/RecordParser.java
@@ -10,7 +10,7 @@
  */
 final class RecordParser {
     private static final byte[] EMPTY_CONTENT = new byte[0];
-    /** Offsets of the fields in a header. The request id and the content length take two bytes. */
+    // Offsets of the fields in a header. The request id and the content length take two bytes.
     private static final int VERSION_OFFSET = 0;
 
     private static final int TYPE_OFFSET = 1;
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -22,7 +22,7 @@
         /** Called when the client aborts a request. */
         void onAbort(int id);
 
-        /** Called for a management record: GET_VALUES or an unknown type. */
+        /** Called for a management record (request id 0): GET_VALUES or an unknown type. */
         void onManagementRecord(FastCgiRecord record);
 
         /** Called when a request is rejected at its BEGIN_REQUEST record, with the protocol status to send. */
--- a/src/main/java/petrelplank/simulator/SimulatorActions.java
+++ b/src/main/java/petrelplank/simulator/SimulatorActions.java
@@ -55,7 +55,7 @@
         writeAction(verb, output -> output.writeStringField(field, value));
     }
 
-    /** Reports that the router threw an exception; it receives no events until it is provisioned again. */
+    /** Reports that the router threw an exception; its proxy processes no events until it is provisioned again. */
     void reportCrash(String description) {
         writeAction("CRASH", "words", description);
     }
--- a/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
+++ b/src/test/java/petrelplank/routing/OriginLoadShedderTest.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Guards against a queue at the origin: once calls are late, the calls of about a second have queued behind them
-     * and will be late as well.
+     * Guards against a queue at the origin: when the first late response arrives, the calls of about a second are
+     * already queued behind it and will be late as well.
      */
     @Test
     void longOriginWaitLimitsFills() {
