--- a/src/main/java/petrelplank/cli/Logs.java
+++ b/src/main/java/petrelplank/cli/Logs.java
@@ -4,12 +4,12 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** Configures java.util.logging: one line per message on standard error, until the process has ended. */
+/** Configures java.util.logging: messages on standard error, also during shutdown hooks. */
 final class Logs {
     private static final String LINE_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n";
 
     /** Strong reference: without one, the logger and its level would be garbage collected. */
-    private static Logger networkLogger;
+    private static Logger minaLogger;
 
     private Logs() {}
 
@@ -21,20 +21,20 @@
             throw new IllegalStateException(
                     "logging is already initialized, with log manager " + LogManager.getLogManager());
         }
-        networkLogger = Logger.getLogger("org.apache.mina");
-        networkLogger.setLevel(Level.WARNING);
+        minaLogger = Logger.getLogger("org.apache.mina");
+        minaLogger.setLevel(Level.WARNING);
         createHandlers();
     }
 
     /**
-     * Creates the handlers now. The Java runtime would otherwise create them at the first log line, and no longer once
-     * a shutdown has begun: after a SIGTERM before that line, the process would log nothing at all.
+     * Creates the handlers now. The Java runtime would otherwise create them at the first log line, and it creates none
+     * once a shutdown has begun: after a SIGTERM before that line, the process would log nothing at all.
      */
     private static void createHandlers() {
         Logger.getLogger("").getHandlers();
     }
 
-    /** Sets the format of all further log lines. */
+    /** Switches all further log lines to JSON if that is the format. Text is the initial format. */
     static void setFormat(LogFormat format) {
         if (format == LogFormat.JSON) {
             JsonLogs.install();
--- a/src/main/java/petrelplank/fastcgi/RequestAssembler.java
+++ b/src/main/java/petrelplank/fastcgi/RequestAssembler.java
@@ -22,7 +22,7 @@
         /** Called when the client aborts a request. */
         void onAbort(int id);
 
-        /** Called for a management record: GET_VALUES or an unknown type. */
+        /** Called for a management record (request id 0): GET_VALUES or an unknown type. */
         void onManagementRecord(FastCgiRecord record);
 
         /** Called when a request is rejected at its BEGIN_REQUEST record, with the protocol status to send. */
@@ -35,7 +35,7 @@
         int openRequestCount();
     }
 
-    /** A request of which not all records have been received. */
+    /** A request that has not been received completely. */
     private static final class PartialRequest {
         private static final int INITIAL_PARAMS_BYTES = 512;
 
@@ -58,7 +58,9 @@
     private final AtomicLong totalBytes;
 
     private final long maxTotalBytes;
+    /** Bytes held by the partial requests of this connection. */
     private long partialBytes;
+
     private final Map<Integer, PartialRequest> partialRequests = new HashMap<>();
 
     /**
--- a/src/main/java/petrelplank/routing/FailureAttribution.java
+++ b/src/main/java/petrelplank/routing/FailureAttribution.java
@@ -1,8 +1,8 @@
 package petrelplank.routing;
 
-/** Attributes a failed attempt to the endpoint, to its fill source or to the origin. */
+/** Decides whether a failed attempt is the fault of the fill source, and whether it may come from the origin. */
 final class FailureAttribution {
-    /** A rejection that took longer than this multiple of the fastest response may have come from the source. */
+    /** A rejection may come from the source if it took this many times as long as any endpoint's fastest response. */
     private static final double SLOW_REJECTION_FACTOR = 4;
 
     /** Whether cache statuses report failures of fill sources and of the origin. */
@@ -20,25 +20,29 @@
     }
 
     /**
-     * Whether the source is at fault. If the response does not say, a rejection too fast to have involved the source is
-     * attributed to the cache.
+     * Whether the fill source or the origin is at fault. If the cache status does not tell, timeouts are attributed to
+     * the source. So are slow rejections, if cache statuses do not report source failures; a rejection too fast to have
+     * involved the source is attributed to the cache.
      */
     boolean isSourceAtFault(AttemptOutcome outcome) {
         return switch (outcome.cacheStatus()) {
             case SOURCE_REJECTED, SOURCE_UNREACHABLE, ORIGIN_FAILED -> true;
             case FILL_LIMIT_REACHED, SOURCE_MISS -> false;
-            default -> outcome.status() == AttemptStatus.TIMEOUT || isSlowRejection(outcome);
+            default -> outcome.status() == AttemptStatus.TIMEOUT || mayBeSourceRejection(outcome);
         };
     }
 
-    private boolean isSlowRejection(AttemptOutcome outcome) {
+    private boolean mayBeSourceRejection(AttemptOutcome outcome) {
         return outcome.status() == AttemptStatus.REJECTED
                 && !sourceFailuresReported
                 && outcome.latencyUs() > SLOW_REJECTION_FACTOR * fastestResponseUs;
     }
 
-    /** Whether the origin may have rejected the call, directly or through a source. */
-    boolean mayBeOriginRejection(AttemptOutcome outcome) {
+    /**
+     * Whether the failure may come from the origin, directly or through a source: any failure of the source except a
+     * timeout, and, if cache statuses do not report source failures, any rejection or error.
+     */
+    boolean mayBeOriginFailure(AttemptOutcome outcome) {
         boolean unattributed = !sourceFailuresReported
                 && (outcome.status() == AttemptStatus.REJECTED || outcome.status() == AttemptStatus.ERROR);
         return outcome.status() != AttemptStatus.TIMEOUT && (isSourceAtFault(outcome) || unattributed);
--- a/src/main/java/petrelplank/routing/TokenBucket.java
+++ b/src/main/java/petrelplank/routing/TokenBucket.java
@@ -1,18 +1,21 @@
 package petrelplank.routing;
 
-/** A token bucket whose tokens are microseconds of transfer time; its level may become negative. */
+/**
+ * A token bucket whose tokens are microseconds of transfer time, the estimated time of sending a response at a
+ * client's rate ({@link TransferTimeEstimator}). Its level may become negative.
+ */
 final class TokenBucket {
     private double tokensUs;
     /** Time of the last refill; 0 before the first one. */
-    private long refilledUs;
+    private long lastRefillAtUs;
 
     /**
      * Adds the tokens accrued at the rate since the last refill, up to the capacity. The first refill sets the level to
      * the initial value instead.
      */
-    void refill(long now, double rate, double capacityUs, double initialUs) {
-        tokensUs = refilledUs == 0 ? initialUs : Math.min(capacityUs, tokensUs + rate * (now - refilledUs));
-        refilledUs = now;
+    void refill(long nowUs, double rate, double capacityUs, double initialUs) {
+        tokensUs = lastRefillAtUs == 0 ? initialUs : Math.min(capacityUs, tokensUs + rate * (nowUs - lastRefillAtUs));
+        lastRefillAtUs = nowUs;
     }
 
     boolean holds(double transferUs) {
@@ -25,6 +28,6 @@
 
     /** Makes the next refill the first one again. */
     void reset() {
-        refilledUs = 0;
+        lastRefillAtUs = 0;
     }
 }
